--- a/decide/api.go
+++ b/decide/api.go
@@ -1,152 +1,152 @@
 package decide
 
-// Settings are what an instance is told at its start. Times are seconds, work is tokens.
+// Settings configures a router. Times are in seconds, amounts of work in prompt tokens.
 type Settings struct {
-	Seed          uint64
-	Routers       int       // how many routers share the engines
-	Zone          int       // this router's own
-	Roles         []Role    // by machine kind
-	Memory        []float64 // tokens an engine of that machine kind can hold
-	Workloads     []Workload
-	Tenants       []Tenant // empty: no shares
-	OverShare     float64  // what a completion beyond its tenant's share is worth, as a part
-	Columns       []string // what the values of a load report are
-	Probes        bool     // probes are allowed
-	Places        bool     // a place may be held ahead at a writer
-	PlacesUnsure  bool     // it may stay unknown whether one is held
-	WritersRead   bool     // a writer reads a prompt for which there is no state
-	Cancels       bool     // a dispatch may be cancelled
-	MaxDispatches int
-	MaxComeBack   float64 // the longest come-back time that clients obey, 0 where they are told none
-	ListAsked     bool    // the list of engines comes only when asked for
-	ColdShare     float64 // an engine starts at this share of its capacity or more
-	Warm          float64 // and is warm after this time
-	ColdMultiple  float64 // it falls over when sent more than this multiple of its capacity
-	ColdWindow    float64 // for this long
-	Tick          float64 // the least time between two calls that differ in their time
-	FarPrice      float64 // price of a state that leaves its cell, a part of the value
-	CrossPrice    float64 // price of a dispatch that leaves its zone, a part of the value
+	Seed                    uint64
+	Routers                 int       // routers that share the engines
+	Zone                    int       // this router's zone
+	Roles                   []Role    // by machine kind
+	Memory                  []float64 // KV cache capacity of an engine in tokens, by machine kind
+	Workloads               []Workload
+	Tenants                 []Tenant // empty: no tenant shares
+	OverShareValue          float64  // factor on the value of a completion beyond its tenant's share
+	ReportColumns           []string // names of the values in a load report
+	ProbesAllowed           bool
+	ReservationsAllowed     bool // KV cache space may be reserved at a writer before the write
+	ReservationsUnconfirmed bool // it may remain unknown whether a requested reservation is held
+	WriterReadsAllowed      bool // a writer may read a prompt for which no state exists
+	CancelAllowed           bool // a dispatch may be cancelled
+	MaxDispatches           int
+	MaxRetryAfter           float64 // longest retry-after that clients obey, 0 where they get none
+	ListOnRequest           bool    // the engine list is sent only on request
+	ColdStartShare          float64 // least share of its capacity that an engine has at its start
+	WarmUpTime              float64 // time from its start until an engine is warm
+	OverloadMultiple        float64 // an engine fails when it is sent more than this multiple of its capacity
+	OverloadWindow          float64 // over this time
+	Tick                    float64 // clock resolution: the least time between two calls that differ in their time
+	CrossCellPrice          float64 // price of moving a state to another cell, as a share of the value
+	CrossZonePrice          float64 // price of a dispatch to another zone, as a share of the value
 }
 
-// Workload is a kind of completion.
+// Workload is a class of completions.
 type Workload struct {
-	Target         float64 // first token wanted within
-	TargetPerToken float64 // and so much longer for each token of the prompt
-	TokenTarget    float64 // mean time between tokens
-	Value          float64 // of a unit of its work
-	Effect         Effect
-	Group          Group   // where the repeat of a tokened completion is known
-	Window         float64 // and for how long
+	LatencyTarget         float64 // target time to the first token
+	LatencyTargetPerToken float64 // added to the target for each prompt token
+	InterTokenTarget      float64 // target mean time between output tokens
+	Value                 float64 // value of one unit of its work
+	Idempotency           Idempotency
+	DedupScope            DedupScope // engines that recognise the repeat of a tokened completion
+	DedupWindow           float64    // how long they recognise it
 }
 
 // Tenant is one of those who share the engines.
 type Tenant struct {
-	Rate float64 // completions a second, over all routers, that its share allows
+	Rate float64 // completions per second over all routers that its share allows
 }
 
-// Role is what the engines of a machine kind do.
+// Role says which stages of a completion the engines of a machine kind run.
 type Role uint8
 
-// The roles.
+// Roles.
 const (
 	Reader Role = iota
 	Writer
 	Mixed
 )
 
-// Effect tells whether a completion may run twice.
-type Effect uint8
+// Idempotency says whether a completion may run more than once.
+type Idempotency uint8
 
-// The effects.
+// Idempotency classes.
 const (
-	Idempotent Effect = iota
+	Idempotent Idempotency = iota
 	Tokened
 	NonIdempotent
 )
 
-// Group tells which engines know a tokened completion again.
-type Group uint8
+// DedupScope is the set of engines that recognise the repeat of a tokened completion.
+type DedupScope uint8
 
-// The groups.
+// Deduplication scopes.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
-// Phase is what the list says of an engine.
+// Phase is the state of an engine in the engine list.
 type Phase uint8
 
-// The phases.
+// Phases.
 const (
 	Gone Phase = iota
 	Ready
 	Draining
 )
 
-// List tells how the entries of a list are meant.
-type List uint8
+// ListKind says how to apply the entries of an engine list.
+type ListKind uint8
 
-// The kinds of list.
+// Kinds of engine list.
 const (
-	ListDelta List = iota
-	ListFull
-	ListCached
-	ListFailed
+	ListDelta          ListKind = iota // only the entries that changed
+	ListSnapshot                       // all engines
+	ListCachedSnapshot                 // all engines, from a cached copy
+	ListFailed                         // the list could not be fetched
 )
 
-// Fact is one entry of the list of engines.
-type Fact struct {
-	Engine  int    // small index, the same for the engine's whole life
-	Mark    uint64 // tells nothing of the engine, but is the same at every router
-	Zone    int
-	Kind    int
-	Cell    int
-	Phase   Phase
-	Started float64 // on the instance's clock; far below 0 for long ago
+// EngineEntry is one entry of the engine list.
+type EngineEntry struct {
+	Index       int    // small, the same for the engine's whole life
+	Hash        uint64 // of the engine's identity, the same at every router; used only for hashing
+	Zone        int
+	MachineKind int
+	Cell        int
+	Phase       Phase
+	StartedAt   float64 // on the instance's clock; far below 0 for long ago
 }
 
-// Prompt is what a completion says of itself.
+// Prompt is what is known of a completion when it arrives.
 type Prompt struct {
-	Workload   int
-	Tenant     int
-	Session    uint64
-	Shared     uint64  // the beginning shared with other sessions, 0 for none
-	SharedLen  float64 // tokens
-	Len        float64 // tokens, the shared beginning included
-	MaxAnswer  float64 // tokens
-	AnswerHint float64 // seconds at the token target, 0 for unknown
-	Left       float64 // seconds until the client gives up
-	Again      bool    // it asks for the rest of an answer that broke
+	Workload           int
+	Tenant             int
+	Session            uint64
+	SharedPrefix       uint64  // hash of the prefix shared with other sessions, 0 for none
+	SharedPrefixTokens float64 // length of the shared prefix
+	Tokens             float64 // prompt length, the shared prefix included
+	MaxOutputTokens    float64
+	OutputTimeHint     float64 // expected time of the output in seconds at the inter-token target, 0 for unknown
+	TimeLeft           float64 // seconds until the client timeout
+	Resumed            bool    // the client asks for the rest of a stream that broke
 }
 
 // Outcome is how a dispatch or a probe ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes.
 const (
 	Finished    Outcome = iota
 	Read                // the prompt is read, its state waits at the reader
 	Errored             // may have run
-	Full                // did not run
+	Full                // rejected by the engine; did not run
 	TimedOut            // may have run
 	Unreachable         // did not run
-	Broken              // may have run
+	Broken              // the connection broke; may have run
 	Cancelled           // may have run
-	Moot                // was never sent
+	NotSent             // was never sent
 )
 
-// Actions is what the module does, each at once and in the order of the calls.
+// Actions carries out the router's decisions. Each call takes effect at once, in the order of the calls.
 type Actions interface {
 	Dispatch(completion uint64, engine int, timeout float64)
-	HoldPlace(completion uint64, engine int)
-	Release(completion uint64)
-	RateLimit(completion uint64, comeBack float64)
+	Reserve(completion uint64, engine int) // reserve KV cache space for the completion at a writer
+	Release(completion uint64)             // release its state and its reservation
+	RateLimit(completion uint64, retryAfter float64)
 	Abort(completion uint64)
 	Cancel(completion uint64, dispatch int)
-	Wake(completion uint64, after float64) // calls the completion's Due
-	WakeRouter(after float64)              // calls the router's Due
+	SetTimer(completion uint64, after float64) // calls Completion.TimerFired after that time
+	SetRouterTimer(after float64)              // calls Router.TimerFired after that time
 	Probe(engine int)
-	Watch() // ask for the list of engines and its changes
+	WatchEngines() // request the engine list and its changes
 	Log(text string)
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,7 +1,7 @@
 // Package decide holds every decision of a router; its interface (settings, facts, outcomes, actions) is
-// api.go. A caller makes a Router with New, sets the time with At before each call, hands it lists (Listed),
-// probes' results (Probed) and completions (Take). Take returns a handle; what happens to the completion
-// later is a call on it (Started, Placed, Ended, Left, Due) until Over. The module acts through Actions
+// api.go. A caller makes a Router with New, sets the time with SetTime before each call, hands it lists (UpdateEngines),
+// probes' results (ProbeEnded) and completions (Route). Route returns a handle; what happens to the completion
+// later is a call on it (DispatchStarted, ReservationAnswered, DispatchEnded, ClientLeft, TimerFired) until Closed. The module acts through Actions
 // alone.
 package decide
 
@@ -178,35 +178,35 @@
 		return nil, errors.New("settings: no workloads, or no roles of the machine kinds")
 	}
 	guess := stage{paceGuess, pacesGuess, lateGuess}
-	r := &Router{do: do, rng: s.Seed&math.MaxUint32 | 1<<32, nonce: s.Seed, over: s.OverShare, tick: s.Tick,
+	r := &Router{do: do, rng: s.Seed&math.MaxUint32 | 1<<32, nonce: s.Seed, over: s.OverShareValue, tick: s.Tick,
 		others: math.Max(0, float64(s.Routers-1)), routers: float64(s.Routers), works: s.Workloads, roles: s.Roles, memory: s.Memory,
 		zone: s.Zone,
-		most: cmp.Or(s.MaxDispatches, dispatches), back: math.Min(s.MaxComeBack, comeBack),
-		reads: s.WritersRead, places: s.Places && !s.PlacesUnsure, cancels: s.Cancels, probes: s.Probes && len(s.Columns) > 0,
-		far: closeLeast + closeTokens*s.FarPrice, away: closeLeast + 2*closeTokens*s.CrossPrice,
-		farZone: closeTokens * s.CrossPrice, warm: s.Warm, share: s.ColdShare, window: s.ColdWindow,
-		budget: s.ColdMultiple * s.ColdWindow,
+		most: cmp.Or(s.MaxDispatches, dispatches), back: math.Min(s.MaxRetryAfter, comeBack),
+		reads: s.WriterReadsAllowed, places: s.ReservationsAllowed && !s.ReservationsUnconfirmed, cancels: s.CancelAllowed, probes: s.ProbesAllowed && len(s.ReportColumns) > 0,
+		far: closeLeast + closeTokens*s.CrossCellPrice, away: closeLeast + 2*closeTokens*s.CrossZonePrice,
+		farZone: closeTokens * s.CrossZonePrice, warm: s.WarmUpTime, share: s.ColdStartShare, window: s.OverloadWindow,
+		budget: s.OverloadMultiple * s.OverloadWindow,
 		stages: [3]stage{guess, guess, {paceGuess * readsSlower, pacesGuess, lateGuess}}}
 	r.like = r.others
 	for _, w := range s.Workloads {
 		r.greatest = math.Max(r.greatest, w.Value)
 	}
 	for i, name := range [...]string{"queue", "util", "x0", "x1"} {
-		r.columns[i] = slices.Index(s.Columns, name)
+		r.columns[i] = slices.Index(s.ReportColumns, name)
 	}
 	for _, t := range s.Tenants {
 		rate := t.Rate / (r.others + 1)
 		r.tenants = append(r.tenants, tenant{rate: rate, bucket: chanceOver(rate * shareBurst)})
 		r.shares += rate
 	}
-	if s.ListAsked {
-		r.do.Watch()
+	if s.ListOnRequest {
+		r.do.WatchEngines()
 	}
 	return r, nil
 }
 
-// At sets the time of the calls that follow, in seconds from the instance's start.
-func (r *Router) At(now float64) { r.now = now }
+// SetTime sets the time of the calls that follow, in seconds from the instance's start.
+func (r *Router) SetTime(now float64) { r.now = now }
 
 // chance is a multiply-with-carry generator; it returns a number from 0 up to 1.
 func (r *Router) chance() float64 {
@@ -214,13 +214,13 @@
 	return float64(uint32(r.rng)) / (1 << 32)
 }
 
-func (r *Router) Due() { r.do.Watch() }
+func (r *Router) TimerFired() { r.do.WatchEngines() }
 
-// Listed takes news of the engines. Another mark, role, place or start time is another engine, whatever its
+// UpdateEngines takes news of the engines. Another mark, role, place or start time is another engine, whatever its
 // index: it starts with an empty record, and what is still out at the one before ends on that one's.
-func (r *Router) Listed(kind List, facts []Fact) {
+func (r *Router) UpdateEngines(kind ListKind, facts []EngineEntry) {
 	if kind == ListFailed {
-		r.do.WakeRouter(watchAgain * (0.5 + r.chance())) // only those who ask hear of it
+		r.do.SetRouterTimer(watchAgain * (0.5 + r.chance())) // only those who ask hear of it
 		return
 	}
 	for _, e := range r.engines {
@@ -229,18 +229,18 @@
 		}
 	}
 	for _, f := range facts {
-		if f.Engine < 0 || f.Cell < 0 || f.Kind < 0 {
-			r.do.Log(fmt.Sprintf("engine %d, cell %d, kind %d: wanted from 0, left out", f.Engine, f.Cell, f.Kind))
+		if f.Index < 0 || f.Cell < 0 || f.MachineKind < 0 {
+			r.do.Log(fmt.Sprintf("engine %d, cell %d, kind %d: wanted from 0, left out", f.Index, f.Cell, f.MachineKind))
 			continue
 		}
-		for len(r.engines) <= f.Engine {
-			r.engines = append(r.engines, r.newEngine(Fact{Engine: len(r.engines)}))
+		for len(r.engines) <= f.Index {
+			r.engines = append(r.engines, r.newEngine(EngineEntry{Index: len(r.engines)}))
 		}
 		e := r.newEngine(f)
-		if was := r.engines[f.Engine]; was.is(e) {
+		if was := r.engines[f.Index]; was.is(e) {
 			e = was
 		} else {
-			was.phase, r.engines[f.Engine] = Gone, e
+			was.phase, r.engines[f.Index] = Gone, e
 		}
 		e.phase = f.Phase
 	}
@@ -267,14 +267,14 @@
 }
 
 // newEngine is the record of an engine of which nothing is known but the list's word.
-func (r *Router) newEngine(f Fact) *engine {
-	e := &engine{id: f.Engine, zone: f.Zone, cell: f.Cell, mark: f.Mark, role: Mixed, memory: memoryGuess,
-		started: f.Started, keptAt: r.now, reportAt: math.Inf(-1), coldAt: math.Inf(-1)}
-	if f.Kind < len(r.roles) {
-		e.role = r.roles[f.Kind]
+func (r *Router) newEngine(f EngineEntry) *engine {
+	e := &engine{id: f.Index, zone: f.Zone, cell: f.Cell, mark: f.Hash, role: Mixed, memory: memoryGuess,
+		started: f.StartedAt, keptAt: r.now, reportAt: math.Inf(-1), coldAt: math.Inf(-1)}
+	if f.MachineKind < len(r.roles) {
+		e.role = r.roles[f.MachineKind]
 	}
-	if f.Kind < len(r.memory) && r.memory[f.Kind] > 0 {
-		e.memory = r.memory[f.Kind]
+	if f.MachineKind < len(r.memory) && r.memory[f.MachineKind] > 0 {
+		e.memory = r.memory[f.MachineKind]
 	}
 	e.pool = &r.pools[e.role]
 	return e
@@ -292,8 +292,8 @@
 	return here[0] * (r.pools[Writer].size + mixed) / (here[1] * (r.pools[Reader].size + mixed))
 }
 
-// Probed takes what a probe found. A failed probe counts as a failure.
-func (r *Router) Probed(id int, o Outcome, report []float64) {
+// ProbeEnded takes what a probe found. A failed probe counts as a failure.
+func (r *Router) ProbeEnded(id int, o Outcome, report []float64) {
 	if id < 0 || id >= len(r.engines) {
 		return // never listed
 	}
@@ -427,7 +427,7 @@
 // been read since, which pushes older text out of the memory that is left.
 func (r *Router) keeps(e *engine, p *Prompt) float64 {
 	most, room := 0.0, -1.0 // room: what is left of its memory, found where there is a claim
-	for i, key := range [...]uint64{p.Session, p.Shared} {
+	for i, key := range [...]uint64{p.Session, p.SharedPrefix} {
 		c, found := e.kept[0][key]
 		if !found {
 			c, found = e.kept[1][key]
@@ -442,9 +442,9 @@
 			continue
 		}
 		if i == 1 {
-			c.tokens = math.Min(c.tokens, p.SharedLen)
+			c.tokens = math.Min(c.tokens, p.SharedPrefixTokens)
 		}
-		most = math.Max(most, math.Min(c.tokens, p.Len))
+		most = math.Max(most, math.Min(c.tokens, p.Tokens))
 	}
 	return most
 }
@@ -459,10 +459,10 @@
 	case e.kept[0] == nil || len(e.kept[0]) >= claimsMost/2-1 || r.now-e.keptAt > keepsFor:
 		e.kept, e.keptAt = [2]map[uint64]claim{{}, e.kept[0]}, r.now
 	}
-	e.written += p.Len - math.Max(found, 0)
-	for i, key := range [...]uint64{p.Session, p.Shared} {
+	e.written += p.Tokens - math.Max(found, 0)
+	for i, key := range [...]uint64{p.Session, p.SharedPrefix} {
 		if key != 0 {
-			e.kept[0][key] = claim{[...]float64{p.Len, p.SharedLen}[i], r.now, e.written}
+			e.kept[0][key] = claim{[...]float64{p.Tokens, p.SharedPrefixTokens}[i], r.now, e.written}
 		}
 	}
 }
@@ -561,19 +561,19 @@
 	anywhere               bool // it goes wherever it is served, at no price of distance
 }
 
-func (r *Router) Take(id uint64, p Prompt) *Completion {
-	c := &Completion{r: r, id: id, p: p, w: &r.works[p.Workload], deadline: r.now + p.Left, wakeAt: math.Inf(1),
-		answer: math.Min(answerMost, p.MaxAnswer*answerGuess), eager: eagerLeast + (1-eagerLeast)*r.rankOf(&p)}
-	if p.AnswerHint > 0 && c.w.TokenTarget > 0 {
-		c.answer = math.Min(math.Min(answerMost, p.MaxAnswer), p.AnswerHint/c.w.TokenTarget)
+func (r *Router) Route(id uint64, p Prompt) *Completion {
+	c := &Completion{r: r, id: id, p: p, w: &r.works[p.Workload], deadline: r.now + p.TimeLeft, wakeAt: math.Inf(1),
+		answer: math.Min(answerMost, p.MaxOutputTokens*answerGuess), eager: eagerLeast + (1-eagerLeast)*r.rankOf(&p)}
+	if p.OutputTimeHint > 0 && c.w.InterTokenTarget > 0 {
+		c.answer = math.Min(math.Min(answerMost, p.MaxOutputTokens), p.OutputTimeHint/c.w.InterTokenTarget)
 	}
-	if p.Again {
+	if p.Resumed {
 		// Its value is mostly earned, so no bound but its time holds it back. It guards against streams lost
 		// where a router or an engine stops; it harms others while many come back at once, by a read each.
 		c.eager = math.Inf(1)
 	}
 	if reads := &r.pools[Reader]; reads.served == 0 { // what waits there is like this one, until one is measured
-		reads.read = p.Len - p.SharedLen
+		reads.read = p.Tokens - p.SharedPrefixTokens
 	}
 	c.advance()
 	return c
@@ -609,15 +609,15 @@
 // maySend keeps the rule that no effect happens twice, readers included: nothing may have run or be out, or
 // the engine drops repeats of what may have run and still remembers it.
 func (c *Completion) maySend(e *engine) bool {
-	return c.w.Effect == Idempotent || c.every(func(d *dispatch) bool {
-		same := c.w.Group == GroupAll || c.w.Group == GroupZone && d.e.zone == e.zone ||
-			c.w.Group == GroupCell && d.e.cell == e.cell
-		return c.w.Effect == Tokened && same && c.r.now+2*c.r.tick < d.at+c.w.Window
+	return c.w.Idempotency == Idempotent || c.every(func(d *dispatch) bool {
+		same := c.w.DedupScope == DedupAll || c.w.DedupScope == DedupZone && d.e.zone == e.zone ||
+			c.w.DedupScope == DedupCell && d.e.cell == e.cell
+		return c.w.Idempotency == Tokened && same && c.r.now+2*c.r.tick < d.at+c.w.DedupWindow
 	})
 }
 
 func (c *Completion) harmless() bool {
-	return c.w.Effect == Idempotent || c.w.Effect == Tokened && c.w.Group == GroupAll ||
+	return c.w.Idempotency == Idempotent || c.w.Idempotency == Tokened && c.w.DedupScope == DedupAll ||
 		c.every(func(*dispatch) bool { return false })
 }
 
@@ -734,7 +734,7 @@
 	}
 	if c.pending > 0 {
 		c.wakeAt = r.now + probeWait
-		r.do.Wake(c.id, probeWait)
+		r.do.SetTimer(c.id, probeWait)
 	}
 	return c.pending > 0
 }
@@ -767,7 +767,7 @@
 // some elsewhere; else one in each writer's cell, as no jam would be seen. It stands in for the table of kept
 // prefixes where a router sees little of the work; it harms when cells differ in more than their numbers.
 func (c *Completion) settle() {
-	r, text := c.r, cmp.Or(c.p.Shared, c.p.Session)
+	r, text := c.r, cmp.Or(c.p.SharedPrefix, c.p.Session)
 	writer := func(in func(e *engine) float64) *engine {
 		return r.homeOf(c.p.Session, false, func(e *engine) float64 { return part(e.zone == r.zone) * in(e) })
 	}
@@ -809,7 +809,7 @@
 }
 
 func (c *Completion) lacks(e *engine) float64 {
-	return c.p.Len - math.Max(c.r.keeps(e, &c.p), part(e == c.home)*(1-e.pool.sample())*c.p.SharedLen)
+	return c.p.Tokens - math.Max(c.r.keeps(e, &c.p), part(e == c.home)*(1-e.pool.sample())*c.p.SharedPrefixTokens)
 }
 
 // crowded bounds what is in flight by memory: no room at the writer, the writers together nearly full. That
@@ -823,7 +823,7 @@
 		}
 	}
 	return len(c.sent) == 0 && sum > fullPool*c.eager*memory &&
-		r.all(c.writer, held)+c.p.Len > fullMost*c.writer.memory
+		r.all(c.writer, held)+c.p.Tokens > fullMost*c.writer.memory
 }
 
 // write sends a completion whose state waits to its writer, or to a better one if that has gone ill.
@@ -842,9 +842,9 @@
 	r := c.r
 	tokens := c.lacks(e) * part(c.state == nil)
 	d = &dispatch{e: e, at: r.now, tokens: tokens, claimed: r.keeps(e, &c.p), cost: r.cost(e, tokens/thrift),
-		out: true, held: c.p.Len, own: c.state == nil}
+		out: true, held: c.p.Tokens, own: c.state == nil}
 	if e.role != Reader {
-		d.stage, d.held = 1+int(min(tokens/localMost, 1)), c.p.Len+c.answer/2
+		d.stage, d.held = 1+int(min(tokens/localMost, 1)), c.p.Tokens+c.answer/2
 	}
 	return d, d.cost * r.stages[d.stage].pace
 }
@@ -869,7 +869,7 @@
 		if p := &r.stages[d.stage]; !near {
 			most, free = readMost, d.tokens*p.pace*math.Pow(pacesGuess/p.paces, 2)
 		}
-		target := c.eager * (c.w.Target + c.w.TargetPerToken*c.p.Len)
+		target := c.eager * (c.w.LatencyTarget + c.w.LatencyTargetPerToken*c.p.Tokens)
 		if expected-free+write > most*target && (near || !c.readsAtOnce(d, expected+write, target)) {
 			return nil, 0
 		}
@@ -901,10 +901,10 @@
 	r.do.Dispatch(c.id, e.id, c.deadline-r.now)
 	if d.stage == 0 {
 		d.booked = c.writer
-		r.carry(d.booked, 0, c.p.Len+c.answer/2)
+		r.carry(d.booked, 0, c.p.Tokens+c.answer/2)
 		if r.places {
 			c.holds = true
-			r.do.HoldPlace(c.id, c.writer.id)
+			r.do.Reserve(c.id, c.writer.id)
 		}
 	}
 	c.wake()
@@ -925,13 +925,13 @@
 	}
 	if at < c.wakeAt || c.wakeAt <= c.r.now+c.r.tick { // the timer may come a rounding early
 		c.wakeAt = at
-		c.r.do.Wake(c.id, math.Max(c.r.tick, at-c.r.now))
+		c.r.do.SetTimer(c.id, math.Max(c.r.tick, at-c.r.now))
 	}
 }
 
-// Due is called for Wake. What takes too long at an ill engine is taken back, and its end sends it on. That
+// TimerFired is called for SetTimer. What takes too long at an ill engine is taken back, and its end sends it on. That
 // guards against engines silent, cut off or stuck; it harms when the engine was about to answer.
-func (c *Completion) Due() {
+func (c *Completion) TimerFired() {
 	r := c.r
 	if c.answered || c.began {
 		return
@@ -950,7 +950,7 @@
 		if d.e.heard < d.at { // silent since, not only slow
 			r.judge(d.e, 1)
 		}
-		if r.cancels && r.fails(d.e) > ill && len(c.sent) < r.most-1 && (d.stage == 0 || c.w.Effect == Idempotent) {
+		if r.cancels && r.fails(d.e) > ill && len(c.sent) < r.most-1 && (d.stage == 0 || c.w.Idempotency == Idempotent) {
 			r.do.Cancel(c.id, len(c.sent)-1)
 		}
 	}
@@ -974,14 +974,14 @@
 	d.e.slowAt = r.now
 }
 
-// Placed tells whether the place that was asked for is held; if not, the writer is picked anew on the read.
-func (c *Completion) Placed(_ int, held bool) {
+// ReservationAnswered tells whether the place that was asked for is held; if not, the writer is picked anew on the read.
+func (c *Completion) ReservationAnswered(_ int, held bool) {
 	if !held {
 		c.writer = nil
 	}
 }
 
-func (c *Completion) Started(n int, took float64) {
+func (c *Completion) DispatchStarted(n int, took float64) {
 	if n < 0 || n >= len(c.sent) || c.began {
 		return
 	}
@@ -998,29 +998,29 @@
 	c.state = nil
 }
 
-// Ended tells how a dispatch ended, whether the completion has its answer, and the tokens found kept.
-func (c *Completion) Ended(n int, o Outcome, took float64, done bool, found float64, report []float64) {
+// DispatchEnded tells how a dispatch ended, whether the completion has its answer, and the tokens found kept.
+func (c *Completion) DispatchEnded(n int, o Outcome, took float64, done bool, found float64, report []float64) {
 	if n < 0 || n >= len(c.sent) || !c.sent[n].out {
 		return
 	}
 	r, d := c.r, c.sent[n]
 	r.carry(d.e, -d.tokens, -d.held)
 	if d.booked != nil {
-		r.carry(d.booked, 0, -c.p.Len-c.answer/2)
+		r.carry(d.booked, 0, -c.p.Tokens-c.answer/2)
 	}
 	d.out, c.out = false, nil
 	r.reported(d.e, report)
 	if o == Read || o == Finished {
-		found = math.Min(found, c.p.Len) // an engine counts tokens in its own way
+		found = math.Min(found, c.p.Tokens) // an engine counts tokens in its own way
 	}
-	d.broken, d.ran = o == Broken, o != Read && o != Full && o != Unreachable && o != Moot
+	d.broken, d.ran = o == Broken, o != Read && o != Full && o != Unreachable && o != NotSent
 	if found == 1 && o != Read && o != Finished { // there was none to fetch, or it was let go meanwhile
 		c.state = nil
 	}
 	switch {
 	case o == Read:
 		r.measure(d, took)
-		d.e.pool.serves(r.now, c.p.Len-math.Max(found, 0))
+		d.e.pool.serves(r.now, c.p.Tokens-math.Max(found, 0))
 		r.learn(d.e, &c.p, d.claimed, found)
 		c.state, c.holds = d.e, true
 		r.judge(d.e, 0)
@@ -1030,7 +1030,7 @@
 		}
 		r.judge(d.e, 0)
 	case o == Full && found == 1: // tells nothing of the engine
-	case o != Cancelled && o != Moot && !d.overdue: // else it tells nothing new of the engine
+	case o != Cancelled && o != NotSent && !d.overdue: // else it tells nothing new of the engine
 		r.judge(d.e, 1)
 	}
 	c.answered = c.answered || done || c.began
@@ -1052,10 +1052,10 @@
 	} else {
 		c.r.do.Abort(c.id)
 	}
-	c.Left()
+	c.ClientLeft()
 }
 
-func (c *Completion) Left() {
+func (c *Completion) ClientLeft() {
 	c.answered = true
 	if c.out != nil && c.r.cancels {
 		c.r.do.Cancel(c.id, len(c.sent)-1)
@@ -1063,4 +1063,4 @@
 	c.letGo()
 }
 
-func (c *Completion) Over() bool { return c.answered && c.out == nil }
+func (c *Completion) Closed() bool { return c.answered && c.out == nil }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,7 +13,7 @@
 func TestOrdinaryPath(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Settings)
-		facts  []Fact
+		facts  []EngineEntry
 		tokens float64
 		kept   int // an engine that keeps the whole prompt, or -1
 		want   []string
@@ -22,12 +22,12 @@
 		"a long one at the reader near the writer": {nil, fleet()[:3], 3000, -1, []string{"dispatch 0"}},
 		"a kept one at the writer that keeps it":   {nil, fleet(), 3000, 3, []string{"dispatch 3"}},
 		"a long one at the reader that keeps it":   {nil, fleet(), 3000, 1, []string{"dispatch 1"}},
-		"a place is held while it is read": {func(s *Settings) { s.Places = true }, fleet()[:3], 3000, -1,
+		"a place is held while it is read": {func(s *Settings) { s.ReservationsAllowed = true }, fleet()[:3], 3000, -1,
 			[]string{"dispatch 0", "place 2"}},
 		"without a reader the writer reads": {nil, fleet()[2:3], 3000, -1, []string{"dispatch 2"}},
-		"a mixed engine may read where writers don't": {func(s *Settings) { s.WritersRead = false },
-			[]Fact{ready(0, 2, 0, longAgo)}, 3000, -1, []string{"dispatch 0"}},
-		"without a reader a writer that may not read has no use": {func(s *Settings) { s.WritersRead = false },
+		"a mixed engine may read where writers don't": {func(s *Settings) { s.WriterReadsAllowed = false },
+			[]EngineEntry{ready(0, 2, 0, longAgo)}, 3000, -1, []string{"dispatch 0"}},
+		"without a reader a writer that may not read has no use": {func(s *Settings) { s.WriterReadsAllowed = false },
 			fleet()[2:], 200, -1, []string{"rate-limit"}},
 		"without a writer it is rate-limited": {nil, fleet()[:2], 3000, -1, []string{"rate-limit"}},
 		"an empty list rate-limits":           {nil, nil, 100, -1, []string{"rate-limit"}},
@@ -38,7 +38,7 @@
 			if c.kept >= 0 {
 				r.learn(r.engines[c.kept], &p, 0, -1)
 			}
-			r.Take(1, p)
+			r.Route(1, p)
 			assert.Equal(t, c.want, b.flush())
 		})
 	}
@@ -49,8 +49,8 @@
 	for i := range 30 {
 		p := prompt(0, 200)
 		p.Session = uint64(i + 1)
-		h := r.Take(uint64(i), p)
-		h.Ended(0, Full, 0, true, 1, nil)
+		h := r.Route(uint64(i), p)
+		h.DispatchEnded(0, Full, 0, true, 1, nil)
 	}
 	assert.Contains(t, b.sends, 2)
 	assert.Contains(t, b.sends, 3)
@@ -70,7 +70,7 @@
 			if c.learns {
 				r.learn(r.engines[2], &p, 0, -1)
 			}
-			r.Take(1, p)
+			r.Route(1, p)
 			assert.Equal(t, []int{c.want}, b.sends)
 		})
 	}
@@ -83,22 +83,22 @@
 	}{
 		"on its read": {func(*Router, *Completion) {}, []string{"dispatch 2"}},
 		"to another when that drains": {func(r *Router, _ *Completion) {
-			r.Listed(ListDelta, []Fact{{Engine: 2, Kind: 1, Phase: Draining}})
+			r.UpdateEngines(ListDelta, []EngineEntry{{Index: 2, MachineKind: 1, Phase: Draining}})
 		}, []string{"dispatch 3"}},
-		"anew when its place was not held": {func(_ *Router, c *Completion) { c.Placed(0, false) },
+		"anew when its place was not held": {func(_ *Router, c *Completion) { c.ReservationAnswered(0, false) },
 			[]string{"dispatch 2"}},
-		"nowhere once the client has left": {func(_ *Router, c *Completion) { c.Left() },
+		"nowhere once the client has left": {func(_ *Router, c *Completion) { c.ClientLeft() },
 			[]string{"cancel 0", "release"}},
-		"and is let go when none is left": {func(r *Router, _ *Completion) { r.Listed(ListFull, fleet()[:2]) },
+		"and is let go when none is left": {func(r *Router, _ *Completion) { r.UpdateEngines(ListSnapshot, fleet()[:2]) },
 			[]string{"rate-limit", "release"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, nil, append(fleet()[:3:3], ready(3, 1, 1, longAgo)))
 			r.judge(r.engines[3], 1) // tips the choice of the writer
-			h := r.Take(1, prompt(0, 3000))
+			h := r.Route(1, prompt(0, 3000))
 			b.flush()
 			c.then(r, h)
-			h.Ended(0, Read, 0.1, false, 0, nil)
+			h.DispatchEnded(0, Read, 0.1, false, 0, nil)
 			assert.Equal(t, c.want, b.flush())
 		})
 	}
@@ -117,12 +117,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, _ := start(t, func(s *Settings) {
-				s.Routers, s.OverShare, s.Tenants = 300, 0.2, []Tenant{{Rate: 30}, {Rate: 30}}
+				s.Routers, s.OverShareValue, s.Tenants = 300, 0.2, []Tenant{{Rate: 30}, {Rate: 30}}
 			}, fleet())
 			rnd := rand.New(rand.NewSource(5))
 			sent, over := [2]float64{}, [2]float64{}
 			for i := range 60000 {
-				r.At(float64(i) / 100)
+				r.SetTime(float64(i) / 100)
 				for k, rate := range one.rates {
 					if rnd.Float64() < rate/100 {
 						sent[k]++
@@ -144,14 +144,14 @@
 // TestReadsLearntAtOnce: what waits at an engine that tells its queue is taken for as many mean reads, after one read
 // as after hundreds.
 func TestReadsLearntAtOnce(t *testing.T) {
-	r, _ := start(t, func(s *Settings) { s.Routers, s.Columns = 300, []string{"queue"} }, fleet())
+	r, _ := start(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"queue"} }, fleet())
 	for id := range uint64(2) {
-		r.Take(id, prompt(0, 3000)).Ended(0, Read, 0.2, false, 1000, []float64{4 * float64(id)})
+		r.Route(id, prompt(0, 3000)).DispatchEnded(0, Read, 0.2, false, 1000, []float64{4 * float64(id)})
 	}
 	assert.InDelta(t, 4*2000, r.engines[0].load[work].report+r.engines[1].load[work].report, 1)
 	for i := range 300 {
-		c := r.Take(uint64(i+2), prompt(0, 3000))
-		c.Ended(0, Read, 0.2, false, 1500, nil)
+		c := r.Route(uint64(i+2), prompt(0, 3000))
+		c.DispatchEnded(0, Read, 0.2, false, 1500, nil)
 	}
 	assert.InDelta(t, 1500, r.pools[Reader].read, 50)
 }
@@ -171,25 +171,25 @@
 // TestFirstReadsAreLikeWhatIsTaken: until a read is measured what waits at a reader is taken for reads of what was taken
 // last but for its shared beginning.
 func TestFirstReadsAreLikeWhatIsTaken(t *testing.T) {
-	r, _ := start(t, func(s *Settings) { s.Routers, s.Columns = 300, []string{"queue"} }, fleet())
+	r, _ := start(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"queue"} }, fleet())
 	p := prompt(0, 3000)
-	p.Shared, p.SharedLen = 9, 1200
-	r.Take(1, p)
-	r.Probed(1, Finished, []float64{4})
+	p.SharedPrefix, p.SharedPrefixTokens = 9, 1200
+	r.Route(1, p)
+	r.ProbeEnded(1, Finished, []float64{4})
 	assert.InDelta(t, 4*1800, r.engines[1].load[work].report, 1)
 }
 
 // TestWaitingWritesAreNoReads: what waits at a writer was mostly read elsewhere, so that a queue there stands for fewer
 // tokens than one at a reader.
 func TestWaitingWritesAreNoReads(t *testing.T) {
-	r, _ := start(t, func(s *Settings) { s.Columns = []string{"queue"} }, fleet())
+	r, _ := start(t, func(s *Settings) { s.ReportColumns = []string{"queue"} }, fleet())
 	for i := range 20 {
 		p := prompt(0, 3000)
 		p.Session = uint64(i + 1)
-		c := r.Take(uint64(i), p)
-		c.Ended(0, Read, 0.2, false, 0, []float64{4})
-		c.Started(1, 0.1)
-		c.Ended(1, Finished, 1, true, 3000, []float64{4})
+		c := r.Route(uint64(i), p)
+		c.DispatchEnded(0, Read, 0.2, false, 0, []float64{4})
+		c.DispatchStarted(1, 0.1)
+		c.DispatchEnded(1, Finished, 1, true, 3000, []float64{4})
 	}
 	assert.InDelta(t, 4*3000, r.engines[0].load[work].report, 1)
 	assert.InDelta(t, 4*localMost, r.engines[2].load[work].report, 1)
@@ -211,10 +211,10 @@
 			facts := fleet()
 			facts[1].Zone, facts[3].Zone = 1, 1
 			r, b := start(t, func(s *Settings) {
-				s.Places, s.FarPrice, s.CrossPrice, s.WritersRead = true, 0.08, 0.01, false
+				s.ReservationsAllowed, s.CrossCellPrice, s.CrossZonePrice, s.WriterReadsAllowed = true, 0.08, 0.01, false
 			}, facts)
 			r.engines[0].load[work].out, r.engines[1].load[work].out = one.near, one.far
-			r.Take(1, prompt(0, 800))
+			r.Route(1, prompt(0, 800))
 			assert.Equal(t, one.want, b.flush())
 		})
 	}
@@ -234,18 +234,18 @@
 		"it holds all there is":  {30000, 0.15, 0, 65},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, _ := start(t, func(s *Settings) { s.Routers, s.Columns = 300, []string{"x0"} }, fleet())
+			r, _ := start(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"x0"} }, fleet())
 			for _, e := range r.engines {
 				r.carry(e, 0, one.own)
 				if one.full >= 0 {
-					r.Probed(e.id, Finished, []float64{one.full})
+					r.ProbeEnded(e.id, Finished, []float64{one.full})
 				}
 			}
-			r.At(20)
+			r.SetTime(20)
 			for _, e := range r.engines {
 				r.carry(e, 0, 0)
 				if one.full >= 0 {
-					r.Probed(e.id, Finished, []float64{one.full})
+					r.ProbeEnded(e.id, Finished, []float64{one.full})
 				}
 			}
 			r.survey()
@@ -257,11 +257,11 @@
 
 // TestColdEnginesHaveLittle: a cold engine of which nothing is known has as much of its pool's average as it is warm.
 func TestColdEnginesHaveLittle(t *testing.T) {
-	r, _ := start(t, func(s *Settings) { s.Routers, s.Columns = 300, []string{"queue"} },
-		[]Fact{ready(0, 0, 0, longAgo), ready(1, 0, 1, longAgo), ready(2, 1, 0, longAgo), ready(3, 0, 0, 0)})
+	r, _ := start(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"queue"} },
+		[]EngineEntry{ready(0, 0, 0, longAgo), ready(1, 0, 1, longAgo), ready(2, 1, 0, longAgo), ready(3, 0, 0, 0)})
 	for _, one := range []struct{ at, warm float64 }{{0, 0}, {5, 0.5}, {10, 1}, {30, 1}} {
-		r.At(one.at)
-		r.Probed(0, Finished, []float64{8})
+		r.SetTime(one.at)
+		r.ProbeEnded(0, Finished, []float64{8})
 		r.survey()
 		assert.InDelta(t, one.warm*r.all(r.engines[1], work), r.all(r.engines[3], work), 1, "at %v", one.at)
 		assert.Greater(t, r.all(r.engines[1], work), 100.0)
@@ -274,17 +274,17 @@
 		t.Run(name, func(t *testing.T) {
 			sent := map[float64]int{}
 			for _, tokens := range []float64{1000, 4000} {
-				r, b := start(t, func(s *Settings) { s.Routers = routers }, []Fact{ready(0, 0, 0, longAgo), ready(1, 0, 1, 0), ready(2, 1, 0, longAgo)})
+				r, b := start(t, func(s *Settings) { s.Routers = routers }, []EngineEntry{ready(0, 0, 0, longAgo), ready(1, 0, 1, 0), ready(2, 1, 0, longAgo)})
 				r.pools[Reader].read, r.pools[Reader].served = 1000, 1000
 				for i := range 900 {
-					r.At(float64(i) / 100)
+					r.SetTime(float64(i) / 100)
 					r.pools[Reader].rate = meter{100, r.now}
 					r.engines[0].load[work].out = 1e6 // the cold one is wanted by all
 					p := prompt(0, tokens)
 					p.Session = uint64(i + 1)
-					c := r.Take(uint64(i), p)
-					c.Left()
-					c.Ended(0, Cancelled, 0, true, 0, nil)
+					c := r.Route(uint64(i), p)
+					c.ClientLeft()
+					c.DispatchEnded(0, Cancelled, 0, true, 0, nil)
 				}
 				for _, e := range b.sends {
 					sent[tokens] += int(part(e == 1))
@@ -311,13 +311,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, nil, fleet())
-			c := r.Take(1, prompt(0, 9000))
-			r.At(0.3)
-			c.Ended(0, Read, 0.3, false, 0, nil)
+			c := r.Route(1, prompt(0, 9000))
+			r.SetTime(0.3)
+			c.DispatchEnded(0, Read, 0.3, false, 0, nil)
 			require.Len(t, b.sends, 2)
 			writer := r.engines[b.sends[1]]
-			r.At(0.55)
-			c.Ended(1, one.o, 0.25, false, one.found, nil)
+			r.SetTime(0.55)
+			c.DispatchEnded(1, one.o, 0.25, false, one.found, nil)
 			require.Len(t, b.sends, 3)
 			require.Equal(t, one.reads, r.engines[b.sends[2]].role == Reader)
 			require.Equal(t, one.blames, r.fails(writer) > 0)
@@ -342,10 +342,10 @@
 			r, b := start(t, nil, fleet()[2:])
 			p := prompt(c.work, 200)
 			r.learn(r.engines[2], &p, 0, -1)
-			h := r.Take(1, p)
+			h := r.Route(1, p)
 			require.Equal(t, []string{"dispatch 2"}, b.flush())
-			r.At(c.after)
-			h.Ended(0, c.outcome, c.after, false, 0, nil)
+			r.SetTime(c.after)
+			h.DispatchEnded(0, c.outcome, c.after, false, 0, nil)
 			assert.Equal(t, c.want, b.flush())
 		})
 	}
@@ -364,14 +364,14 @@
 			r, b := start(t, nil, fleet()[:3])
 			r.engines[2].memory, r.stages[2].pace = 1e4, 1
 			r.judge(r.engines[1], 1) // tips the choice of the reader
-			r.At(0.5)
-			h := r.Take(1, prompt(c.work, 3000))
+			r.SetTime(0.5)
+			h := r.Route(1, prompt(c.work, 3000))
 			require.Equal(t, []string{"dispatch 0"}, b.flush())
 			r.judge(r.engines[0], 1)
 			r.judge(r.engines[0], 1)
-			r.At(2)
-			h.Due()
-			h.Ended(0, Cancelled, 1.5, false, 0, nil)
+			r.SetTime(2)
+			h.TimerFired()
+			h.DispatchEnded(0, Cancelled, 1.5, false, 0, nil)
 			assert.Equal(t, c.want, b.flush())
 		})
 	}
@@ -382,15 +382,15 @@
 	pick := func(probes bool, order int, p Prompt) (reader, writer uint64) {
 		facts := append(fleet(), ready(4, 0, 0, longAgo), ready(5, 1, 0, longAgo))
 		for i := range facts { // another router has met the engines in another order
-			facts[i].Engine = (i + order) % len(facts)
-			cells[facts[i].Mark] = facts[i].Cell
+			facts[i].Index = (i + order) % len(facts)
+			cells[facts[i].Hash] = facts[i].Cell
 		}
 		r, b := start(t, func(s *Settings) {
-			s.Routers, s.Places, s.Probes, s.Columns = 200, true, probes, []string{"queue", "util"}
+			s.Routers, s.ReservationsAllowed, s.ProbesAllowed, s.ReportColumns = 200, true, probes, []string{"queue", "util"}
 		}, facts)
-		h := r.Take(1, p)
-		r.At(0.06) // probes are late
-		h.Due()
+		h := r.Route(1, p)
+		r.SetTime(0.06) // probes are late
+		h.TimerFired()
 		require.Len(t, b.sends, 1)
 		return r.engines[b.sends[0]].mark, h.writer.mark
 	}
@@ -398,11 +398,11 @@
 		same, readers, near := map[[2]uint64]int{}, map[uint64]int{}, 0.0
 		for i := range uint64(40) {
 			p := prompt(0, 3000)
-			p.Session, p.Shared, p.SharedLen = i+1, i/4+1, 2500
+			p.Session, p.SharedPrefix, p.SharedPrefixTokens = i+1, i/4+1, 2500
 			reader, writer := pick(probes, 0, p)
 			again, written := pick(probes, 3, p)
 			assert.Equal(t, [2]uint64{reader, writer}, [2]uint64{again, written}, "all routers agree")
-			same[[2]uint64{p.Shared, reader}]++
+			same[[2]uint64{p.SharedPrefix, reader}]++
 			readers[reader]++
 			near += part(cells[reader] == cells[writer])
 		}
@@ -416,20 +416,20 @@
 }
 
 func TestProbesBeforeThePick(t *testing.T) {
-	probes := func(s *Settings) { s.Probes, s.Columns = true, []string{"queue", "util", "x0"} }
+	probes := func(s *Settings) { s.ProbesAllowed, s.ReportColumns = true, []string{"queue", "util", "x0"} }
 	for name, c := range map[string]struct {
 		then func(r *Router, h *Completion)
 		want []string
 	}{
-		"a home that is full is left":             {func(r *Router, _ *Completion) { r.Probed(2, Finished, []float64{0, 1, 1}) }, []string{"dispatch 3"}},
-		"one with room is kept":                   {func(r *Router, _ *Completion) { r.Probed(2, Finished, []float64{0, 0, 0}) }, []string{"dispatch 2"}},
-		"without a result the completion goes on": {func(r *Router, h *Completion) { r.At(0.06); h.Due() }, []string{"dispatch 2"}},
-		"a failed probe speaks against it":        {func(r *Router, _ *Completion) { r.Probed(2, Unreachable, nil) }, []string{"dispatch 3"}},
-		"a client that has left is not served":    {func(r *Router, h *Completion) { h.Left(); r.Probed(2, Finished, nil) }, nil},
+		"a home that is full is left":             {func(r *Router, _ *Completion) { r.ProbeEnded(2, Finished, []float64{0, 1, 1}) }, []string{"dispatch 3"}},
+		"one with room is kept":                   {func(r *Router, _ *Completion) { r.ProbeEnded(2, Finished, []float64{0, 0, 0}) }, []string{"dispatch 2"}},
+		"without a result the completion goes on": {func(r *Router, h *Completion) { r.SetTime(0.06); h.TimerFired() }, []string{"dispatch 2"}},
+		"a failed probe speaks against it":        {func(r *Router, _ *Completion) { r.ProbeEnded(2, Unreachable, nil) }, []string{"dispatch 3"}},
+		"a client that has left is not served":    {func(r *Router, h *Completion) { h.ClientLeft(); r.ProbeEnded(2, Finished, nil) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, probes, fleet()[2:])
-			h := r.Take(1, prompt(0, 200))
+			h := r.Route(1, prompt(0, 200))
 			require.Equal(t, []string{"probe 2"}, b.flush())
 			c.then(r, h)
 			assert.Equal(t, c.want, b.flush())
@@ -438,8 +438,8 @@
 	t.Run("with hardly any time left nothing is probed", func(t *testing.T) {
 		r, b := start(t, probes, fleet()[2:])
 		p := prompt(0, 200)
-		p.Left = 0.09
-		r.Take(1, p)
+		p.TimeLeft = 0.09
+		r.Route(1, p)
 		assert.Equal(t, []string{"dispatch 2"}, b.flush())
 	})
 }
@@ -448,45 +448,45 @@
 	t.Run("a non-idempotent completion whose read is out is aborted, not rate-limited", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[:3])
 		r.engines[2].memory, r.stages[2].pace = 1e4, 1
-		h := r.Take(1, prompt(1, 3000))
-		r.At(7.996)
-		h.Due()
+		h := r.Route(1, prompt(1, 3000))
+		r.SetTime(7.996)
+		h.TimerFired()
 		assert.Equal(t, []string{"dispatch 0", "abort", "cancel 0"}, b.flush())
 	})
 	t.Run("fast failures don't raise what a cold engine gets", func(t *testing.T) {
 		r, _ := start(t, nil, fleet()[2:])
 		for i := range 100 {
-			r.At(float64(i) / 100)
-			r.Take(uint64(i), prompt(0, 100)).Ended(0, Unreachable, 0, false, 0, nil)
+			r.SetTime(float64(i) / 100)
+			r.Route(uint64(i), prompt(0, 100)).DispatchEnded(0, Unreachable, 0, false, 0, nil)
 		}
 		assert.Zero(t, r.pools[1].rate.now(1))
 	})
 	t.Run("answered before the client timeout, late events ignored", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[2:3])
-		h := r.Take(1, prompt(0, 200))
-		r.At(7.996)
-		h.Due()
+		h := r.Route(1, prompt(0, 200))
+		r.SetTime(7.996)
+		h.TimerFired()
 		assert.Equal(t, []string{"dispatch 2", "rate-limit", "cancel 0"}, b.flush())
-		h.Ended(0, Read, 8, false, 0, nil)
-		h.Ended(0, Errored, 8, false, 0, nil)
-		h.Ended(9, Errored, 8, false, 0, nil)
-		h.Due()
+		h.DispatchEnded(0, Read, 8, false, 0, nil)
+		h.DispatchEnded(0, Errored, 8, false, 0, nil)
+		h.DispatchEnded(9, Errored, 8, false, 0, nil)
+		h.TimerFired()
 		assert.Equal(t, []string{"release"}, b.flush())
-		assert.True(t, h.Over())
+		assert.True(t, h.Closed())
 	})
 	t.Run("a cold engine gets no more than this router's part of its budget", func(t *testing.T) {
 		r, b := start(t, func(s *Settings) { s.Routers = 2 }, fleet()[2:])
 		for i := range 400 { // two seconds at 200 a second, the start after one
 			if i == 200 {
-				r.Listed(ListDelta, []Fact{ready(3, 1, 1, 1)})
+				r.UpdateEngines(ListDelta, []EngineEntry{ready(3, 1, 1, 1)})
 				b.sends = nil
 			}
-			r.At(float64(i) / 200)
+			r.SetTime(float64(i) / 200)
 			p := prompt(0, 100)
 			p.Session = uint64(i + 1)
-			h := r.Take(uint64(i), p)
-			h.Started(0, 0.01)
-			h.Ended(0, Finished, 0.01, true, 0, nil)
+			h := r.Route(uint64(i), p)
+			h.DispatchStarted(0, 0.01)
+			h.DispatchEnded(0, Finished, 0.01, true, 0, nil)
 		}
 		cold := 0
 		for _, e := range b.sends {
@@ -500,15 +500,15 @@
 		for i := range 200 {
 			r, b := start(t, func(s *Settings) { s.Routers, s.Seed = 200, uint64(i) }, fleet()[2:])
 			for k := range 80 { // two a second, from 5 s on beside a cold engine; cold for 10 s
-				r.At(float64(k)/2 + float64(i)/400)
+				r.SetTime(float64(k)/2 + float64(i)/400)
 				if k == 10 {
-					r.Listed(ListDelta, []Fact{ready(3, 1, 1, 5)})
+					r.UpdateEngines(ListDelta, []EngineEntry{ready(3, 1, 1, 5)})
 				}
 				p := prompt(0, 100)
 				p.Session = uint64(i*1000 + k)
-				h, n := r.Take(uint64(k), p), len(b.sends)
-				h.Started(0, 0.01)
-				h.Ended(0, Finished, 0.01, true, 0, nil)
+				h, n := r.Route(uint64(k), p), len(b.sends)
+				h.DispatchStarted(0, 0.01)
+				h.DispatchEnded(0, Finished, 0.01, true, 0, nil)
 				if k >= 10 && k < 30 && n > 0 && b.sends[n-1] == 3 {
 					sent[(k-10)/2]++
 				}
@@ -524,14 +524,14 @@
 		for i := range 30 { // a mixed engine comes back cold where it served one in ten
 			r, b := start(t, func(s *Settings) { s.Routers, s.Seed = 30, uint64(i) }, append(fleet(), ready(4, 2, 0, 0)))
 			for k := range 100 { // ten a second
-				r.At(float64(k) / 10)
+				r.SetTime(float64(k) / 10)
 				r.pools[Mixed].rate, r.taken = meter{1, r.now}, meter{10, r.now}
 				for _, e := range r.engines[:4] {
 					e.load[held].out = 1.9e5 // the cold one is wanted by all
 				}
 				p := prompt(0, 100)
 				p.Session = uint64(i*1000 + k)
-				r.Take(uint64(k), p)
+				r.Route(uint64(k), p)
 				sent += int(part(len(b.sends) > 0 && b.sends[len(b.sends)-1] == 4))
 				b.sends = nil
 			}
@@ -540,9 +540,9 @@
 		assert.Less(t, sent, 375) // multiple 2 x mean share 0.625 x 30 a second x 10 s
 	})
 	t.Run("asks for a list again when that failed", func(t *testing.T) {
-		r, b := start(t, func(s *Settings) { s.ListAsked = true }, nil)
-		r.Listed(ListFailed, nil)
-		r.Due()
+		r, b := start(t, func(s *Settings) { s.ListOnRequest = true }, nil)
+		r.UpdateEngines(ListFailed, nil)
+		r.TimerFired()
 		assert.Equal(t, []string{"watch", "wake router", "watch"}, b.flush())
 	})
 }
@@ -551,17 +551,17 @@
 	take := func(r *Router, id int, tokens float64) *Completion {
 		p := prompt(0, tokens)
 		p.Session = uint64(id)
-		return r.Take(uint64(id), p)
+		return r.Route(uint64(id), p)
 	}
 	t.Run("a fast failure that looks idle attracts no load", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[2:])
 		for i := range 400 { // answers that stay out make the good engine look the busier
-			r.At(float64(i) / 50)
+			r.SetTime(float64(i) / 50)
 			h, n := take(r, i+1, 200), 0
 			for ; b.sends[len(b.sends)-1] == 3; n++ {
-				h.Ended(n, Errored, 0.001, false, 0, nil)
+				h.DispatchEnded(n, Errored, 0.001, false, 0, nil)
 			}
-			h.Started(n, 0.05)
+			h.DispatchStarted(n, 0.05)
 		}
 		bad := 0
 		for _, e := range b.sends {
@@ -573,7 +573,7 @@
 	t.Run("an engine not heard from counts as average", func(t *testing.T) {
 		r, _ := start(t, func(s *Settings) { s.Routers = 3 }, fleet()[2:])
 		r.carry(r.engines[2], 9e6, 9e6) // so much that it is a full sample
-		r.At(999)
+		r.SetTime(999)
 		r.carry(r.engines[2], 0, 0)
 		assert.InDelta(t, 9e6, r.all(r.engines[3], held), 1)
 		r.engines[3].heard = 1
@@ -582,7 +582,7 @@
 	t.Run("health is remembered longer by a router that sees little of the work", func(t *testing.T) {
 		r, _ := start(t, nil, fleet()[2:])
 		r.judge(r.engines[2], 1)
-		r.At(failFades)
+		r.SetTime(failFades)
 		assert.InDelta(t, 0.21, r.fails(r.engines[2]), 0.01)
 		r.pools[1].out[held].mean = 1e9 // a full sample
 		assert.InDelta(t, 0.11, r.fails(r.engines[2]), 0.01)
@@ -608,29 +608,29 @@
 		r.learn(r.engines[2], &p, 3000, 0)
 		assert.Zero(t, r.keeps(r.engines[2], &other))
 		assert.Equal(t, 3000.0, r.keeps(r.engines[2], &p))
-		r.Listed(ListDelta, []Fact{ready(2, 1, 0, 5)})
+		r.UpdateEngines(ListDelta, []EngineEntry{ready(2, 1, 0, 5)})
 		assert.Zero(t, r.keeps(r.engines[2], &p), "a new start time empties it too")
 	})
 	t.Run("a fetched text is claimed only once its answer is written, a read one at once", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[:3])
 		h := take(r, 1, 3000)
-		h.Ended(0, Read, 0.1, false, 0, nil)
-		h.Started(1, 0.1)
+		h.DispatchEnded(0, Read, 0.1, false, 0, nil)
+		h.DispatchStarted(1, 0.1)
 		assert.Zero(t, r.keeps(r.engines[2], &h.p))
-		h.Ended(1, Finished, 1, true, 0, nil)
+		h.DispatchEnded(1, Finished, 1, true, 0, nil)
 		assert.Equal(t, 3000.0, r.keeps(r.engines[2], &h.p))
 		h = take(r, 2, 200)
 		require.Equal(t, 2, b.sends[2])
-		h.Started(0, 0.1)
+		h.DispatchStarted(0, 0.1)
 		assert.Equal(t, 200.0, r.keeps(r.engines[2], &h.p))
 	})
 	t.Run("a slow engine that serves others is not taken for a silent one", func(t *testing.T) {
 		r, _ := start(t, nil, fleet()[:3])
-		r.At(0.5)
+		r.SetTime(0.5)
 		h, other := take(r, 1, 200), take(r, 2, 200)
-		r.At(4)
-		other.Started(0, 3.5)
-		h.Due()
+		r.SetTime(4)
+		other.DispatchStarted(0, 3.5)
+		h.TimerFired()
 		assert.Zero(t, r.fails(r.engines[2]))
 	})
 	t.Run("an engine whose answer broke on its way is not left for that, unless it is ill", func(t *testing.T) {
@@ -638,7 +638,7 @@
 			r, b := start(t, nil, fleet()[2:])
 			h := take(r, 1, 200)
 			e := r.engines[b.sends[0]]
-			h.Ended(0, o, 0.1, false, 0, nil)
+			h.DispatchEnded(0, o, 0.1, false, 0, nil)
 			assert.Equal(t, left, h.tried(e))
 			r.judge(e, 1)
 			r.judge(e, 1)
@@ -648,15 +648,15 @@
 	t.Run("what waits at a silent reader is taken back and read elsewhere, once that is ill", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[:3])
 		r.engines[2].memory, r.stages[2].pace = 1e4, 1 // the writer is no way around
-		r.At(0.5)
+		r.SetTime(0.5)
 		h := take(r, 1, 3000)
 		silent := b.sends[0]
 		r.judge(r.engines[silent], 1)
 		r.judge(r.engines[silent], 1)
-		r.At(2)
-		h.Due()
+		r.SetTime(2)
+		h.TimerFired()
 		assert.Contains(t, b.acts, "cancel 0")
-		h.Ended(0, Cancelled, 1.5, false, 0, nil)
+		h.DispatchEnded(0, Cancelled, 1.5, false, 0, nil)
 		require.Len(t, b.sends, 2)
 		assert.Equal(t, 1-silent, b.sends[1])
 	})
@@ -664,7 +664,7 @@
 		r, b := start(t, nil, fleet())
 		for i := range 200 {
 			h := take(r, i+1, 8000)
-			h.Ended(0, Read, 0.1, false, 0, nil)
+			h.DispatchEnded(0, Read, 0.1, false, 0, nil)
 		}
 		assert.Contains(t, b.acts, "rate-limit")
 		assert.LessOrEqual(t, r.all(r.engines[2], held)+r.all(r.engines[3], held), 4.4e5)
@@ -707,14 +707,14 @@
 			r, b := start(t, nil, fleet())
 			r.stages[1].pace = 1e-2 // as above: any other is rate-limited
 			p := prompt(0, 3000)
-			p.Again, p.Left = true, left
-			r.Take(1, p)
+			p.Resumed, p.TimeLeft = true, left
+			r.Route(1, p)
 			assert.Contains(t, b.acts[0], want)
 		}
 	})
 	t.Run("what would be read in place elsewhere gets an idle reader near there, and a jammed one's cell is left", func(t *testing.T) {
 		for jam, want := range map[float64][]string{5e5: {"dispatch 1", "place 3"}, 0: {"dispatch 0", "place 2"}} {
-			r, b := start(t, func(s *Settings) { s.Places, s.FarPrice = true, 0.08 },
+			r, b := start(t, func(s *Settings) { s.ReservationsAllowed, s.CrossCellPrice = true, 0.08 },
 				append(fleet()[:3:3], ready(3, 2, 1, longAgo)))
 			r.stages[2].pace = r.stages[0].pace
 			r.judge(r.engines[3], 1) // tips the choice of the writer
@@ -724,7 +724,7 @@
 		}
 	})
 	t.Run("jammed readers are read around by mixed engines", func(t *testing.T) {
-		r, b := start(t, nil, []Fact{ready(0, 0, 0, longAgo), ready(2, 2, 0, longAgo)})
+		r, b := start(t, nil, []EngineEntry{ready(0, 0, 0, longAgo), ready(2, 2, 0, longAgo)})
 		r.stages[2].pace = 1e-5
 		for i := range 6 {
 			take(r, i+1, 9000)
@@ -736,8 +736,8 @@
 // TestNoPlaceUnsure: no place is asked for where it may stay unknown whether it is held.
 func TestNoPlaceUnsure(t *testing.T) {
 	for unsure, places := range map[bool]int{false: 1, true: 0} {
-		r, b := start(t, func(s *Settings) { s.Places, s.PlacesUnsure = true, unsure }, fleet())
-		r.Take(1, prompt(0, 9000))
+		r, b := start(t, func(s *Settings) { s.ReservationsAllowed, s.ReservationsUnconfirmed = true, unsure }, fleet())
+		r.Route(1, prompt(0, 9000))
 		require.Len(t, b.held, places)
 	}
 }
@@ -745,14 +745,14 @@
 func TestStorm(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"as it is": nil,
-		"places":   func(s *Settings) { s.Places = true },
+		"places":   func(s *Settings) { s.ReservationsAllowed = true },
 		"nothing given": func(s *Settings) {
-			s.Cancels, s.WritersRead, s.Memory = false, false, nil
+			s.CancelAllowed, s.WriterReadsAllowed, s.Memory = false, false, nil
 		},
 		"hundreds of routers that may probe": func(s *Settings) {
-			s.Routers, s.Probes, s.Columns, s.Places = 240, true, []string{"x0"}, true
+			s.Routers, s.ProbesAllowed, s.ReportColumns, s.ReservationsAllowed = 240, true, []string{"x0"}, true
 		},
-		"reports": func(s *Settings) { s.Columns, s.Tenants = []string{"x0"}, []Tenant{{Rate: 3}} },
+		"reports": func(s *Settings) { s.ReportColumns, s.Tenants = []string{"x0"}, []Tenant{{Rate: 3}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(8) {
@@ -771,28 +771,28 @@
 // TestAnotherEngine: what was learned of an engine ends with it. A reused index, an older start, a start no longer
 // told, another role or place tell of another engine; its predecessor's dispatches end without touching its books.
 func TestAnotherEngine(t *testing.T) {
-	for name, change := range map[string]func(*Fact){
-		"its index, no start told":  func(f *Fact) { f.Mark = 99 },
-		"its index, an older start": func(f *Fact) { f.Mark, f.Started = 99, -50 },
-		"its name, a later start":   func(f *Fact) { f.Started = 4 },
-		"its name, an older start":  func(f *Fact) { f.Started = -50 },
-		"its name, another role":    func(f *Fact) { f.Kind = 2 },
-		"its name, another place":   func(f *Fact) { f.Cell = 1 },
+	for name, change := range map[string]func(*EngineEntry){
+		"its index, no start told":  func(f *EngineEntry) { f.Hash = 99 },
+		"its index, an older start": func(f *EngineEntry) { f.Hash, f.StartedAt = 99, -50 },
+		"its name, a later start":   func(f *EngineEntry) { f.StartedAt = 4 },
+		"its name, an older start":  func(f *EngineEntry) { f.StartedAt = -50 },
+		"its name, another role":    func(f *EngineEntry) { f.MachineKind = 2 },
+		"its name, another place":   func(f *EngineEntry) { f.Cell = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, _ := start(t, func(s *Settings) { s.Columns = []string{"x0", "x1"} }, nil)
+			r, _ := start(t, func(s *Settings) { s.ReportColumns = []string{"x0", "x1"} }, nil)
 			old := ready(0, 1, 0, -5)
-			r.Listed(ListFull, []Fact{old, ready(1, 1, 0, -5)})
-			h := r.Take(1, prompt(0, 200))
+			r.UpdateEngines(ListSnapshot, []EngineEntry{old, ready(1, 1, 0, -5)})
+			h := r.Route(1, prompt(0, 200))
 			n := h.sent[0].e.id // the one that is to be replaced
 			old = ready(n, 1, 0, -5)
 			p := prompt(0, 2000)
 			r.learn(r.engines[n], &p, 0, -1)
-			r.Probed(n, Errored, []float64{0.9, 30})
-			r.Probed(n, Errored, nil)
+			r.ProbeEnded(n, Errored, []float64{0.9, 30})
+			r.ProbeEnded(n, Errored, nil)
 			before := old
 			change(&before)
-			r.Listed(ListDelta, []Fact{before})
+			r.UpdateEngines(ListDelta, []EngineEntry{before})
 			fresh := func() {
 				e := r.engines[n]
 				assert.Zero(t, r.keeps(e, &p), "claims")
@@ -801,8 +801,8 @@
 				assert.Less(t, r.cost(e, 0), 2*overhead, "reported load")
 			}
 			fresh()
-			r.At(1)
-			h.Ended(0, Broken, 1, true, 0, []float64{0.9, 30})
+			r.SetTime(1)
+			h.DispatchEnded(0, Broken, 1, true, 0, []float64{0.9, 30})
 			fresh()
 			for i := range r.pools {
 				assert.InDelta(t, 0, r.pools[i].out[held].value, 1e-6, "no pool has anything out")
@@ -813,20 +813,20 @@
 
 // TestSameEngine: news that tells of the same engine takes nothing away.
 func TestSameEngine(t *testing.T) {
-	r, _ := start(t, nil, []Fact{ready(0, 1, 0, longAgo)})
+	r, _ := start(t, nil, []EngineEntry{ready(0, 1, 0, longAgo)})
 	p := prompt(0, 2000)
 	r.learn(r.engines[0], &p, 0, -1)
 	for _, phase := range []Phase{Draining, Gone, Ready} {
 		f := ready(0, 1, 0, longAgo)
 		f.Phase = phase
-		r.Listed(ListDelta, []Fact{f})
+		r.UpdateEngines(ListDelta, []EngineEntry{f})
 	}
 	assert.Equal(t, 2000.0, r.keeps(r.engines[0], &p))
 }
 
 // TestClaimsBounded: a full table gives up its older half, never what was claimed just now; keyless text is no claim.
 func TestClaimsBounded(t *testing.T) {
-	r, _ := start(t, nil, []Fact{ready(0, 1, 0, longAgo)})
+	r, _ := start(t, nil, []EngineEntry{ready(0, 1, 0, longAgo)})
 	e := r.engines[0]
 	e.memory = 1e12
 	claims := func() (n int) {
@@ -850,25 +850,25 @@
 			}
 		}
 	}
-	r.At(keepsFor + 1)
+	r.SetTime(keepsFor + 1)
 	r.learn(e, &p, 0, -1)
-	r.At(2*keepsFor + 2)
+	r.SetTime(2*keepsFor + 2)
 	r.learn(e, &p, 0, -1)
 	r.judge(e, 0) // as with each claim
 	assert.LessOrEqual(t, claims(), 2, "what has lapsed is given up with time too")
-	r.Listed(ListDelta, nil)
+	r.UpdateEngines(ListDelta, nil)
 	assert.Positive(t, claims(), "not what may still be kept")
-	r.At(3*keepsFor + 3)
-	r.Listed(ListDelta, nil)
+	r.SetTime(3*keepsFor + 3)
+	r.UpdateEngines(ListDelta, nil)
 	assert.Zero(t, claims(), "all have lapsed: they go with the next list")
 }
 
 func TestUnknownEngine(t *testing.T) {
 	r, b := start(t, nil, fleet())
 	for _, id := range []int{-1, 4, 1 << 30} {
-		assert.NotPanics(t, func() { r.Probed(id, Errored, nil) }, "a probe's result of an engine that was never listed")
+		assert.NotPanics(t, func() { r.ProbeEnded(id, Errored, nil) }, "a probe's result of an engine that was never listed")
 	}
-	assert.NotPanics(t, func() { r.Listed(ListDelta, []Fact{{Engine: -1}, {Engine: 4, Cell: -1}}) })
+	assert.NotPanics(t, func() { r.UpdateEngines(ListDelta, []EngineEntry{{Index: -1}, {Index: 4, Cell: -1}}) })
 	assert.Len(t, r.engines, 4)
 	assert.Empty(t, b.flush())
 }
@@ -880,22 +880,22 @@
 		"below zero": {-3, -1e9}, "short": {1}, "many more waiting than it can hold": {1, 1e7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, b := start(t, func(s *Settings) { s.Columns, s.Routers = []string{"x0", "x1"}, 20 }, fleet())
+			r, b := start(t, func(s *Settings) { s.ReportColumns, s.Routers = []string{"x0", "x1"}, 20 }, fleet())
 			for s := range 60 {
-				r.At(float64(s))
+				r.SetTime(float64(s))
 				b.flush()
 				if s < 30 {
-					r.Probed(0, Finished, report)
-					r.Probed(2, Finished, report)
+					r.ProbeEnded(0, Finished, report)
+					r.ProbeEnded(2, Finished, report)
 				}
-				r.Probed(1, Finished, []float64{0.1, 1})
-				r.Probed(3, Finished, []float64{0.1, 1})
+				r.ProbeEnded(1, Finished, []float64{0.1, 1})
+				r.ProbeEnded(3, Finished, []float64{0.1, 1})
 				for i := range 4 {
 					p := prompt(0, 2000)
 					p.Session = uint64(s*4 + i + 1)
-					h := r.Take(p.Session, p)
+					h := r.Route(p.Session, p)
 					for _, o := range []Outcome{Read, Finished} {
-						h.Ended(len(h.sent)-1, o, 0.1, o == Finished, 0, nil)
+						h.DispatchEnded(len(h.sent)-1, o, 0.1, o == Finished, 0, nil)
 					}
 				}
 				assert.NotContains(t, b.flush(), "rate-limit", "second %d", s)
@@ -907,15 +907,15 @@
 // TestMoreFoundThanThereWas: an engine counts tokens in its own way and may have found more kept than the prompt was
 // held to have. What is read on the mean stays above zero, and with it the load that a count of waiting ones stands for.
 func TestMoreFoundThanThereWas(t *testing.T) {
-	r, _ := start(t, func(s *Settings) { s.Columns = []string{"queue"} }, fleet())
+	r, _ := start(t, func(s *Settings) { s.ReportColumns = []string{"queue"} }, fleet())
 	p := prompt(0, 1000)
 	for i := range 500 {
 		p.Session = uint64(i%7 + 1)
-		h := r.Take(uint64(i), p)
-		h.Ended(0, Read, 0.1, false, 1e5, nil)
-		h.Ended(1, Finished, 0.1, true, 1e5, nil)
+		h := r.Route(uint64(i), p)
+		h.DispatchEnded(0, Read, 0.1, false, 1e5, nil)
+		h.DispatchEnded(1, Finished, 0.1, true, 1e5, nil)
 	}
-	r.Probed(2, Finished, []float64{10})
+	r.ProbeEnded(2, Finished, []float64{10})
 	for _, p := range r.pools {
 		assert.GreaterOrEqual(t, p.read, 0.0)
 	}
@@ -947,12 +947,12 @@
 			for i := range r.stages {
 				r.stages[i] = stage{pace, 1000, lateGuess} // measured: no guess is left
 			}
-			target := r.works[0].Target / pace
+			target := r.works[0].LatencyTarget / pace
 			for _, e := range r.engines {
 				e.load[work].out = one.waits * target * part(e.role == Reader)
 				e.heard = 1
 			}
-			r.Take(1, prompt(0, one.tokens*target))
+			r.Route(1, prompt(0, one.tokens*target))
 			require.Contains(t, b.flush()[0], one.want)
 		})
 	}
@@ -962,20 +962,20 @@
 	r, b := start(t, nil, fleet())
 	for i := range 8 {
 		p := prompt(0, 200)
-		p.MaxAnswer = 1e9
-		r.Take(uint64(i), p)
+		p.MaxOutputTokens = 1e9
+		r.Route(uint64(i), p)
 	}
 	b.flush()
-	r.At(5)
-	r.Take(99, prompt(0, 200))
+	r.SetTime(5)
+	r.Route(99, prompt(0, 200))
 	assert.NotContains(t, b.flush(), "rate-limit")
 }
 
 // sizedFleet is a fleet of so many engines in cells of ten, three readers in each, in three zones, by the router of the
 // first, where each router's part of the fleet is the same at every size.
 func sizedFleet(tb testing.TB, engines int) *Router {
-	s, facts := settings(), []Fact{}
-	s.Routers, s.Columns = engines, []string{"queue", "util", "x0", "x1"}
+	s, facts := settings(), []EngineEntry{}
+	s.Routers, s.ReportColumns = engines, []string{"queue", "util", "x0", "x1"}
 	for i := range engines {
 		f := ready(i, int(part(i%10 >= 3)), i/10, longAgo)
 		f.Zone = i / 10 % 3
@@ -983,19 +983,19 @@
 	}
 	r, err := New(s, &book{ends: map[uint64]int{}, held: map[uint64]bool{}, calls: map[uint64][]int{}})
 	require.NoError(tb, err)
-	r.Listed(ListFull, facts)
+	r.UpdateEngines(ListSnapshot, facts)
 	return r
 }
 
 // serveOne is a completion from its taking to its end, read and written.
 func serveOne(r *Router, i uint64) {
-	r.At(float64(i) * 0.02)
+	r.SetTime(float64(i) * 0.02)
 	p := prompt(0, 2000)
-	p.Session, p.Shared, p.SharedLen = i%5000+1, i%50+1, 1500
-	h := r.Take(i, p)
+	p.Session, p.SharedPrefix, p.SharedPrefixTokens = i%5000+1, i%50+1, 1500
+	h := r.Route(i, p)
 	for _, o := range []Outcome{Read, Finished} {
-		if !h.Over() {
-			h.Ended(len(h.sent)-1, o, 0.1, o == Finished, 1500, []float64{1, 0.2, 0.2, 0.5})
+		if !h.Closed() {
+			h.DispatchEnded(len(h.sent)-1, o, 0.1, o == Finished, 1500, []float64{1, 0.2, 0.2, 0.5})
 		}
 	}
 }
@@ -1023,7 +1023,7 @@
 			for i := range b.N {
 				f := ready(i%engines, int(part(i%10 >= 3)), i%engines/10, float64(i))
 				f.Zone = i % engines / 10 % 3
-				r.Listed(ListDelta, []Fact{f})
+				r.UpdateEngines(ListDelta, []EngineEntry{f})
 			}
 		})
 	}
@@ -1032,12 +1032,12 @@
 // TestPicksOnce: engines whose reports are fresh are picked once, whether probes are allowed or not.
 func TestPicksOnce(t *testing.T) {
 	draws := func(probes bool) (n int) {
-		r, _ := start(t, func(s *Settings) { s.Probes, s.Columns = probes, []string{"x0"} }, fleet())
+		r, _ := start(t, func(s *Settings) { s.ProbesAllowed, s.ReportColumns = probes, []string{"x0"} }, fleet())
 		for e := range r.engines {
-			r.Probed(e, Finished, []float64{0.1})
+			r.ProbeEnded(e, Finished, []float64{0.1})
 		}
 		before := *r
-		r.Take(1, prompt(0, 3000))
+		r.Route(1, prompt(0, 3000))
 		for ; before.rng != r.rng; n++ {
 			before.chance()
 		}
@@ -1050,8 +1050,8 @@
 func TestKnownFaultOneWorkloadFails(t *testing.T) {
 	r, _ := start(t, nil, fleet()[2:])
 	for i := range 12 {
-		h := r.Take(uint64(i), prompt(0, 200))
-		h.Ended(0, Errored, 0.1, true, 0, nil)
+		h := r.Route(uint64(i), prompt(0, 200))
+		h.DispatchEnded(0, Errored, 0.1, true, 0, nil)
 	}
 	ill := 0
 	for _, e := range r.engines[2:] {
--- a/decide/helper_test.go
+++ b/decide/helper_test.go
@@ -25,19 +25,19 @@
 	b.sends = append(b.sends, e)
 	b.calls[c] = append(b.calls[c], e)
 }
-func (b *book) HoldPlace(c uint64, e int)     { b.say("place %d", e); b.held[c] = true }
+func (b *book) Reserve(c uint64, e int)       { b.say("place %d", e); b.held[c] = true }
 func (b *book) Release(c uint64)              { b.say("release"); b.held[c] = false }
 func (b *book) RateLimit(c uint64, _ float64) { b.say("rate-limit"); b.ends[c]++ }
 func (b *book) Abort(c uint64)                { b.say("abort"); b.ends[c]++ }
 func (b *book) Cancel(_ uint64, n int)        { b.say("cancel %d", n) }
-func (b *book) Wake(uint64, float64)          {}
-func (b *book) WakeRouter(float64)            { b.say("wake router") }
+func (b *book) SetTimer(uint64, float64)      {}
+func (b *book) SetRouterTimer(float64)        { b.say("wake router") }
 func (b *book) Probe(e int)                   { b.say("probe %d", e) }
-func (b *book) Watch()                        { b.say("watch") }
+func (b *book) WatchEngines()                 { b.say("watch") }
 func (b *book) Log(string)                    {}
 func (b *book) flush() (acts []string)        { acts, b.acts = b.acts, nil; return acts }
-func ready(e, kind, cell int, started float64) Fact {
-	return Fact{Engine: e, Mark: uint64(e + 1), Kind: kind, Cell: cell, Phase: Ready, Started: started}
+func ready(e, kind, cell int, started float64) EngineEntry {
+	return EngineEntry{Index: e, Hash: uint64(e + 1), MachineKind: kind, Cell: cell, Phase: Ready, StartedAt: started}
 }
 
 var longAgo = math.Inf(-1)
@@ -46,21 +46,21 @@
 func settings() Settings {
 	return Settings{Seed: 7, Routers: 1, Roles: []Role{Reader, Writer, Mixed}, Memory: []float64{2e5, 2e5, 2e5},
 		Workloads: []Workload{
-			{Target: 1.5, TokenTarget: 0.06, Value: 3},
-			{Target: 1, TokenTarget: 0.05, Value: 1, Effect: NonIdempotent},
-			{Target: 1, TokenTarget: 0.05, Value: 1, Effect: Tokened, Group: GroupCell, Window: 2},
+			{LatencyTarget: 1.5, InterTokenTarget: 0.06, Value: 3},
+			{LatencyTarget: 1, InterTokenTarget: 0.05, Value: 1, Idempotency: NonIdempotent},
+			{LatencyTarget: 1, InterTokenTarget: 0.05, Value: 1, Idempotency: Tokened, DedupScope: DedupCell, DedupWindow: 2},
 		},
-		WritersRead: true, Cancels: true, MaxDispatches: 4, MaxComeBack: 1,
-		ColdShare: 0.25, Warm: 10, ColdMultiple: 2, ColdWindow: 2, Tick: 0.002}
+		WriterReadsAllowed: true, CancelAllowed: true, MaxDispatches: 4, MaxRetryAfter: 1,
+		ColdStartShare: 0.25, WarmUpTime: 10, OverloadMultiple: 2, OverloadWindow: 2, Tick: 0.002}
 }
 
 // fleet is two readers (0, 1) and two writers (2, 3), in the cells 0 and 1.
-func fleet() []Fact {
-	return []Fact{ready(0, 0, 0, longAgo), ready(1, 0, 1, longAgo),
+func fleet() []EngineEntry {
+	return []EngineEntry{ready(0, 0, 0, longAgo), ready(1, 0, 1, longAgo),
 		ready(2, 1, 0, longAgo), ready(3, 1, 1, longAgo)}
 }
 
-func start(t *testing.T, change func(*Settings), facts []Fact) (*Router, *book) {
+func start(t *testing.T, change func(*Settings), facts []EngineEntry) (*Router, *book) {
 	s, b := settings(), &book{ends: map[uint64]int{}, held: map[uint64]bool{},
 		calls: map[uint64][]int{}}
 	if change != nil {
@@ -68,18 +68,18 @@
 	}
 	r, err := New(s, b)
 	require.NoError(t, err)
-	r.At(0)
-	r.Listed(ListCached, facts)
+	r.SetTime(0)
+	r.UpdateEngines(ListCachedSnapshot, facts)
 	return r, b
 }
 
 func prompt(work int, tokens float64) Prompt {
-	return Prompt{Workload: work, Session: 15, Len: tokens, MaxAnswer: 200, Left: 8}
+	return Prompt{Workload: work, Session: 15, Tokens: tokens, MaxOutputTokens: 200, TimeLeft: 8}
 }
 
 // storm plays one seed's random legal events against the rules and returns a text of all actions.
 func storm(t *testing.T, seed int64, size int, change func(*Settings)) string {
-	rnd, phases, facts := rand.New(rand.NewSource(seed)), map[int]Phase{}, []Fact{}
+	rnd, phases, facts := rand.New(rand.NewSource(seed)), map[int]Phase{}, []EngineEntry{}
 	kind := func(e int) int { return []int{0, 0, 1, 1, 2}[e%5] }
 	for e := range size {
 		phases[e] = Ready
@@ -121,33 +121,33 @@
 	}
 	for range 500 {
 		now += rnd.ExpFloat64() / 50
-		r.At(now)
+		r.SetTime(now)
 		for _, l := range all {
 			if rnd.Intn(9) == 0 || now > l.end-0.01 {
-				l.c.Due()
+				l.c.TimerFired()
 			}
 		}
 		check()
 		switch k := rnd.Intn(10); {
 		case k < 3:
 			p := prompt(rnd.Intn(3), float64(rnd.Intn(9000)+1))
-			p.Session, p.Shared, p.Left = uint64(rnd.Intn(30)), uint64(rnd.Intn(4)), 0.2+5*rnd.Float64()
-			p.SharedLen = p.Len / 2
-			l := &live{w: p.Workload, end: now + p.Left}
-			l.c = r.Take(uint64(len(all)), p)
+			p.Session, p.SharedPrefix, p.TimeLeft = uint64(rnd.Intn(30)), uint64(rnd.Intn(4)), 0.2+5*rnd.Float64()
+			p.SharedPrefixTokens = p.Tokens / 2
+			l := &live{w: p.Workload, end: now + p.TimeLeft}
+			l.c = r.Route(uint64(len(all)), p)
 			all = append(all, l)
 		case k == 3:
 			f := ready(rnd.Intn(size), 0, 0, now-20*rnd.Float64())
-			f.Kind, f.Phase = kind(f.Engine), Phase(rnd.Intn(3))
-			phases[f.Engine] = f.Phase
-			r.Listed(ListDelta, []Fact{f})
+			f.MachineKind, f.Phase = kind(f.Index), Phase(rnd.Intn(3))
+			phases[f.Index] = f.Phase
+			r.UpdateEngines(ListDelta, []EngineEntry{f})
 		case k == 4:
-			r.Probed(rnd.Intn(size), Outcome(rnd.Intn(9)), []float64{rnd.Float64()})
+			r.ProbeEnded(rnd.Intn(size), Outcome(rnd.Intn(9)), []float64{rnd.Float64()})
 		case len(all) > 0:
 			l := all[len(all)-1-rnd.Intn(min(len(all), 12))]
 			if rnd.Intn(40) == 0 && !l.done {
 				l.done = true
-				l.c.Left()
+				l.c.ClientLeft()
 				break
 			}
 			for n, out := range l.out {
@@ -161,17 +161,17 @@
 					}
 					if kind(e) > 0 && !l.done && !l.c.began && rnd.Intn(2) == 0 {
 						b.held[l.c.id] = false
-						l.c.Started(n, rnd.Float64())
+						l.c.DispatchStarted(n, rnd.Float64())
 						continue
 					}
 					over := o == Finished || l.c.began
 					l.done = l.done || over
 					l.out[n] = false
 					b.held[l.c.id] = b.held[l.c.id] || o == Read
-					if kind(e) > 0 && (o == Full || o == Unreachable || o == Moot) {
+					if kind(e) > 0 && (o == Full || o == Unreachable || o == NotSent) {
 						l.ran = false
 					}
-					l.c.Ended(n, o, rnd.Float64(), over, float64(rnd.Intn(2)*rnd.Intn(900)), []float64{rnd.Float64()})
+					l.c.DispatchEnded(n, o, rnd.Float64(), over, float64(rnd.Intn(2)*rnd.Intn(900)), []float64{rnd.Float64()})
 					break
 				}
 			}
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -1,94 +1,97 @@
 package decide
 
-// ReleasePart is the part of the limit after which a release is sent. The rest is for its own way, and for engines that have to be
-// asked in another's place. It harms a write that waits longer at an engine that hangs later, by a second read.
-const ReleasePart = 0.6
+// ReleaseFraction is the share of the holding limit after which a release is sent. The rest of the limit covers the release's own
+// transit, and engines that have to be asked in place of another. A write that waits longer than this at an engine that then hangs
+// costs a second read.
+const ReleaseFraction = 0.6
 
-// endSeen is the time in seconds in which an engine is held to see the end of a call's connection. Up to then the call may still wait
-// there, and keep a state from a release that came right behind its end.
-const endSeen = 0.4
+// connCloseDelaySeconds is the time within which an engine is assumed to notice that the connection of a call has closed. Until then the
+// call may still wait there, and keep its state from a release that arrives right after the close.
+const connCloseDelaySeconds = 0.4
 
-// CheckAfter is the time in seconds since a connection's last answer after which it is checked by a probe before it takes a dispatch
-// for which something is held. It guards against one that has fallen silent: what is held would be let go, and read again. It harms by
-// a round trip and a probe. No rule rests on it.
-const CheckAfter = 0.02
+// ConnCheckAfterSeconds is the time since a connection's last answer after which a probe checks it before it takes a dispatch that
+// needs held state. It guards against connections that have gone silent: the held state would be released, and the prompt read again. It
+// costs a round trip and a probe. No rule depends on it.
+const ConnCheckAfterSeconds = 0.02
 
-// Lease is what is known of the states that engines may hold for a completion, and says when a release has to be sent. Times are
-// seconds on one clock.
+// Lease tracks the states that engines may hold for a completion, and when a release has to be sent. Times are in seconds on one
+// clock.
 //
-// Where it is open whether an engine holds something, runs, or has got a call, the strictest reading holds: what is not observed
-// of a call itself is not assumed. So a write that is out may have reached nobody: it stops no clock. Only a write's first
-// byte and an answered release tell that nothing is held, and of what comes to be held afterwards neither tells anything.
+// Where it is unknown whether an engine holds state, runs a call or has received one, the strictest case is assumed: nothing counts that
+// is not observed of the call itself. So a write that is out may have reached no engine, and stops no clock. Only a write's first byte
+// and an answered release show that nothing is held, and neither shows anything about state that is left afterwards.
 type Lease struct {
-	holds   bool    // something may be held
-	since   float64 // from when it counts
-	until   float64 // calls that ended without an answer may go on at their engines up to then, and leave something
-	cleared float64 // the last release that was answered was sent then
-	lost    bool    // a release was sent since the last read answered
+	mayHold           bool    // an engine may hold state
+	heldSince         float64 // when the holding time began
+	runsUntil         float64 // calls that ended without an answer may run on at their engines until then, and leave state
+	clearedAt         float64 // when the last answered release was sent, or the last write gave its first byte
+	releasedSinceRead bool    // a release was sent since the last read was answered
 }
 
-// ReadEnded books the end of a read that may have run. One without an answer may have ended well in that moment, and may go on until a
-// time.
+// ReadEnded records the end of a read that may have run. A read without an answer may have succeeded just then, or may run on until the
+// given time.
 func (l *Lease) ReadEnded(now float64, answered bool, until float64) {
 	switch {
-	case l.holds:
-	case l.until > l.cleared: // an earlier one may have left something since
-		l.holds, l.since = true, l.cleared
+	case l.mayHold:
+	case l.runsUntil > l.clearedAt: // an earlier call may have left state since
+		l.mayHold, l.heldSince = true, l.clearedAt
 	default:
-		l.holds, l.since = true, now
+		l.mayHold, l.heldSince = true, now
 	}
 	if answered {
-		l.lost = false
+		l.releasedSinceRead = false
 	} else {
 		l.unanswered(now, until)
 	}
 }
 
-// WriteEnded books the end of a write that was sent and did not begin. An answer tells that it was out up to now; without one it may
-// never have been, and may still take the state until a time.
+// WriteEnded records the end of a write that was sent and gave no first byte. An answer shows that it was at an engine until now; without
+// one it may never have arrived, and may still fetch the state until the given time.
 func (l *Lease) WriteEnded(now float64, answered bool, until float64) {
 	switch {
-	case !l.Runs():
+	case !l.Active():
 	case answered:
-		l.since = now
+		l.heldSince = now
 	default:
 		l.unanswered(now, until)
 	}
 }
 
-// unanswered books that a call ended without an answer, and may go on at its engine until a time.
-func (l *Lease) unanswered(now, until float64) { l.until = max(l.until, until, now+endSeen) }
+// unanswered records that a call ended without an answer and may run on at its engine until the given time.
+func (l *Lease) unanswered(now, until float64) {
+	l.runsUntil = max(l.runsUntil, until, now+connCloseDelaySeconds)
+}
 
-// Taken books a write's first byte: its engine has taken the state, and all else that was held has gone.
-func (l *Lease) Taken(now float64) { l.holds, l.cleared = false, now }
+// WriteStarted records a write's first byte: its engine has fetched the state, and nothing else is held any more.
+func (l *Lease) WriteStarted(now float64) { l.mayHold, l.clearedAt = false, now }
 
-// ReleaseSent books that a release is sent.
-func (l *Lease) ReleaseSent() { l.lost = true }
+// ReleaseSent records that a release is sent.
+func (l *Lease) ReleaseSent() { l.releasedSinceRead = true }
 
-// ReleaseAnswered books the answer to a release that was sent at a time. writing: a write is out that has not begun. If it waits at its
-// engine, nothing was let go.
+// ReleaseAnswered records the answer to a release that was sent at the given time. writing says that a write is out that has given no
+// first byte: if it waits at its engine, the release has freed nothing.
 func (l *Lease) ReleaseAnswered(sent float64, writing bool) {
-	l.cleared = sent
-	if l.holds && l.since > sent {
+	l.clearedAt = sent
+	if l.mayHold && l.heldSince > sent {
 		return
 	}
-	l.holds, l.since = writing, sent
+	l.mayHold, l.heldSince = writing, sent
 }
 
-// Runs tells whether something may be held, or may come to be.
-func (l *Lease) Runs() bool { return l.holds || l.until > l.cleared }
+// Active reports whether state may be held now or later.
+func (l *Lease) Active() bool { return l.mayHold || l.runsUntil > l.clearedAt }
 
-// Held is how long something may have been held, false for nothing.
-func (l *Lease) Held(now float64) (float64, bool) { return now - l.since, l.holds }
+// HeldFor returns how long state may have been held, and false if none is.
+func (l *Lease) HeldFor(now float64) (float64, bool) { return now - l.heldSince, l.mayHold }
 
-// Lost tells whether the state that the last read left may be gone.
-func (l *Lease) Lost() bool { return l.lost }
+// MayBeLost reports whether the state that the last read left may have been released.
+func (l *Lease) MayBeLost() bool { return l.releasedSinceRead }
 
-// Due is when the next release has to be sent, whatever is out; false for not at all. A read that runs behind one that was cut off may lose
-// its state by it.
-func (l *Lease) Due(limit float64) (at float64, due bool) {
-	if l.holds {
-		return l.since + ReleasePart*limit, true
+// NextRelease returns when the next release has to be sent, whatever is out, and false if none has to be. A read that runs after one that
+// was cut off may lose its state to that release.
+func (l *Lease) NextRelease(limit float64) (at float64, due bool) {
+	if l.mayHold {
+		return l.heldSince + ReleaseFraction*limit, true
 	}
-	return l.cleared + ReleasePart*limit, l.until > l.cleared
+	return l.clearedAt + ReleaseFraction*limit, l.runsUntil > l.clearedAt
 }
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -52,7 +52,7 @@
 		// to lets the time pass up to a moment, with all that is due and all that ends late.
 		to := func(end float64) {
 			for {
-				next, due := l.Due(limit)
+				next, due := l.NextRelease(limit)
 				if len(w.late) > 0 && w.late[0] <= end && (!due || w.late[0] <= next) {
 					w.change(max(w.now, w.late[0]), func() { w.held = true })
 					w.late = w.late[1:]
@@ -98,13 +98,13 @@
 			l.WriteEnded(w.now, answered, until)
 		}
 		to(w.now)
-		if l.Runs() {
+		if l.Active() {
 			release(w.now)
 		}
 		to(max(until, w.now) + 3*limit)
 		require.False(t, w.held)
 		require.Less(t, w.longest, limit)
-		require.False(t, l.Runs())
+		require.False(t, l.Active())
 	})
 }
 
@@ -117,9 +117,9 @@
 		l := &Lease{}
 		l.ReadEnded(1, false, one.until)
 		l.ReadEnded(2, true, 0)
-		l.Taken(3)
-		require.Equal(t, one.runs, l.Runs(), name)
-		_, due := l.Due(1)
+		l.WriteStarted(3)
+		require.Equal(t, one.runs, l.Active(), name)
+		_, due := l.NextRelease(1)
 		require.Equal(t, one.runs, due, name)
 	}
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -8,7 +8,7 @@
 )
 
 // bigFleet is a fleet of cells of five, two readers and three writers each, in three zones.
-func bigFleet(engines int) (facts []Fact) {
+func bigFleet(engines int) (facts []EngineEntry) {
 	for i := range engines {
 		f := ready(i, int(part(i%5 >= 2)), i/5, longAgo)
 		f.Zone = i / 5 % 3
@@ -17,7 +17,7 @@
 	return facts
 }
 
-func routerOf(t *testing.T, seed uint64, routers int, facts []Fact) *Router {
+func routerOf(t *testing.T, seed uint64, routers int, facts []EngineEntry) *Router {
 	r, _ := start(t, func(s *Settings) { s.Seed, s.Routers = seed*0x9e3779b97f4a7c15+1, routers }, facts)
 	return r
 }
@@ -83,8 +83,8 @@
 	changed := r.subset[7].id
 	f := facts[changed]
 	for _, phase := range []Phase{Draining, Gone, Ready} {
-		f.Phase, f.Started = phase, 1
-		r.Listed(ListDelta, []Fact{f})
+		f.Phase, f.StartedAt = phase, 1
+		r.UpdateEngines(ListDelta, []EngineEntry{f})
 		now := map[int]bool{}
 		for _, e := range r.subset {
 			now[e.id] = true
@@ -108,11 +108,11 @@
 	r := routerOf(t, 5, 900, facts)
 	require.Greater(t, float64(len(r.subset)), 0.5*subsetMost)
 	for i := range facts {
-		if facts[i].Kind == 0 && i > 20 { // a handful of readers are left
+		if facts[i].MachineKind == 0 && i > 20 { // a handful of readers are left
 			facts[i].Phase = Gone
 		}
 	}
-	r.Listed(ListFull, facts)
+	r.UpdateEngines(ListSnapshot, facts)
 	readers := 0
 	for _, e := range r.subset {
 		readers += int(part(e.phase == Ready && e.role == Reader))
--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -55,11 +55,11 @@
 // Decide are the settings that the planner's module is told.
 func Decide(r *pb.Router) decide.Settings {
 	a, cold := r.GetAllowed(), r.GetCold()
-	s := decide.Settings{Seed: r.GetSeed(), Routers: int(r.GetRouters()), OverShare: r.GetOverShareValue(),
-		Columns: figures(r.GetReports()).Columns(), Probes: a.GetProbes(), Places: a.GetPlaces(), WritersRead: a.GetWritersRead(),
-		Cancels: a.GetCancels(), MaxDispatches: int(a.GetMaxDispatches()), MaxComeBack: a.GetMaxComeBackS(),
-		ColdShare: cold.GetStartShare(), Warm: cold.GetWarmS(), ColdMultiple: cold.GetFallMultiple(), ColdWindow: cold.GetFallWindowS(),
-		Tick: r.GetTiming().GetTickMs() / 1000, FarPrice: r.GetPrices().GetFarState(), CrossPrice: r.GetPrices().GetCrossZone()}
+	s := decide.Settings{Seed: r.GetSeed(), Routers: int(r.GetRouters()), OverShareValue: r.GetOverShareValue(),
+		ReportColumns: figures(r.GetReports()).Columns(), ProbesAllowed: a.GetProbes(), ReservationsAllowed: a.GetPlaces(), WriterReadsAllowed: a.GetWritersRead(),
+		CancelAllowed: a.GetCancels(), MaxDispatches: int(a.GetMaxDispatches()), MaxRetryAfter: a.GetMaxComeBackS(),
+		ColdStartShare: cold.GetStartShare(), WarmUpTime: cold.GetWarmS(), OverloadMultiple: cold.GetFallMultiple(), OverloadWindow: cold.GetFallWindowS(),
+		Tick: r.GetTiming().GetTickMs() / 1000, CrossCellPrice: r.GetPrices().GetFarState(), CrossZonePrice: r.GetPrices().GetCrossZone()}
 	if s.Seed == 0 {
 		s.Seed = uint64(time.Now().UnixNano())
 	}
@@ -68,9 +68,9 @@
 		s.Memory = append(s.Memory, m.GetMemoryTokens())
 	}
 	for _, w := range r.GetWorkloads() {
-		s.Workloads = append(s.Workloads, decide.Workload{Target: w.GetLatencyTargetS(),
-			TargetPerToken: w.GetLatencyTargetSPer_1000Tokens() / 1000, TokenTarget: w.GetTokenTargetMs() / 1000, Value: w.GetValue(),
-			Effect: effectOf(w.GetEffect()), Group: groupOf(w.GetGroup()), Window: w.GetRememberedS()})
+		s.Workloads = append(s.Workloads, decide.Workload{LatencyTarget: w.GetLatencyTargetS(),
+			LatencyTargetPerToken: w.GetLatencyTargetSPer_1000Tokens() / 1000, InterTokenTarget: w.GetTokenTargetMs() / 1000, Value: w.GetValue(),
+			Idempotency: effectOf(w.GetEffect()), DedupScope: groupOf(w.GetGroup()), DedupWindow: w.GetRememberedS()})
 	}
 	for _, t := range r.GetTenants() {
 		s.Tenants = append(s.Tenants, decide.Tenant{Rate: t.GetSharePerS()})
@@ -78,7 +78,7 @@
 	return s
 }
 
-func effectOf(e pb.Effect) decide.Effect {
+func effectOf(e pb.Effect) decide.Idempotency {
 	switch e {
 	case pb.Effect_IDEMPOTENT:
 		return decide.Idempotent
@@ -88,14 +88,14 @@
 	return decide.NonIdempotent
 }
 
-func groupOf(g pb.Group) decide.Group {
+func groupOf(g pb.Group) decide.DedupScope {
 	switch g {
 	case pb.Group_ZONE:
-		return decide.GroupZone
+		return decide.DedupZone
 	case pb.Group_CELL:
-		return decide.GroupCell
+		return decide.DedupCell
 	}
-	return decide.GroupAll
+	return decide.DedupAll
 }
 
 // Planner are the planner's options; its log is the caller's to add.
--- a/internal/config/lab.go
+++ b/internal/config/lab.go
@@ -84,8 +84,8 @@
 					HandOver: p.GetHandOverS(), Seen: p.GetSeenS()}
 			}
 			if a := v.GetAllowed(); a != nil {
-				s.Decide.Probes, s.Decide.WritersRead, s.Decide.Cancels = a.GetProbes(), a.GetWritersRead(), a.GetCancels()
-				s.Decide.MaxDispatches, s.Decide.MaxComeBack = int(a.GetMaxDispatches()), a.GetMaxComeBackS()
+				s.Decide.ProbesAllowed, s.Decide.WriterReadsAllowed, s.Decide.CancelAllowed = a.GetProbes(), a.GetWritersRead(), a.GetCancels()
+				s.Decide.MaxDispatches, s.Decide.MaxRetryAfter = int(a.GetMaxDispatches()), a.GetMaxComeBackS()
 			}
 		}})
 	}
@@ -97,7 +97,7 @@
 	r.Seed = proto.Uint64(1) // the experiment's seeds count
 	s := lab.Settings{Length: d.GetLengthS(), Routers: int(d.GetRouters()), Zones: int(d.GetZones()), Way: d.GetWayMs() / 1000,
 		Link: d.GetLinkTokensPerS(), ListLate: d.GetListLateS(), Decide: Decide(r)}
-	s.Decide.Places = false // not played
+	s.Decide.ReservationsAllowed = false // not played
 	cold := r.GetCold()
 	for _, g := range d.GetGroups() {
 		s.Groups = append(s.Groups, lab.Group{Role: roleOf(g.GetRole()), Count: int(g.GetCount()), Zone: int(g.GetZone()), Cell: int(g.GetCell()),
--- a/internal/edge/completion.go
+++ b/internal/edge/completion.go
@@ -46,7 +46,7 @@
 	c := e.find(o.Completion)
 	if c == nil {
 		if o.Kind == link.Dispatch {
-			e.planner.Tell(link.Fact{Kind: link.Ended, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Moot})
+			e.planner.Tell(link.Fact{Kind: link.Ended, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.NotSent})
 		}
 		return
 	}
@@ -97,7 +97,7 @@
 	if c.handled || c.won.Load() == answered {
 		c.mu.Unlock()
 		r.cancel(engine.ErrCancelled)
-		c.e.planner.Tell(link.Fact{Kind: link.Ended, Completion: c.id, Dispatch: r.n, Outcome: decide.Moot})
+		c.e.planner.Tell(link.Fact{Kind: link.Ended, Completion: c.id, Dispatch: r.n, Outcome: decide.NotSent})
 		return
 	}
 	c.runs = append(c.runs, r)
@@ -127,7 +127,7 @@
 func (c *completion) settle() {
 	c.mu.Lock()
 	over := c.handled && c.out == 0 && c.state == nil && c.place == nil
-	if over && c.lease.Runs() && !c.lease.atEnd {
+	if over && c.lease.Active() && !c.lease.atEnd {
 		c.lease.atEnd = true
 		c.releaseHeld("over")
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -36,7 +36,7 @@
 	Name    string
 	Models  []string
 	Timeout time.Duration // client timeout: to the first token, or the whole if not streamed
-	Effect  decide.Effect
+	Effect  decide.Idempotency
 	Most    int // tokens of an answer where the client doesn't say
 }
 
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -79,8 +79,8 @@
 	h := &rc.Request.Header
 	r := &Request{ID: id, Name: e.name(id), Key: string(h.Peek("Idempotency-Key")), Trace: string(h.Peek("Traceparent")),
 		Arrived: arrived, Timeout: timeout, Margin: margin, Whole: whole, Over: over,
-		Prompt: decide.Prompt{Workload: work, Tenant: tenant, Session: ch.session, Shared: ch.shared, SharedLen: ch.sharedLen,
-			Len: ch.prompt, MaxAnswer: float64(most)},
+		Prompt: decide.Prompt{Workload: work, Tenant: tenant, Session: ch.session, SharedPrefix: ch.shared, SharedPrefixTokens: ch.sharedLen,
+			Tokens: ch.prompt, MaxOutputTokens: float64(most)},
 		Body: func(reads bool, state []byte) []byte {
 			if reads {
 				return engine.ReadBody(ch.fields)
--- a/internal/edge/holding.go
+++ b/internal/edge/holding.go
@@ -73,7 +73,7 @@
 
 // ownLetGo is the time after which the edge, and an engine's lease, let go by themselves.
 func (e *Edge) ownLetGo() time.Duration {
-	return time.Duration(float64(e.o.LetGo) * decide.ReleasePart)
+	return time.Duration(float64(e.o.LetGo) * decide.ReleaseFraction)
 }
 
 // giveBack ends a write's use of a state: it is gone, or waits again.
@@ -106,7 +106,7 @@
 	if c.place = nil; place != nil {
 		place.stop()
 	}
-	if c.out == 0 && c.lease.Runs() {
+	if c.out == 0 && c.lease.Active() {
 		c.releaseHeld(reason)
 	}
 	c.mu.Unlock()
@@ -196,7 +196,7 @@
 		defer c.e.runs.Add(-1)
 		ctx, cancel := context.WithTimeout(c.e.base, time.Second)
 		defer cancel()
-		held, err := c.e.o.Engines.Hold(ctx, h.address, h.id, c.r.Prompt.Len, c.e.ownLetGo())
+		held, err := c.e.o.Engines.Hold(ctx, h.address, h.id, c.r.Prompt.Tokens, c.e.ownLetGo())
 		if err != nil {
 			c.e.o.Log.Debug("no place", "completion", c.r.Name, "engine", h.address, "err", err)
 			c.e.releaseUnsure(h)
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -28,7 +28,7 @@
 }
 
 // open tells whether the completion must still be known for it.
-func (l *lease) open() bool { return l.Runs() || l.releasing }
+func (l *lease) open() bool { return l.Active() || l.releasing }
 
 // seconds is a time on the clock of leases.
 func (e *Edge) seconds(at time.Time) float64 { return at.Sub(e.began).Seconds() }
@@ -61,7 +61,7 @@
 		reason = ReasonLimitWriting
 	}
 	level := slog.LevelDebug
-	if _, holds := c.lease.Held(0); holds { // else it is for what a call that was cut off may leave yet
+	if _, holds := c.lease.HeldFor(0); holds { // else it is for what a call that was cut off may leave yet
 		level = slog.LevelInfo
 	}
 	c.e.o.Log.Log(c.e.base, level, "held state expires", "completion", c.r.Name, "why", reason, "engine", c.lease.at, "dispatches", len(c.runs),
@@ -72,7 +72,7 @@
 
 // releaseDue is how long it is until a release has to be sent, false for not at all.
 func (c *completion) releaseDue() (time.Duration, bool) {
-	at, due := c.lease.Due(c.e.o.LetGo.Seconds())
+	at, due := c.lease.NextRelease(c.e.o.LetGo.Seconds())
 	return time.Until(c.e.began.Add(time.Duration(at * float64(time.Second)))), due
 }
 
@@ -101,7 +101,7 @@
 func (c *completion) leaseRuns() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lease.Runs()
+	return c.lease.Active()
 }
 
 // leaseReleased books the end of a release and, if it was answered, when it was sent.
@@ -109,12 +109,12 @@
 	c.mu.Lock()
 	c.lease.releasing = false
 	if answered {
-		if held, holds := c.lease.Held(c.e.seconds(time.Now())); holds {
+		if held, holds := c.lease.HeldFor(c.e.seconds(time.Now())); holds {
 			c.e.o.Observe.LetGo(time.Duration(held * float64(time.Second)))
 		}
 		c.lease.ReleaseAnswered(c.e.seconds(sent), c.writes())
 		c.logLease("release is answered", "")
-	} else if c.lease.Runs() { // it was given up
+	} else if c.lease.Active() { // it was given up
 		c.lease.Lease = decide.Lease{}
 	}
 	c.armLease()
@@ -138,13 +138,13 @@
 		c.lease.WriteEnded(now, hadAnswer(o), until)
 	}
 	c.armLease()
-	return o != decide.Read && c.lease.Lost()
+	return o != decide.Read && c.lease.MayBeLost()
 }
 
 // leaseTaken books a write's first byte.
 func (c *completion) leaseTaken(r *run) {
 	r.begun = true
-	c.lease.Taken(c.e.seconds(time.Now()))
+	c.lease.WriteStarted(c.e.seconds(time.Now()))
 	c.armLease()
 }
 
@@ -158,6 +158,6 @@
 	if !c.e.debugs() {
 		return
 	}
-	c.e.o.Log.Debug("held state", "completion", c.r.Name, "change", what, "why", why, "engine", c.lease.at, "held", c.lease.Runs(),
+	c.e.o.Log.Debug("held state", "completion", c.r.Name, "change", what, "why", why, "engine", c.lease.at, "held", c.lease.Active(),
 		"dispatches_out", c.out)
 }
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -86,7 +86,7 @@
 	how := c.serve(ctx, r.Arrived.Add(r.Timeout-r.Margin/2), r.Arrived.Add(r.Whole-r.Margin/2))
 	e.o.Observe.Answered(prompt.Workload, how, time.Since(r.Arrived))
 	if e.debugs() {
-		e.o.Log.Debug("completion answered", "completion", r.Name, "workload", prompt.Workload, "again", prompt.Again, "answer", how, "tokens", prompt.Len, "shared", prompt.SharedLen, "seconds", time.Since(r.Arrived).Seconds())
+		e.o.Log.Debug("completion answered", "completion", r.Name, "workload", prompt.Workload, "again", prompt.Resumed, "answer", how, "tokens", prompt.Tokens, "shared", prompt.SharedPrefixTokens, "seconds", time.Since(r.Arrived).Seconds())
 	}
 	c.mu.Lock()
 	c.handled = true
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -47,7 +47,7 @@
 }
 
 // checkAfter is decide's, as a duration.
-const checkAfter = time.Duration(decide.CheckAfter * float64(time.Second))
+const checkAfter = time.Duration(decide.ConnCheckAfterSeconds * float64(time.Second))
 
 // call is the dispatch's call. What it tells its engine of the time left is bounded by the client's own deadline, however
 // old the order is.
@@ -63,7 +63,7 @@
 	}
 	check := time.Duration(0)
 	c.mu.Lock()
-	if c.lease.Runs() {
+	if c.lease.Active() {
 		check = checkAfter
 	}
 	r.until = until
@@ -93,7 +93,7 @@
 
 // mayRun tells whether a dispatch with that outcome may have been carried out.
 func mayRun(o decide.Outcome) bool {
-	return o != decide.Full && o != decide.Unreachable && o != decide.Moot
+	return o != decide.Full && o != decide.Unreachable && o != decide.NotSent
 }
 
 func (r *run) write(timeout time.Duration) {
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -27,7 +27,7 @@
 	_, err = d.Dial(ctx, "tcp", "x")
 	require.ErrorIs(t, err, errNoConns)
 	assert.Equal(t, 1, dropped, "idle ones were asked to go")
-	assert.Equal(t, decide.Moot, OutcomeOf(t.Context(), err, false), "no fault of the engine")
+	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "no fault of the engine")
 	assert.Equal(t, decide.Finished, ProbeOutcome(err))
 	time.AfterFunc(20*time.Millisecond, func() { one.Close(); one.Close() })
 	_, err = d.Dial(t.Context(), "tcp", "x")
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -163,7 +163,7 @@
 	req, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+call.Address+"/v1/chat/completions",
 		io.NopCloser(bytes.NewReader(call.Body)))
 	if err != nil {
-		return nil, &Result{Outcome: decide.Moot, Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
+		return nil, &Result{Outcome: decide.NotSent, Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
 	}
 	req.ContentLength = int64(len(call.Body))
 	h := req.Header
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -24,7 +24,7 @@
 )
 
 // outcomes are the outcomes of the classes.
-var outcomes = map[errorClass]decide.Outcome{localShortage: decide.Moot, nothingSent: decide.Unreachable, mayHaveRun: decide.Broken,
+var outcomes = map[errorClass]decide.Outcome{localShortage: decide.NotSent, nothingSent: decide.Unreachable, mayHaveRun: decide.Broken,
 	badAnswer: decide.Errored, givenUp: decide.Cancelled}
 
 // shortages are the errors of socket and connect that tell of this machine alone.
@@ -66,7 +66,7 @@
 	case !sent && errors.Is(cause, ErrHeld):
 		return decide.Unreachable
 	case !sent:
-		return decide.Moot
+		return decide.NotSent
 	case errors.Is(cause, ErrTimedOut), errors.Is(cause, ErrIdle), errors.Is(cause, context.DeadlineExceeded):
 		return decide.TimedOut
 	}
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -24,7 +24,7 @@
 	for _, number := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		for _, call := range []string{"socket", "connect"} {
 			err := system("dial", call, number)
-			assert.Equal(t, decide.Moot, OutcomeOf(t.Context(), err, false), "%v", err)
+			assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "%v", err)
 			assert.Equal(t, decide.Finished, ProbeOutcome(err), "%v: nothing was learnt of the engine", err)
 		}
 	}
@@ -51,8 +51,8 @@
 // TestEndedByItsCaller: what its caller ended before it was sent has not run, whatever the cause; after that it may have.
 func TestEndedByItsCaller(t *testing.T) {
 	for cause, want := range map[error]struct{ before, after decide.Outcome }{
-		ErrCancelled: {decide.Moot, decide.Cancelled}, ErrTimedOut: {decide.Moot, decide.TimedOut}, ErrIdle: {decide.Moot, decide.TimedOut},
-		ErrHeld: {decide.Unreachable, decide.Cancelled}, errors.New("other"): {decide.Moot, decide.Cancelled},
+		ErrCancelled: {decide.NotSent, decide.Cancelled}, ErrTimedOut: {decide.NotSent, decide.TimedOut}, ErrIdle: {decide.NotSent, decide.TimedOut},
+		ErrHeld: {decide.Unreachable, decide.Cancelled}, errors.New("other"): {decide.NotSent, decide.Cancelled},
 	} {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		cancel(cause)
--- a/internal/engine/report.go
+++ b/internal/engine/report.go
@@ -14,7 +14,7 @@
 
 // Figure is where one figure of a load report is found.
 type Figure struct {
-	Column     string // its name in decide.Settings.Columns
+	Column     string // its name in decide.Settings.ReportColumns
 	ORCA       string // a field of endpoint-load-metrics, such as named_metrics.kv_cache_usage_perc
 	Prometheus string // a metric of /metrics
 	Sum        bool   // of the metric's label sets; else the greatest
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -300,7 +300,7 @@
 		return nil // asked again, and nothing is new
 	}
 	f.epoch, f.version, f.known = l.Epoch, l.Version, true
-	list := &link.List{Kind: decide.ListFull}
+	list := &link.List{Kind: decide.ListSnapshot}
 	if l.Kind == "delta" {
 		list.Kind = decide.ListDelta
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -84,7 +84,7 @@
 	l, err := parse([]byte(full), 3)
 	require.NoError(t, err)
 	require.NoError(t, f.apply(l))
-	assert.Equal(t, &link.List{Kind: decide.ListFull, Entries: []link.Entry{{Address: "h:1", Zone: "z", Cell: "c", Machine: "m",
+	assert.Equal(t, &link.List{Kind: decide.ListSnapshot, Entries: []link.Entry{{Address: "h:1", Zone: "z", Cell: "c", Machine: "m",
 		Phase: decide.Ready, Start: 5, Age: 2.5}}}, (*told)[0])
 }
 
@@ -130,9 +130,9 @@
 	done := make(chan struct{})
 	go func() { f.Run(ctx); close(done) }()
 	for _, want := range []struct {
-		kind    decide.List
+		kind    decide.ListKind
 		address string
-	}{{decide.ListFull, "h:1"}, {decide.ListDelta, "h:2"}, {decide.ListFull, "h:3"}} {
+	}{{decide.ListSnapshot, "h:1"}, {decide.ListDelta, "h:2"}, {decide.ListSnapshot, "h:3"}} {
 		select {
 		case l := <-lists:
 			assert.Equal(t, want.kind, l.Kind)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -25,9 +25,9 @@
 		Loads: []Load{
 			{Rate: rate, Workload: 0, Prompt: 1500, Shared: 512, Answer: 60, Timeout: 6, MaxAnswer: 400, KeptTurns: 3, TurnsApart: 3, ValuePerToken: 3},
 			{Rate: rate, Workload: 1, Prompt: 200, Shared: 128, Answer: 40, Timeout: 8, MaxAnswer: 200, KeptTurns: 1, ValuePerToken: 1}},
-		Decide: decide.Settings{Workloads: []decide.Workload{{Target: 1, TargetPerToken: 0.0001, TokenTarget: 0.06, Value: 3, Effect: decide.Idempotent},
-			{Target: 1, TargetPerToken: 0.0001, TokenTarget: 0.06, Value: 1, Effect: decide.NonIdempotent}}, OverShare: 0.2, Probes: true, WritersRead: true,
-			Cancels: true, MaxDispatches: 4, MaxComeBack: 1, ColdShare: 0.3, Warm: 12, ColdMultiple: 2.5, Tick: 0.005, FarPrice: 0.05, CrossPrice: 0.01}}
+		Decide: decide.Settings{Workloads: []decide.Workload{{LatencyTarget: 1, LatencyTargetPerToken: 0.0001, InterTokenTarget: 0.06, Value: 3, Idempotency: decide.Idempotent},
+			{LatencyTarget: 1, LatencyTargetPerToken: 0.0001, InterTokenTarget: 0.06, Value: 1, Idempotency: decide.NonIdempotent}}, OverShareValue: 0.2, ProbesAllowed: true, WriterReadsAllowed: true,
+			CancelAllowed: true, MaxDispatches: 4, MaxRetryAfter: 1, ColdStartShare: 0.3, WarmUpTime: 12, OverloadMultiple: 2.5, Tick: 0.005, CrossCellPrice: 0.05, CrossZonePrice: 0.01}}
 }
 
 func TestEveryCompletionHasOneFinalAnswer(t *testing.T) {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -137,7 +137,7 @@
 		return
 	}
 	s.keep(at, o, report)
-	s.r.call(func() { s.r.decide.Probed(at, o, report) })
+	s.r.call(func() { s.r.decide.ProbeEnded(at, o, report) })
 }
 
 func (s *shared) keep(at int, o decide.Outcome, report []float64) {
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -9,26 +9,26 @@
 
 // policy is what decides in a router. The program's own is decide.Router; the others are baselines.
 type policy interface {
-	At(now float64)
-	Listed(kind decide.List, facts []decide.Fact)
-	Take(id uint64, p decide.Prompt) handle
-	Probed(engine int, o decide.Outcome, report []float64)
-	Due()
+	SetTime(now float64)
+	UpdateEngines(kind decide.ListKind, facts []decide.EngineEntry)
+	Route(id uint64, p decide.Prompt) handle
+	ProbeEnded(engine int, o decide.Outcome, report []float64)
+	TimerFired()
 }
 
 // handle is a completion as a policy knows it.
 type handle interface {
-	Over() bool
-	Started(dispatch int, took float64)
-	Ended(dispatch int, o decide.Outcome, took float64, done bool, kept float64, report []float64)
-	Placed(dispatch int, held bool)
-	Due()
+	Closed() bool
+	DispatchStarted(dispatch int, took float64)
+	DispatchEnded(dispatch int, o decide.Outcome, took float64, done bool, kept float64, report []float64)
+	ReservationAnswered(dispatch int, held bool)
+	TimerFired()
 }
 
 // ownPolicy is the program's.
 type ownPolicy struct{ *decide.Router }
 
-func (o ownPolicy) Take(id uint64, p decide.Prompt) handle { return o.Router.Take(id, p) }
+func (o ownPolicy) Route(id uint64, p decide.Prompt) handle { return o.Router.Route(id, p) }
 
 // Baseline names what decides instead of decide.Router: readers and writers are picked by one simple rule, what
 // fails without having run is tried elsewhere, what may have run only where that is harmless.
@@ -69,17 +69,17 @@
 	return &simple{rule: b, actions: a, s: s, chance: rand.New(rand.NewPCG(s.Seed, 3))}
 }
 
-func (p *simple) At(now float64)                        { p.now = now }
-func (p *simple) Probed(int, decide.Outcome, []float64) {}
-func (p *simple) Due()                                  {}
+func (p *simple) SetTime(now float64)                       { p.now = now }
+func (p *simple) ProbeEnded(int, decide.Outcome, []float64) {}
+func (p *simple) TimerFired()                               {}
 
-func (p *simple) Listed(_ decide.List, facts []decide.Fact) {
+func (p *simple) UpdateEngines(_ decide.ListKind, facts []decide.EngineEntry) {
 	for _, f := range facts {
-		for len(p.engines) <= f.Engine {
+		for len(p.engines) <= f.Index {
 			p.engines = append(p.engines, known{})
 		}
-		e := &p.engines[f.Engine]
-		e.mark, e.role, e.ready = f.Mark, p.s.Roles[f.Kind], f.Phase == decide.Ready
+		e := &p.engines[f.Index]
+		e.mark, e.role, e.ready = f.Hash, p.s.Roles[f.MachineKind], f.Phase == decide.Ready
 	}
 }
 
@@ -145,22 +145,22 @@
 // early is how long before the client timeout a baseline answers, in seconds.
 const early = 0.05
 
-func (p *simple) Take(id uint64, prompt decide.Prompt) handle {
-	c := &simpleRun{p: p, id: id, prompt: prompt, until: p.now + prompt.Left - early}
-	p.actions.Wake(id, prompt.Left-early)
+func (p *simple) Route(id uint64, prompt decide.Prompt) handle {
+	c := &simpleRun{p: p, id: id, prompt: prompt, until: p.now + prompt.TimeLeft - early}
+	p.actions.SetTimer(id, prompt.TimeLeft-early)
 	c.next()
 	return c
 }
 
 // next makes the next dispatch, or gives up.
 func (c *simpleRun) next() {
-	effect := c.p.s.Workloads[c.prompt.Workload].Effect
+	effect := c.p.s.Workloads[c.prompt.Workload].Idempotency
 	if c.final || c.started || c.out > 0 {
 		return
 	}
 	to := -1
 	if len(c.engines) < c.p.s.MaxDispatches && c.p.now < c.until && (!c.ran || effect == decide.Idempotent) {
-		if !c.read && c.prompt.Len > shortPrompt {
+		if !c.read && c.prompt.Tokens > shortPrompt {
 			to = c.p.pick(true, c.prompt.Session, c.engines)
 		}
 		if to < 0 {
@@ -183,15 +183,15 @@
 	if c.ran {
 		c.p.actions.Abort(c.id)
 	} else {
-		c.p.actions.RateLimit(c.id, c.p.s.MaxComeBack)
+		c.p.actions.RateLimit(c.id, c.p.s.MaxRetryAfter)
 	}
 }
 
-func (c *simpleRun) Over() bool           { return c.final && c.out == 0 }
-func (c *simpleRun) Started(int, float64) { c.started = true }
-func (c *simpleRun) Placed(int, bool)     {}
+func (c *simpleRun) Closed() bool                  { return c.final && c.out == 0 }
+func (c *simpleRun) DispatchStarted(int, float64)  { c.started = true }
+func (c *simpleRun) ReservationAnswered(int, bool) {}
 
-func (c *simpleRun) Ended(n int, o decide.Outcome, _ float64, done bool, _ float64, _ []float64) {
+func (c *simpleRun) DispatchEnded(n int, o decide.Outcome, _ float64, done bool, _ float64, _ []float64) {
 	at := c.engines[n]
 	c.out--
 	c.p.engines[at].out--
@@ -203,7 +203,7 @@
 	switch o {
 	case decide.Read:
 		c.read = true
-	case decide.Full, decide.Unreachable, decide.Moot:
+	case decide.Full, decide.Unreachable, decide.NotSent:
 		c.read = c.read && reads
 	default:
 		c.ran = c.ran || !reads
@@ -212,7 +212,7 @@
 	c.next()
 }
 
-func (c *simpleRun) Due() {
+func (c *simpleRun) TimerFired() {
 	if c.final || c.started || c.p.now < c.until {
 		return
 	}
--- a/internal/lab/return_test.go
+++ b/internal/lab/return_test.go
@@ -33,7 +33,7 @@
 				for i := range s.Groups {
 					s.Groups[i].Model.StartShare, s.Groups[i].Model.Warm = 0.3, warm
 				}
-				s.Decide.Warm, s.Decide.ColdWindow = warm, 2
+				s.Decide.WarmUpTime, s.Decide.OverloadWindow = warm, 2
 				x := c.trouble
 				x.At, x.Length, x.Count = from, until-from, 1
 				s.Troubles = []Trouble{x}
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -38,11 +38,11 @@
 		}
 		r.decide = ownPolicy{one}
 	}
-	var facts []decide.Fact
+	var facts []decide.EngineEntry
 	for _, e := range r.w.engines {
 		facts = append(facts, r.w.fact(e, e.phase, r))
 	}
-	r.call(func() { r.decide.Listed(decide.ListFull, facts) })
+	r.call(func() { r.decide.UpdateEngines(decide.ListSnapshot, facts) })
 	return nil
 }
 
@@ -81,7 +81,7 @@
 
 // call makes a call on decide at the clock's time.
 func (r *router) call(f func()) {
-	r.decide.At(r.w.clock.Now() - r.start)
+	r.decide.SetTime(r.w.clock.Now() - r.start)
 	f()
 }
 
@@ -90,14 +90,14 @@
 	if c.life != r.life { // of a router that is gone
 		return
 	}
-	if c.handle != nil && !c.handle.Over() {
+	if c.handle != nil && !c.handle.Closed() {
 		r.call(func() { f(c.handle) })
 	}
 	r.settle(c)
 }
 
 func (r *router) settle(c *completion) {
-	if c.handle != nil && c.handle.Over() {
+	if c.handle != nil && c.handle.Closed() {
 		delete(r.open, c.id)
 	}
 }
@@ -109,9 +109,9 @@
 	w.result.Completions++
 	w.result.Value += c.value()
 	l := c.load
-	p := decide.Prompt{Workload: l.Workload, Session: c.session, Shared: uint64(l.Workload) + 1, SharedLen: float64(l.Shared), Len: float64(c.prompt),
-		MaxAnswer: float64(max(1, l.MaxAnswer)), Left: l.Timeout}
-	r.call(func() { c.handle = r.decide.Take(c.id, p) })
+	p := decide.Prompt{Workload: l.Workload, Session: c.session, SharedPrefix: uint64(l.Workload) + 1, SharedPrefixTokens: float64(l.Shared), Tokens: float64(c.prompt),
+		MaxOutputTokens: float64(max(1, l.MaxAnswer)), TimeLeft: l.Timeout}
+	r.call(func() { c.handle = r.decide.Route(c.id, p) })
 	r.settle(c)
 }
 
@@ -230,11 +230,11 @@
 		w.result.Late++
 	}
 	w.result.TTFT.RecordValue(int64(ttft * 1e6)) //nolint:errcheck // within its range
-	if ttft <= wl.Target+wl.TargetPerToken*float64(c.prompt) {
+	if ttft <= wl.LatencyTarget+wl.LatencyTargetPerToken*float64(c.prompt) {
 		w.result.InTarget++
 		w.result.Served += c.value()
 	}
-	c.r.of(c, func(h handle) { h.Started(d.n, w.clock.Now()-d.sent) })
+	c.r.of(c, func(h handle) { h.DispatchStarted(d.n, w.clock.Now()-d.sent) })
 }
 
 // end tells decide how a dispatch ended, and has the engine leave what it still does of it.
@@ -271,9 +271,9 @@
 		report = nil
 	}
 	c.r.of(c, func(h handle) {
-		h.Ended(d.n, o, w.clock.Now()-d.sent, done, float64(d.kept), report)
+		h.DispatchEnded(d.n, o, w.clock.Now()-d.sent, done, float64(d.kept), report)
 	})
-	if c.handle != nil && c.handle.Over() && c.state != nil {
+	if c.handle != nil && c.handle.Closed() && c.state != nil {
 		c.state.letGo()
 		c.state = nil
 	}
@@ -305,11 +305,11 @@
 	return []float64{float64(r.Waiting), r.Slots, r.Memory, float64(r.Unread) / 1000}
 }
 
-// HoldPlace is not played: settings must not allow it.
-func (r *router) HoldPlace(id uint64, engine int) {
+// Reserve is not played: settings must not allow it.
+func (r *router) Reserve(id uint64, engine int) {
 	c := r.open[id]
 	n := len(c.runs)
-	r.w.clock.After(0, func() { r.of(c, func(h handle) { h.Placed(n, false) }) })
+	r.w.clock.After(0, func() { r.of(c, func(h handle) { h.ReservationAnswered(n, false) }) })
 }
 
 func (r *router) Release(id uint64) {
@@ -331,19 +331,19 @@
 	r.w.clock.After(0, func() { d.end(decide.Cancelled) })
 }
 
-func (r *router) Wake(id uint64, after float64) {
+func (r *router) SetTimer(id uint64, after float64) {
 	c := r.open[id]
-	r.w.clock.After(after, func() { r.of(c, func(h handle) { h.Due() }) })
+	r.w.clock.After(after, func() { r.of(c, func(h handle) { h.TimerFired() }) })
 }
 
-func (r *router) WakeRouter(after float64) {
+func (r *router) SetRouterTimer(after float64) {
 	if r.w.clock.Now() > r.w.s.Length+wakesAfter { // it would go on for ever
 		return
 	}
 	life := r.life
 	r.w.clock.After(after, func() {
 		if life == r.life {
-			r.call(r.decide.Due)
+			r.call(r.decide.TimerFired)
 		}
 	})
 }
@@ -357,7 +357,7 @@
 	if report := r.shared.fresh(engine); report != nil {
 		r.w.clock.After(0, func() {
 			if life == r.life {
-				r.call(func() { r.decide.Probed(engine, decide.Finished, report) })
+				r.call(func() { r.decide.ProbeEnded(engine, decide.Finished, report) })
 			}
 		})
 		return
@@ -376,12 +376,12 @@
 		}
 		w.clock.After(w.s.Way, func() {
 			if life == r.life {
-				r.call(func() { r.decide.Probed(engine, o, report) })
+				r.call(func() { r.decide.ProbeEnded(engine, o, report) })
 				told(o, report)
 			}
 		})
 	})
 }
 
-func (r *router) Watch()     {}
-func (r *router) Log(string) {}
+func (r *router) WatchEngines() {}
+func (r *router) Log(string)    {}
--- a/internal/lab/trouble.go
+++ b/internal/lab/trouble.go
@@ -143,7 +143,7 @@
 	w.clock.After(w.s.ListLate, func() {
 		for _, r := range w.routers {
 			if !r.isDown {
-				r.call(func() { r.decide.Listed(decide.ListDelta, []decide.Fact{w.fact(e, phase, r)}) })
+				r.call(func() { r.decide.UpdateEngines(decide.ListDelta, []decide.EngineEntry{w.fact(e, phase, r)}) })
 			}
 		}
 	})
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -126,7 +126,7 @@
 			w.links[g.Cell] = emulate.NewLink(s.Link, &w.clock)
 		}
 	}
-	s.Decide.Routers, s.Decide.Columns = s.Routers, []string{"queue", "util", "x0", "x1"}
+	s.Decide.Routers, s.Decide.ReportColumns = s.Routers, []string{"queue", "util", "x0", "x1"}
 	w.s.Decide = s.Decide
 	for i := range s.Routers {
 		r := &router{w: w, index: i, zone: i % max(1, s.Zones)}
@@ -171,13 +171,13 @@
 const longAgo = -1e6
 
 // fact is what the list says of an engine, on a router's clock.
-func (w *world) fact(e *box, phase decide.Phase, r *router) decide.Fact {
+func (w *world) fact(e *box, phase decide.Phase, r *router) decide.EngineEntry {
 	kind := 0
 	for &w.s.Groups[kind] != e.group {
 		kind++
 	}
-	return decide.Fact{Engine: e.index, Mark: uint64(e.index+1) * 0x9E3779B97F4A7C15, Zone: e.group.Zone, Kind: kind, Cell: e.group.Cell,
-		Phase: phase, Started: e.started - r.start}
+	return decide.EngineEntry{Index: e.index, Hash: uint64(e.index+1) * 0x9E3779B97F4A7C15, Zone: e.group.Zone, MachineKind: kind, Cell: e.group.Cell,
+		Phase: phase, StartedAt: e.started - r.start}
 }
 
 // pick is the router that a client comes to: any that is up, nil if none is.
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -36,7 +36,7 @@
 	Completion uint64
 	Took       float64   // seconds since the dispatch was sent
 	Found      float64   // prompt tokens found kept
-	Report     []float64 // as decide.Settings.Columns says, nil for none
+	Report     []float64 // as decide.Settings.ReportColumns says, nil for none
 	Prompt     *decide.Prompt
 	List       *List
 	Deadline   time.Time // by which the planner must have answered
@@ -45,7 +45,7 @@
 
 // List is news of the engines.
 type List struct {
-	Kind    decide.List
+	Kind    decide.ListKind
 	Entries []Entry
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -330,7 +330,7 @@
 func (p *Peer) List(l *link.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.Kind == decide.ListFull || l.Kind == decide.ListCached {
+	if l.Kind == decide.ListSnapshot || l.Kind == decide.ListCachedSnapshot {
 		clear(p.engines)
 	}
 	for _, e := range l.Entries {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -72,7 +72,7 @@
 }
 
 func list(n int) *link.List {
-	l := &link.List{Kind: decide.ListFull}
+	l := &link.List{Kind: decide.ListSnapshot}
 	for i := range n {
 		l.Entries = append(l.Entries, link.Entry{Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "a", Phase: decide.Ready})
 	}
--- a/internal/planner/churn_test.go
+++ b/internal/planner/churn_test.go
@@ -28,7 +28,7 @@
 	const most, lives, every = 128, 10, 20 // engines, and how many steps of so many seconds one lives
 	p, b := planner(t, func(s *decide.Settings, o *Options) {
 		o.MaxEngines, o.Mailbox, o.MaxCompletions = most, 1<<20, 1<<20
-		s.Columns, s.Places, s.Routers = []string{"x0", "x1"}, true, 3
+		s.ReportColumns, s.ReservationsAllowed, s.Routers = []string{"x0", "x1"}, true, 3
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	})
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -40,7 +40,7 @@
 			next++
 			session++
 			f := take(next, 0, 200+3000*rng.Float64(), 5*time.Second)
-			f.Prompt.Session, f.Prompt.Shared, f.Prompt.SharedLen = session, rng.Uint64N(1<<40)+1, 150
+			f.Prompt.Session, f.Prompt.SharedPrefix, f.Prompt.SharedPrefixTokens = session, rng.Uint64N(1<<40)+1, 150
 			p.Offer(f)
 			began := time.Now()
 			p.step()
@@ -77,7 +77,7 @@
 				all = append(all, e)
 			}
 		}
-		p.Tell(fleet(decide.ListFull, all...))
+		p.Tell(fleet(decide.ListSnapshot, all...))
 		p.step()
 	}
 	median := func(d []time.Duration) (p50, p99 time.Duration) {
--- a/internal/planner/cold_test.go
+++ b/internal/planner/cold_test.go
@@ -82,15 +82,15 @@
 					part, all := make([]float64, routers), 0.0 // of the traffic
 					for i := range routers {
 						p, b := planner(t, func(s *decide.Settings, o *Options) {
-							s.Seed, s.Routers, s.ColdShare, s.Warm, s.ColdMultiple, s.ColdWindow = rng.Uint64(), routers, share, warmUp, multiple, window
-							s.Columns, o.MaxEngines = []string{"queue"}, 64
+							s.Seed, s.Routers, s.ColdStartShare, s.WarmUpTime, s.OverloadMultiple, s.OverloadWindow = rng.Uint64(), routers, share, warmUp, multiple, window
+							s.ReportColumns, o.MaxEngines = []string{"queue"}, 64
 							o.Mailbox, o.MaxCompletions = 1<<16, 1<<16
 						})
 						f.routers, f.books = append(f.routers, p), append(f.books, b)
 						part[i] = math.Exp(rng.NormFloat64() * 0.8)
 						all += part[i]
 					}
-					list := func(kind decide.List, entries ...link.Entry) {
+					list := func(kind decide.ListKind, entries ...link.Entry) {
 						for _, p := range f.routers {
 							news := fleet(kind, entries...)
 							f.later(time.Duration(rng.IntN(100))*time.Millisecond, func() { p.Tell(news) })
@@ -103,7 +103,7 @@
 					for i := range 12 {
 						old = append(old, host(fmt.Sprintf("old-%d", i), "read", -1), host(fmt.Sprintf("writer-%d", i), "write", -1))
 					}
-					list(decide.ListFull, old...)
+					list(decide.ListSnapshot, old...)
 					next := uint64(0)
 					for step := 0.0; step < ends; step += 0.01 {
 						time.Sleep(10 * time.Millisecond)
--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -99,9 +99,9 @@
 }
 
 // facts are a list's entries as decide takes them.
-func (t *engines) facts(now float64, l *link.List) []decide.Fact {
-	facts := make([]decide.Fact, 0, len(l.Entries))
-	if l.Kind == decide.ListFull || l.Kind == decide.ListCached {
+func (t *engines) facts(now float64, l *link.List) []decide.EngineEntry {
+	facts := make([]decide.EngineEntry, 0, len(l.Entries))
+	if l.Kind == decide.ListSnapshot || l.Kind == decide.ListCachedSnapshot {
 		listed := make(map[string]bool, len(l.Entries))
 		for _, e := range l.Entries {
 			listed[e.Address] = true
@@ -148,7 +148,7 @@
 }
 
 // gone books that an engine has gone; it holds its names until its index is another's.
-func (t *engines) gone(now float64, i int) decide.Fact {
+func (t *engines) gone(now float64, i int) decide.EngineEntry {
 	k := &t.known[i]
 	if k.phase != decide.Gone {
 		k.phase, k.goneAt = decide.Gone, now
@@ -156,9 +156,9 @@
 	return t.fact(i)
 }
 
-func (t *engines) fact(i int) decide.Fact {
+func (t *engines) fact(i int) decide.EngineEntry {
 	k := &t.known[i]
-	return decide.Fact{Engine: i, Mark: xxhash.Sum64String(k.address), Zone: k.zone, Kind: k.machine, Cell: k.cell, Phase: k.phase, Started: k.started}
+	return decide.EngineEntry{Index: i, Hash: xxhash.Sum64String(k.address), Zone: k.zone, MachineKind: k.machine, Cell: k.cell, Phase: k.phase, StartedAt: k.started}
 }
 
 // starts finds when an engine started. A restart shows as another start. Within one start the age is read once:
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -142,7 +142,7 @@
 func (p *Planner) guard(f *link.Fact) {
 	p.news()
 	defer p.survive(f.Completion)
-	p.router.At(p.now())
+	p.router.SetTime(p.now())
 	p.handle(f)
 }
 
@@ -154,8 +154,8 @@
 	}
 	defer p.survive(0) // of no completion
 	now := p.now()
-	p.router.At(now)
-	p.router.Listed(l.Kind, p.engines.facts(now, l))
+	p.router.SetTime(now)
+	p.router.UpdateEngines(l.Kind, p.engines.facts(now, l))
 }
 
 func (p *Planner) survive(completion uint64) {
@@ -179,7 +179,7 @@
 		return
 	case link.Probed:
 		if at, known := p.engines.byName[f.Address]; known { // else it has left the list since it was asked
-			p.router.Probed(at, f.Outcome, f.Report)
+			p.router.ProbeEnded(at, f.Outcome, f.Report)
 		}
 		return
 	}
@@ -189,13 +189,13 @@
 	}
 	switch f.Kind {
 	case link.Started:
-		o.c.Started(f.Dispatch, f.Took)
+		o.c.DispatchStarted(f.Dispatch, f.Took)
 	case link.Placed:
-		o.c.Placed(f.Dispatch, f.Held)
+		o.c.ReservationAnswered(f.Dispatch, f.Held)
 	case link.Ended:
-		o.c.Ended(f.Dispatch, f.Outcome, f.Took, f.Done, f.Found, f.Report)
+		o.c.DispatchEnded(f.Dispatch, f.Outcome, f.Took, f.Done, f.Found, f.Report)
 	case link.Left:
-		o.c.Left()
+		o.c.ClientLeft()
 	}
 	p.settle(o)
 }
@@ -205,13 +205,13 @@
 	o := &open{id: f.Completion}
 	p.open[f.Completion] = o
 	prompt := *f.Prompt
-	prompt.Left = time.Until(f.Deadline).Seconds()
-	o.c = p.router.Take(f.Completion, prompt)
+	prompt.TimeLeft = time.Until(f.Deadline).Seconds()
+	o.c = p.router.Route(f.Completion, prompt)
 	p.settle(o)
 }
 
 func (p *Planner) settle(o *open) {
-	if !o.over && o.c.Over() {
+	if !o.over && o.c.Closed() {
 		p.drop(o)
 	}
 }
@@ -250,14 +250,14 @@
 
 func (p *Planner) due(t timer) {
 	p.news()
-	p.router.At(p.now())
+	p.router.SetTime(p.now())
 	if t.of == nil {
-		p.router.Due()
+		p.router.TimerFired()
 		return
 	}
 	defer p.survive(t.of.id)
 	t.of.timers--
-	t.of.c.Due()
+	t.of.c.TimerFired()
 	p.settle(t.of)
 }
 
@@ -272,7 +272,7 @@
 	o.sent++
 }
 
-func (a *actions) HoldPlace(completion uint64, engine int) {
+func (a *actions) Reserve(completion uint64, engine int) {
 	a.edge.Order(link.Order{Kind: link.HoldPlace, Completion: completion, Dispatch: a.open[completion].sent - 1,
 		Engine: a.engines.name(engine)})
 }
@@ -293,13 +293,13 @@
 	a.edge.Order(link.Order{Kind: link.Cancel, Completion: completion, Dispatch: dispatch})
 }
 
-func (a *actions) Wake(completion uint64, after float64) {
+func (a *actions) SetTimer(completion uint64, after float64) {
 	o := a.open[completion]
 	o.timers++
 	heap.Push(&a.timers, timer{(*Planner)(a).now() + math.Max(a.tick, after), o})
 }
 
-func (a *actions) WakeRouter(after float64) {
+func (a *actions) SetRouterTimer(after float64) {
 	heap.Push(&a.timers, timer{(*Planner)(a).now() + after, nil})
 }
 
@@ -307,12 +307,12 @@
 	a.edge.Order(link.Order{Kind: link.Probe, Engine: a.engines.name(engine)})
 }
 
-// Watch asks for nothing: internal/fleet keeps the list by itself.
-func (a *actions) Watch() {}
+// WatchEngines asks for nothing: internal/fleet keeps the list by itself.
+func (a *actions) WatchEngines() {}
 
 func (a *actions) Log(text string) { a.log.Info(text, "part", "decide") }
 
-// timer is a call of Due: of a completion, or of the router where of is nil.
+// timer is a call of TimerFired: of a completion, or of the router where of is nil.
 type timer struct {
 	at float64
 	of *open
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -44,8 +44,8 @@
 
 func settings() decide.Settings {
 	return decide.Settings{Seed: 7, Routers: 1, Roles: []decide.Role{decide.Reader, decide.Writer}, Memory: []float64{2e5, 2e5},
-		Workloads:   []decide.Workload{{Target: 1.5, TokenTarget: 0.06, Value: 3}, {Target: 1, Value: 1, Effect: decide.NonIdempotent}},
-		WritersRead: true, Cancels: true, MaxDispatches: 4, MaxComeBack: 1, ColdShare: 0.3, Warm: 10, ColdMultiple: 2, ColdWindow: 2, Tick: 0.002}
+		Workloads:          []decide.Workload{{LatencyTarget: 1.5, InterTokenTarget: 0.06, Value: 3}, {LatencyTarget: 1, Value: 1, Idempotency: decide.NonIdempotent}},
+		WriterReadsAllowed: true, CancelAllowed: true, MaxDispatches: 4, MaxRetryAfter: 1, ColdStartShare: 0.3, WarmUpTime: 10, OverloadMultiple: 2, OverloadWindow: 2, Tick: 0.002}
 }
 
 func planner(t require.TestingT, change func(*decide.Settings, *Options)) (*Planner, *book) {
@@ -63,13 +63,13 @@
 	return link.Entry{Address: fmt.Sprintf("10.0.0.%d:8000", n), Zone: "a", Cell: "a1", Machine: machine, Phase: phase, Age: -1}
 }
 
-func fleet(kind decide.List, entries ...link.Entry) link.Fact {
+func fleet(kind decide.ListKind, entries ...link.Entry) link.Fact {
 	return link.Fact{Kind: link.Listed, List: &link.List{Kind: kind, Entries: entries}}
 }
 
 func take(id uint64, work int, tokens float64, left time.Duration) link.Fact {
 	return link.Fact{Kind: link.Take, Completion: id, Deadline: time.Now().Add(left),
-		Prompt: &decide.Prompt{Workload: work, Session: id, Len: tokens, MaxAnswer: 50}}
+		Prompt: &decide.Prompt{Workload: work, Session: id, Tokens: tokens, MaxOutputTokens: 50}}
 }
 
 // step reads what is in the mailbox, as Run does.
@@ -83,14 +83,14 @@
 // TestOwnZone: whichever number the settings give the router's zone, its own engines are the near ones.
 func TestOwnZone(t *testing.T) {
 	for number, own := range []string{"a", "b", "c"} {
-		p, b := planner(t, func(s *decide.Settings, o *Options) { s.Zone, s.CrossPrice, o.Zone = number, 0.1, own })
+		p, b := planner(t, func(s *decide.Settings, o *Options) { s.Zone, s.CrossZonePrice, o.Zone = number, 0.1, own })
 		var entries []link.Entry
 		for i, zone := range []string{"c", "a", "b"} { // in any order
 			e := entry(i+1, "write", decide.Ready)
 			e.Zone, e.Cell = zone, zone+"1"
 			entries = append(entries, e)
 		}
-		p.Tell(fleet(decide.ListFull, entries...))
+		p.Tell(fleet(decide.ListSnapshot, entries...))
 		for id := range uint64(5) {
 			p.Offer(take(id+1, 0, 100, time.Second))
 		}
@@ -105,7 +105,7 @@
 
 func TestMailbox(t *testing.T) {
 	p, _ := planner(t, func(_ *decide.Settings, o *Options) { o.Mailbox, o.MaxCompletions = 3, 5 })
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready)))
 	offered := 0
 	for id := range uint64(9) {
 		if p.Offer(take(id+1, 0, 100, time.Second)) {
@@ -138,7 +138,7 @@
 		ctx, end := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() { p.Run(ctx); close(ended) }()
-		p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready)))
+		p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready)))
 		p.Offer(take(1, 0, 100, 300*time.Millisecond))
 		time.Sleep(290 * time.Millisecond)
 		synctest.Wait()
@@ -159,7 +159,7 @@
 // TestReads: a long prompt goes to a reader as a read, and its state to a writer.
 func TestReads(t *testing.T) {
 	p, b := planner(t, nil)
-	p.Tell(fleet(decide.ListFull, entry(1, "read", decide.Ready), entry(2, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "read", decide.Ready), entry(2, "write", decide.Ready)))
 	p.Offer(take(1, 0, 5000, time.Second))
 	p.step()
 	p.Tell(link.Fact{Kind: link.Ended, Completion: 1, Outcome: decide.Read, Took: 0.1})
@@ -177,7 +177,7 @@
 // TestPanic: a panic in decide costs its completion an abort and no more.
 func TestPanic(t *testing.T) {
 	p, b := planner(t, nil)
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready)))
 	p.Offer(take(1, 99, 100, time.Second)) // a workload that is not there
 	p.Offer(take(2, 0, 100, time.Second))
 	p.step()
@@ -190,7 +190,7 @@
 // TestTimersBounded: timers of completions that are over don't pile up.
 func TestTimersBounded(t *testing.T) {
 	p, _ := planner(t, func(_ *decide.Settings, o *Options) { o.Mailbox = 1 << 20 })
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready)))
 	for id := range uint64(20000) {
 		p.Offer(take(id, 0, 10, time.Hour))
 		p.Tell(link.Fact{Kind: link.Started, Completion: id})
@@ -203,26 +203,26 @@
 
 func TestEngines(t *testing.T) {
 	e := newEngines(2, []Machine{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
-	list := func(kind decide.List, entries ...link.Entry) *link.List {
+	list := func(kind decide.ListKind, entries ...link.Entry) *link.List {
 		return &link.List{Kind: kind, Entries: entries}
 	}
 	young := entry(1, "read", decide.Ready)
 	young.Start, young.Age = 77, 3
-	facts := e.facts(10, list(decide.ListFull, young, entry(2, "odd", decide.Ready), entry(3, "read", decide.Ready)))
+	facts := e.facts(10, list(decide.ListSnapshot, young, entry(2, "odd", decide.Ready), entry(3, "read", decide.Ready)))
 	require.Len(t, facts, 2, "no more than may be known")
-	assert.Equal(t, 7.0, facts[0].Started)
+	assert.Equal(t, 7.0, facts[0].StartedAt)
 	assert.Equal(t, decide.Reader, e.known[0].role)
 	assert.Equal(t, 1, facts[0].Zone, "the router's own zone is 0")
-	assert.Equal(t, 1, facts[1].Kind, "an unknown machine is a kind of its own")
+	assert.Equal(t, 1, facts[1].MachineKind, "an unknown machine is a kind of its own")
 	assert.Equal(t, decide.Mixed, e.known[1].role)
 	young.Age = 5.5
-	assert.Equal(t, 7.0, e.facts(12, list(decide.ListDelta, young))[0].Started, "one start has one age")
+	assert.Equal(t, 7.0, e.facts(12, list(decide.ListDelta, young))[0].StartedAt, "one start has one age")
 	young.Start, young.Age = 78, 0.5
-	assert.Equal(t, 11.5, e.facts(12, list(decide.ListDelta, young))[0].Started, "a restart")
-	e.facts(20, list(decide.ListFull, young)) // 2 is gone
+	assert.Equal(t, 11.5, e.facts(12, list(decide.ListDelta, young))[0].StartedAt, "a restart")
+	e.facts(20, list(decide.ListSnapshot, young)) // 2 is gone
 	again := e.facts(100, list(decide.ListDelta, entry(3, "read", decide.Ready)))
 	require.Len(t, again, 1)
-	assert.Equal(t, 1, again[0].Engine, "and serves another")
+	assert.Equal(t, 1, again[0].Index, "and serves another")
 	assert.Equal(t, "10.0.0.3:8000", e.name(1))
 }
 
@@ -236,9 +236,9 @@
 	for i := range 5000 {
 		other := entry(2+i%3, "read", decide.Ready)
 		other.Zone, other.Cell = fmt.Sprint("zone", i), fmt.Sprint("cell", i)
-		for _, f := range e.facts(float64(i*100), &link.List{Kind: decide.ListFull, Entries: []link.Entry{stays, other}}) {
+		for _, f := range e.facts(float64(i*100), &link.List{Kind: decide.ListSnapshot, Entries: []link.Entry{stays, other}}) {
 			most = max(most, f.Zone, f.Cell)
-			if f.Engine == 0 {
+			if f.Index == 0 {
 				require.Zero(t, f.Zone, "the own zone")
 				require.Zero(t, f.Cell)
 				continue
@@ -258,7 +258,7 @@
 			require.Equal(t, decide.Gone, facts[1].Phase, "not where it was")
 		}
 		require.LessOrEqual(t, len(e.cells.all), 2*4+1)
-		require.Zero(t, facts[0].Engine)
+		require.Zero(t, facts[0].Index)
 	}
 }
 
@@ -267,16 +267,16 @@
 func TestIndicesUnderPressure(t *testing.T) {
 	e := newEngines(4, []Machine{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
 	for i := range 100 {
-		l := &link.List{Kind: decide.ListFull, Entries: []link.Entry{entry(0, "read", decide.Ready), entry(i+1, "read", decide.Ready), entry(i+2, "read", decide.Ready)}}
+		l := &link.List{Kind: decide.ListSnapshot, Entries: []link.Entry{entry(0, "read", decide.Ready), entry(i+1, "read", decide.Ready), entry(i+2, "read", decide.Ready)}}
 		facts := e.facts(float64(i), l)
 		require.Len(t, facts, 3, "all who are there")
-		require.Zero(t, facts[0].Engine)
-		require.NotEqual(t, facts[1].Engine, facts[2].Engine)
+		require.Zero(t, facts[0].Index)
+		require.NotEqual(t, facts[1].Index, facts[2].Index)
 		for k, f := range facts {
-			require.Equal(t, l.Entries[k].Address, e.name(f.Engine))
+			require.Equal(t, l.Entries[k].Address, e.name(f.Index))
 		}
 	}
-	l := &link.List{Kind: decide.ListFull}
+	l := &link.List{Kind: decide.ListSnapshot}
 	for i := range 5 {
 		l.Entries = append(l.Entries, entry(200+i, "read", decide.Ready))
 	}
@@ -307,9 +307,9 @@
 			e := newEngines(4, nil, "home", slog.New(slog.DiscardHandler))
 			ready := c.first
 			ready.Phase = decide.Ready
-			e.facts(10, &link.List{Kind: decide.ListFull, Entries: []link.Entry{ready}})
+			e.facts(10, &link.List{Kind: decide.ListSnapshot, Entries: []link.Entry{ready}})
 			e.facts(50, &link.List{Kind: decide.ListDelta, Entries: []link.Entry{c.first}})
-			assert.Equal(t, c.want, e.facts(100, &link.List{Kind: decide.ListDelta, Entries: []link.Entry{c.next}})[0].Started)
+			assert.Equal(t, c.want, e.facts(100, &link.List{Kind: decide.ListDelta, Entries: []link.Entry{c.next}})[0].StartedAt)
 		})
 	}
 }
@@ -320,14 +320,14 @@
 	e := newEngines(4, []Machine{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
 	there := entry(1, "read", decide.Ready)
 	there.Start, there.Age = 77, 3
-	first := e.facts(10, &link.List{Kind: decide.ListFull, Entries: []link.Entry{there}})[0]
+	first := e.facts(10, &link.List{Kind: decide.ListSnapshot, Entries: []link.Entry{there}})[0]
 	bare := func(n int) link.Entry {
 		return link.Entry{Address: entry(n, "", 0).Address, Phase: decide.Gone, Age: -1}
 	}
 	gone := e.facts(20, &link.List{Kind: decide.ListDelta, Entries: []link.Entry{bare(1), bare(2)}})
 	want := first
 	want.Phase = decide.Gone
-	assert.Equal(t, []decide.Fact{want}, gone)
+	assert.Equal(t, []decide.EngineEntry{want}, gone)
 	assert.Len(t, e.known, 1)
 	assert.Equal(t, first, e.facts(30, &link.List{Kind: decide.ListDelta, Entries: []link.Entry{there}})[0], "the same life of it")
 }
@@ -335,14 +335,14 @@
 // TestReusedIndex: a probe's result goes to the engine that was asked, not to the one that has its index now; and the
 // new one inherits nothing, though neither's start is told.
 func TestReusedIndex(t *testing.T) {
-	p, b := planner(t, func(s *decide.Settings, o *Options) { o.MaxEngines = 2; s.Columns = []string{"x0", "x1"} })
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready), entry(2, "write", decide.Ready)))
+	p, b := planner(t, func(s *decide.Settings, o *Options) { o.MaxEngines = 2; s.ReportColumns = []string{"x0", "x1"} })
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready), entry(2, "write", decide.Ready)))
 	p.step()
 	full := link.Fact{Kind: link.Probed, Address: entry(2, "", 0).Address, Outcome: decide.Finished, Report: []float64{1, 900}}
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready)))
 	p.step()
 	p.start = p.start.Add(-time.Minute)
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready), entry(3, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready), entry(3, "write", decide.Ready)))
 	p.Tell(full)
 	for range 4 {
 		p.Tell(link.Fact{Kind: link.Probed, Address: entry(1, "", 0).Address, Outcome: decide.Finished, Report: []float64{0.9, 1}})
@@ -356,8 +356,8 @@
 // TestStalledMailbox: while the planner stands still, news and reports come by the thousand and what waits stays
 // bounded; when it goes on it knows the last of each.
 func TestStalledMailbox(t *testing.T) {
-	p, b := planner(t, func(s *decide.Settings, _ *Options) { s.Columns = []string{"x0", "x1"} })
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready), entry(2, "write", decide.Ready), entry(3, "write", decide.Ready)))
+	p, b := planner(t, func(s *decide.Settings, _ *Options) { s.ReportColumns = []string{"x0", "x1"} })
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready), entry(2, "write", decide.Ready), entry(3, "write", decide.Ready)))
 	for i := range 50000 {
 		n := 1 + i%3
 		p.Tell(link.Fact{Kind: link.Probed, Address: entry(n, "", 0).Address, Outcome: decide.Finished, Report: []float64{float64(n) / 4, 1}})
@@ -375,12 +375,12 @@
 		assert.Equal(t, entry(1, "", 0).Address, o.Engine, "the one that is ready by the last news")
 	}
 	require.Len(t, b.of(link.Dispatch), 16, "as many as may wait")
-	p.Tell(fleet(decide.ListFull, entry(2, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(2, "write", decide.Ready)))
 	for range 100 {
 		p.Tell(fleet(decide.ListDelta, entry(3, "write", decide.Ready)))
 		p.Tell(fleet(decide.ListDelta, entry(3, "write", decide.Gone)))
 	}
-	p.Tell(fleet(decide.ListFull, entry(4, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(4, "write", decide.Ready)))
 	p.step()
 	p.Offer(take(99, 0, 100, time.Second))
 	p.step()
@@ -392,7 +392,7 @@
 // planner that stood still goes on.
 func TestNewsFirst(t *testing.T) {
 	p, b := planner(t, nil)
-	p.Tell(fleet(decide.ListFull, entry(1, "write", decide.Ready)))
+	p.Tell(fleet(decide.ListSnapshot, entry(1, "write", decide.Ready)))
 	p.step()
 	p.Offer(take(1, 0, 100, time.Second))
 	batch := p.box.take(nil) // the planner stands still with it
@@ -425,7 +425,10 @@
 // TestAnyOrder plays any legal course of facts and holds what is ordered to what every edge relies on.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, b := planner(t, func(s *decide.Settings, o *Options) { s.Places = rapid.Bool().Draw(t, "places"); o.Mailbox = 1000 })
+		p, b := planner(t, func(s *decide.Settings, o *Options) {
+			s.ReservationsAllowed = rapid.Bool().Draw(t, "places")
+			o.Mailbox = 1000
+		})
 		now := 0.0
 		p.start = time.Now().Add(-time.Hour) // time is moved by hand below
 		type state struct {
@@ -459,7 +462,7 @@
 				}
 			}
 		}
-		p.Tell(fleet(decide.ListFull, entry(1, "read", decide.Ready), entry(2, "write", decide.Ready), entry(3, "write", decide.Ready)))
+		p.Tell(fleet(decide.ListSnapshot, entry(1, "read", decide.Ready), entry(2, "write", decide.Ready), entry(3, "write", decide.Ready)))
 		settle()
 		pick := func() (uint64, *state, int) {
 			for id := uint64(1); id <= next; id++ {
@@ -485,7 +488,7 @@
 			},
 			"end": func(t *rapid.T) {
 				if id, c, n := pick(); c != nil {
-					o := decide.Outcome(rapid.IntRange(int(decide.Finished), int(decide.Moot)).Draw(t, "outcome"))
+					o := decide.Outcome(rapid.IntRange(int(decide.Finished), int(decide.NotSent)).Draw(t, "outcome"))
 					delete(c.out, n)
 					c.done = c.done || o == decide.Finished || c.began
 					p.Tell(link.Fact{Kind: link.Ended, Completion: id, Dispatch: n, Outcome: o, Took: 0.1, Done: c.done})
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -59,7 +59,7 @@
 	require.NoError(t, ln.Close())
 	c := client(t, Engine{Name: "refuses", Address: address})
 	require.Equal(t, decide.Unreachable, read(c, "refuses").Outcome)
-	require.Equal(t, decide.Moot, read(c, "nobody").Outcome)
+	require.Equal(t, decide.NotSent, read(c, "nobody").Outcome)
 }
 
 // TestBrokenWrite: a connection that breaks while the call is written counts as never run.
--- a/internal/platform/backend/dispatch.go
+++ b/internal/platform/backend/dispatch.go
@@ -39,9 +39,9 @@
 	if err != nil {
 		r := &engine.Result{Outcome: engine.OutcomeOf(ctx, err, sent), Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
 		if errors.Is(err, errUnknown) || errors.Is(err, errDrains) || errors.Is(err, errTooLate) {
-			r.Outcome = decide.Moot
+			r.Outcome = decide.NotSent
 		}
-		if r.Outcome != decide.Cancelled && r.Outcome != decide.Moot && r.Outcome != decide.Errored {
+		if r.Outcome != decide.Cancelled && r.Outcome != decide.NotSent && r.Outcome != decide.Errored {
 			c.forget(call.Address)
 		}
 		return nil, r
--- a/internal/platform/backend/ready_test.go
+++ b/internal/platform/backend/ready_test.go
@@ -63,10 +63,10 @@
 		"nothing": {func(*lateEngine, context.CancelCauseFunc) {}, decide.Read},
 		"it drains": {func(l *lateEngine, _ context.CancelCauseFunc) {
 			l.client.Listed(false, []Engine{{"e", "any", true}}, nil)
-		}, decide.Moot},
-		"it is gone":    {func(l *lateEngine, _ context.CancelCauseFunc) { l.client.Listed(false, nil, []string{"e"}) }, decide.Moot},
-		"caller leaves": {func(_ *lateEngine, cancel context.CancelCauseFunc) { cancel(engine.ErrCancelled) }, decide.Moot},
-		"too late":      {func(*lateEngine, context.CancelCauseFunc) { time.Sleep(given) }, decide.Moot},
+		}, decide.NotSent},
+		"it is gone":    {func(l *lateEngine, _ context.CancelCauseFunc) { l.client.Listed(false, nil, []string{"e"}) }, decide.NotSent},
+		"caller leaves": {func(_ *lateEngine, cancel context.CancelCauseFunc) { cancel(engine.ErrCancelled) }, decide.NotSent},
+		"too late":      {func(*lateEngine, context.CancelCauseFunc) { time.Sleep(given) }, decide.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -135,9 +135,9 @@
 		o    Options
 		want decide.Outcome
 	}{
-		"connect: EADDRNOTAVAIL":              {dials(syscall.EADDRNOTAVAIL), decide.Moot},
-		"connect: ENOBUFS":                    {dials(syscall.ENOBUFS), decide.Moot},
-		"connect: EMFILE":                     {dials(syscall.EMFILE), decide.Moot},
+		"connect: EADDRNOTAVAIL":              {dials(syscall.EADDRNOTAVAIL), decide.NotSent},
+		"connect: ENOBUFS":                    {dials(syscall.ENOBUFS), decide.NotSent},
+		"connect: EMFILE":                     {dials(syscall.EMFILE), decide.NotSent},
 		"connect: ENETUNREACH":                {dials(syscall.ENETUNREACH), decide.Unreachable},
 		"connect: ECONNREFUSED":               {dials(syscall.ECONNREFUSED), decide.Unreachable},
 		"write: EPIPE at once":                {conns(faultyConn{write: syscall.EPIPE}), decide.Unreachable},
--- a/internal/platform/front/call.go
+++ b/internal/platform/front/call.go
@@ -99,10 +99,10 @@
 		if err != nil || !(hint >= 0) || hint > 1e12 {
 			return nil, bad(400, "x-cost-hint: %.40q: wanted microseconds", values[6])
 		}
-		w.prompt.AnswerHint = hint / 1e6
+		w.prompt.OutputTimeHint = hint / 1e6
 	}
 	retry, _ := h.Get("x-retry")
-	w.prompt.Again = retry == "again"
+	w.prompt.Resumed = retry == "again"
 	return w, w.extras(values[5])
 }
 
@@ -119,7 +119,7 @@
 			return bad(400, "x-extras: %.40q: wanted NAME=VALUE", entry)
 		}
 		if name == "prefix" {
-			w.prompt.Shared = xxhash.Sum64String(value)
+			w.prompt.SharedPrefix = xxhash.Sum64String(value)
 			continue
 		}
 		n, err := strconv.ParseFloat(value, 64)
@@ -128,15 +128,15 @@
 		}
 		switch name {
 		case "prompt_len":
-			w.prompt.Len = n
+			w.prompt.Tokens = n
 		case "prefix_len":
-			w.prompt.SharedLen = n
+			w.prompt.SharedPrefixTokens = n
 		case "max_out":
-			w.prompt.MaxAnswer = n
+			w.prompt.MaxOutputTokens = n
 		}
 	}
-	if w.prompt.Shared == 0 {
-		w.prompt.SharedLen = 0
+	if w.prompt.SharedPrefix == 0 {
+		w.prompt.SharedPrefixTokens = 0
 	}
 	return nil
 }
@@ -153,13 +153,13 @@
 	if !root.IsObject() || !root.Get("messages").IsArray() {
 		return bad(400, "the body: wanted an object with messages")
 	}
-	if w.prompt.Len == 0 {
-		w.prompt.Len = math.Ceil(float64(len(body)) / bytesPerToken)
+	if w.prompt.Tokens == 0 {
+		w.prompt.Tokens = math.Ceil(float64(len(body)) / bytesPerToken)
 	}
-	if w.prompt.MaxAnswer == 0 {
-		w.prompt.MaxAnswer = math.Min(lengthMost, math.Max(0, root.Get("max_tokens").Float()))
+	if w.prompt.MaxOutputTokens == 0 {
+		w.prompt.MaxOutputTokens = math.Min(lengthMost, math.Max(0, root.Get("max_tokens").Float()))
 	}
-	w.prompt.SharedLen = math.Min(w.prompt.SharedLen, w.prompt.Len)
+	w.prompt.SharedPrefixTokens = math.Min(w.prompt.SharedPrefixTokens, w.prompt.Tokens)
 	return nil
 }
 
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -215,7 +215,7 @@
 			return
 		}
 	}
-	if w.prompt.Again {
+	if w.prompt.Resumed {
 		s.again.Add(1)
 	}
 	held := int64(0)
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -80,10 +80,10 @@
 	free := c.Sockets - ownSockets
 	clients := free * clientPart / 100
 	engines := free - clients
-	r.backend = backend.New(backend.Options{Columns: s.Decide.Columns, Probes: s.Decide.Probes, ConnectTimeout: s.ConnectTimeout,
+	r.backend = backend.New(backend.Options{Columns: s.Decide.ReportColumns, Probes: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
 		IdleConn: s.ConnIdle, MaxConns: engines})
 	r.edge = edge.New(edge.Options{Margin: margin, LetGo: s.LetGo + holdSlack, Engines: r.backend, OneName: true, Log: log, Observe: r.figures})
-	s.Decide.PlacesUnsure = true // its answer may leave open whether a place is held
+	s.Decide.ReservationsUnconfirmed = true // its answer may leave open whether a place is held
 	var machines []planner.Machine
 	for i, name := range s.Machines {
 		machines = append(machines, planner.Machine{Name: name, Role: s.Decide.Roles[i]})
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	r.edge.Plan(r.planner)
-	comeBack := min(comeBackMost, time.Duration(s.Decide.MaxComeBack*float64(time.Second)))
+	comeBack := min(comeBackMost, time.Duration(s.Decide.MaxRetryAfter*float64(time.Second)))
 	r.front = front.New(front.Options{Listener: ln, Edge: r.edge, Workloads: s.Workloads, Tenants: s.Tenants, MaxConns: clients,
 		MaxBodies: c.Memory * bodyPart / 100, ComeBack: comeBack, Margin: margin, StreamMost: streamMost, Log: log})
 	r.follow = discovery.New(c.Discovery, r.tell, log)
@@ -125,7 +125,7 @@
 		r.log.Warn("config: known", "err", err)
 		return
 	}
-	r.hand(l, decide.ListCached)
+	r.hand(l, decide.ListCachedSnapshot)
 	if len(l.Hosts) > 0 {
 		r.front.Ready()
 	}
@@ -135,14 +135,14 @@
 func (r *Router) tell(l *discovery.List) {
 	kind := decide.ListDelta
 	if l.Whole {
-		kind = decide.ListFull
+		kind = decide.ListSnapshot
 	}
 	r.hand(l, kind)
 	r.front.Ready()
 }
 
 // hand hands a list to those who need it: addresses first, so that an engine is reached as soon as it is chosen.
-func (r *Router) hand(l *discovery.List, kind decide.List) {
+func (r *Router) hand(l *discovery.List, kind decide.ListKind) {
 	ages := r.births.list(r.clock(), kind != decide.ListDelta)
 	news := &link.List{Kind: kind}
 	var engines []backend.Engine
--- a/internal/platform/service/size_test.go
+++ b/internal/platform/service/size_test.go
@@ -35,7 +35,7 @@
 		return l
 	}
 	tell := func(round int) {
-		s.r.hand(list(round), decide.ListFull)
+		s.r.hand(list(round), decide.ListSnapshot)
 		require.Eventually(t, func() bool { return s.r.planner.Figures().Waiting == 0 }, 5*time.Second, time.Millisecond)
 		time.Sleep(50 * time.Millisecond) // until the planner has it in hand
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -112,17 +112,17 @@
 	}
 	fam := raw.FamilyInfo
 	s := decide.Settings{
-		Routers: raw.Balancers, Zone: raw.MyZone, Tick: raw.Tick / 1e9, OverShare: raw.OverShare,
-		Memory: fam.KVTokens, Columns: raw.Telemetry.Columns,
-		Probes: raw.Limits.Probes, Places: fam.HoldsAllowed, WritersRead: fam.WritersRead,
-		Cancels: raw.Limits.Cancel, MaxDispatches: raw.Limits.SendCap,
-		ListAsked: raw.Registry == "on_request",
-		ColdShare: raw.Rules.ColdFrom, Warm: raw.Rules.WarmUp / 1e9,
-		ColdMultiple: raw.Rules.TipMultiple, ColdWindow: raw.Rules.Fall / 1e9,
-		FarPrice: fam.TransferPrice, CrossPrice: raw.Prices.CrossZone,
+		Routers: raw.Balancers, Zone: raw.MyZone, Tick: raw.Tick / 1e9, OverShareValue: raw.OverShare,
+		Memory: fam.KVTokens, ReportColumns: raw.Telemetry.Columns,
+		ProbesAllowed: raw.Limits.Probes, ReservationsAllowed: fam.HoldsAllowed, WriterReadsAllowed: fam.WritersRead,
+		CancelAllowed: raw.Limits.Cancel, MaxDispatches: raw.Limits.SendCap,
+		ListOnRequest:  raw.Registry == "on_request",
+		ColdStartShare: raw.Rules.ColdFrom, WarmUpTime: raw.Rules.WarmUp / 1e9,
+		OverloadMultiple: raw.Rules.TipMultiple, OverloadWindow: raw.Rules.Fall / 1e9,
+		CrossCellPrice: fam.TransferPrice, CrossZonePrice: raw.Prices.CrossZone,
 	}
 	if raw.Limits.RetryAfter {
-		s.MaxComeBack = raw.Limits.MaxRetryAfter / 1e9
+		s.MaxRetryAfter = raw.Limits.MaxRetryAfter / 1e9
 	}
 	for _, stage := range fam.StageOfKind {
 		role, known := roles[stage]
@@ -134,28 +134,28 @@
 	all := Settings{Zones: raw.Zones, Machines: raw.Kinds, ConnIdle: time.Duration(raw.Limits.ConnIdle),
 		ConnectTimeout: time.Duration(raw.Limits.ConnectTimeout), LetGo: time.Duration(fam.LetGo), Resume: fam.Resume}
 	for i, l := range raw.Lanes {
-		w := decide.Workload{Target: l.Aim / 1e9, Value: l.Worth, Window: l.Window / 1e9}
+		w := decide.Workload{LatencyTarget: l.Aim / 1e9, Value: l.Worth, DedupWindow: l.Window / 1e9}
 		switch l.Effect {
 		case "free":
-			w.Effect = decide.Idempotent
+			w.Idempotency = decide.Idempotent
 		case "guarded":
-			w.Effect = decide.Tokened
+			w.Idempotency = decide.Tokened
 		default: // an unknown kind is taken for the strictest
-			w.Effect = decide.NonIdempotent
+			w.Idempotency = decide.NonIdempotent
 		}
 		switch l.Group {
 		case "", "all":
-			w.Group = decide.GroupAll
+			w.DedupScope = decide.DedupAll
 		case "zone":
-			w.Group = decide.GroupZone
+			w.DedupScope = decide.DedupZone
 		default:
-			w.Group = decide.GroupCell
+			w.DedupScope = decide.DedupCell
 		}
 		if i < len(fam.TargetPerThousand) {
-			w.TargetPerToken = fam.TargetPerThousand[i] / 1e9
+			w.LatencyTargetPerToken = fam.TargetPerThousand[i] / 1e9
 		}
 		if i < len(fam.TokenTarget) {
-			w.TokenTarget = fam.TokenTarget[i] / 1e9
+			w.InterTokenTarget = fam.TokenTarget[i] / 1e9
 		}
 		s.Workloads = append(s.Workloads, w)
 		all.Workloads = append(all.Workloads, l.Name)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -32,7 +32,7 @@
 
 var outcomes = [...]string{decide.Finished: "finished", decide.Read: "read", decide.Errored: "errored", decide.Full: "full",
 	decide.TimedOut: "timed_out", decide.Unreachable: "unreachable", decide.Broken: "broken", decide.Cancelled: "cancelled",
-	decide.Moot: "moot"}
+	decide.NotSent: "moot"}
 
 // Metrics are a router's figures. It is an edge.Observer.
 type Metrics struct {
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -34,7 +34,7 @@
 	in.u64(nanoseconds(timeout))
 }
 
-func (in *instance) HoldPlace(completion uint64, engine int) {
+func (in *instance) Reserve(completion uint64, engine int) {
 	in.act(1070, 14)
 	in.u64(completion)
 	*in.out = append(*in.out, in.address[engine][:]...)
@@ -62,20 +62,20 @@
 	*in.out = append(*in.out, byte(dispatch))
 }
 
-func (in *instance) Wake(completion uint64, after float64) {
+func (in *instance) SetTimer(completion uint64, after float64) {
 	in.act(1130, 16)
 	in.u64(nanoseconds(after))
 	in.u64(completion)
 }
 
-func (in *instance) WakeRouter(after float64) { in.Wake(routerWake, after) }
+func (in *instance) SetRouterTimer(after float64) { in.SetTimer(routerWake, after) }
 
 func (in *instance) Probe(engine int) {
 	in.act(1110, 6)
 	*in.out = append(*in.out, in.address[engine][:]...)
 }
 
-func (in *instance) Watch() {
+func (in *instance) WatchEngines() {
 	in.act(1040, 1)
 	*in.out = append(*in.out, 1)
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -29,7 +29,7 @@
 	521: decide.Unreachable,
 	520: decide.Broken,
 	444: decide.Cancelled,
-	409: decide.Moot,
+	409: decide.NotSent,
 	100: decide.Read,
 }
 
@@ -75,18 +75,18 @@
 	entries := &frame{data: f.data, pos: f.pos, end: f.end, code: f.code}
 	f.take(n * 24)
 	h.call(who, clock, f.err, func(in *instance) {
-		facts := make([]decide.Fact, n)
+		facts := make([]decide.EngineEntry, n)
 		for i := range facts {
 			address := entries.address()
-			e := decide.Fact{Engine: in.engine(address), Mark: mark(address), Zone: int(entries.u16()), Kind: int(entries.u8()),
-				Cell: int(entries.u16()), Phase: decide.Phase(entries.u8()), Started: longAgo}
+			e := decide.EngineEntry{Index: in.engine(address), Hash: mark(address), Zone: int(entries.u16()), MachineKind: int(entries.u8()),
+				Cell: int(entries.u16()), Phase: decide.Phase(entries.u8()), StartedAt: longAgo}
 			entries.float()
 			if since := entries.u64(); since != 0 {
-				e.Started = in.since(since)
+				e.StartedAt = in.since(since)
 			}
 			facts[i] = e
 		}
-		in.router.Listed(decide.List(scope), facts)
+		in.router.UpdateEngines(decide.ListKind(scope), facts)
 	})
 }
 
@@ -97,14 +97,14 @@
 
 func query(h *Host, f *frame, clock uint64) {
 	who, id, bits, hint := f.u32(), f.u64(), f.u16(), f.seconds()
-	p := decide.Prompt{Workload: int(f.u8()), SharedLen: f.float(), MaxAnswer: f.float(), Len: f.float(),
-		Session: f.u64(), Shared: f.u64(), Tenant: int(f.u16()), Left: f.seconds()}
+	p := decide.Prompt{Workload: int(f.u8()), SharedPrefixTokens: f.float(), MaxOutputTokens: f.float(), Tokens: f.float(),
+		Session: f.u64(), SharedPrefix: f.u64(), Tenant: int(f.u16()), TimeLeft: f.seconds()}
 	if bits&1 != 0 {
-		p.AnswerHint = hint
+		p.OutputTimeHint = hint
 	}
-	p.Again = bits&16 != 0
+	p.Resumed = bits&16 != 0
 	h.call(who, clock, f.err, func(in *instance) {
-		if c := in.router.Take(id, p); !c.Over() {
+		if c := in.router.Route(id, p); !c.Closed() {
 			in.handles[id] = c
 		}
 	})
@@ -114,7 +114,7 @@
 	who, id, n := f.u32(), f.u64(), int(f.u8())
 	f.address()
 	took := f.seconds()
-	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.Started(n, took) })
+	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.DispatchStarted(n, took) })
 }
 
 func reportBack(h *Host, f *frame, clock uint64) {
@@ -122,28 +122,28 @@
 	f.address()
 	verdict, took, done, note, report := f.u16(), f.seconds(), f.u8() != 0, f.u32(), f.report()
 	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) {
-		c.Ended(n, outcome(verdict), took, done, float64(note), report)
+		c.DispatchEnded(n, outcome(verdict), took, done, float64(note), report)
 	})
 }
 
 func clientLeft(h *Host, f *frame, clock uint64) {
 	who, id := f.u32(), f.u64()
-	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.Left() })
+	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.ClientLeft() })
 }
 
 func elapsed(h *Host, f *frame, clock uint64) {
 	who, token := f.u32(), f.u64()
 	if token == routerWake {
-		h.call(who, clock, f.err, func(in *instance) { in.router.Due() })
+		h.call(who, clock, f.err, func(in *instance) { in.router.TimerFired() })
 		return
 	}
-	h.onHandle(who, clock, token, f.err, func(_ *instance, c *decide.Completion) { c.Due() })
+	h.onHandle(who, clock, token, f.err, func(_ *instance, c *decide.Completion) { c.TimerFired() })
 }
 
 func healthResult(h *Host, f *frame, clock uint64) {
 	who, engine, verdict, _, report := f.u32(), f.address(), f.u16(), f.seconds(), f.report()
 	h.call(who, clock, f.err, func(in *instance) {
-		in.router.Probed(in.engine(engine), outcome(verdict), report)
+		in.router.ProbeEnded(in.engine(engine), outcome(verdict), report)
 	})
 }
 
@@ -154,5 +154,5 @@
 
 func booking(h *Host, f *frame, clock uint64) {
 	who, id, _, n, _, kind := f.u32(), f.u64(), f.float(), int(f.u8()), f.address(), f.u8()
-	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.Placed(n, kind == 1) })
+	h.onHandle(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.ReservationAnswered(n, kind == 1) })
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -183,7 +183,7 @@
 			in.die(fmt.Sprint(trouble))
 		}
 	}()
-	in.router.At(in.since(clock))
+	in.router.SetTime(in.since(clock))
 	f(in)
 }
 
@@ -192,7 +192,7 @@
 	h.call(who, clock, err, func(in *instance) {
 		if c := in.handles[id]; c != nil {
 			f(in, c)
-			if c.Over() {
+			if c.Closed() {
 				delete(in.handles, id)
 			}
 		}
