--- a/cmd/cherryhub/admin.go
+++ b/cmd/cherryhub/admin.go
@@ -70,7 +70,7 @@
 	return adminCommand("peers", "Show the routers that a running router knows", "/peers", func(w io.Writer, all []router.PeerStatus) {
 		fmt.Fprintln(w, "name\tzone\tweight\tself\tin sight\ton the roster")
 		for _, p := range all {
-			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\n", p.Name, p.Zone, p.Weight, yes(p.Self), yes(p.InSight), yes(p.OnRoster))
+			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\n", p.Name, p.Zone, p.Weight, yes(p.Self), yes(p.Alive), yes(p.OnRoster))
 		}
 	})
 }
@@ -80,11 +80,11 @@
 		fmt.Fprintln(w, "duty\tsubject\towner\tepoch\tdone\tlate\tcandidates")
 		for _, d := range all {
 			done, late := "never", "-"
-			if d.Since >= 0 {
-				done = fmt.Sprintf("%.2f s ago", d.Since)
+			if d.SecondsSinceDone >= 0 {
+				done = fmt.Sprintf("%.2f s ago", d.SecondsSinceDone)
 			}
-			if d.Late > 0 {
-				late = fmt.Sprintf("%.2f s", d.Late)
+			if d.SecondsLate > 0 {
+				late = fmt.Sprintf("%.2f s", d.SecondsLate)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", d.Kind, d.Subject, d.Owner, d.Epoch, done, late, strings.Join(d.Candidates, " "))
 		}
@@ -100,18 +100,18 @@
 			}
 			fmt.Fprintln(w, s.Descriptors)
 			fmt.Fprintln(w, "\nroom\tused\tmost")
-			for _, r := range s.Rooms {
-				fmt.Fprintf(w, "%s\t%d\t%d\n", r.Name, r.Used, r.Most)
+			for _, r := range s.Pools {
+				fmt.Fprintf(w, "%s\t%d\t%d\n", r.Name, r.Used, r.Max)
 			}
-			fmt.Fprintf(w, "\nlet in\t%d\n\nreason\trefused\tended\n", s.Let)
-			for i := range admit.Reason(admit.Reasons) {
-				if name := i.String(); s.Refused[name]+s.Ended[name] > 0 {
-					fmt.Fprintf(w, "%s\t%d\t%d\n", name, s.Refused[name], s.Ended[name])
+			fmt.Fprintf(w, "\nlet in\t%d\n\nreason\trefused\tended\n", s.Accepted)
+			for i := range admit.Reason(admit.NumReasons) {
+				if name := i.String(); s.Refused[name]+s.Evicted[name] > 0 {
+					fmt.Fprintf(w, "%s\t%d\t%d\n", name, s.Refused[name], s.Evicted[name])
 				}
 			}
 			fmt.Fprintln(w, "\nholder\tknown\tconnections\tanteroom\tcompletions")
 			for _, h := range s.Holders {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", h.Name, yes(h.Known), h.Connections, h.Anteroom, h.Completions)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", h.Name, yes(h.Known), h.Connections, h.Provisional, h.Completions)
 			}
 		})
 }
--- a/cmd/cherryhub/bench.go
+++ b/cmd/cherryhub/bench.go
@@ -64,7 +64,7 @@
 			if o.Self, err = os.Executable(); err != nil {
 				return fmt.Errorf("crowd: %w", err)
 			}
-			if _, err := door.RaiseLimit(); err != nil { // the flood's own
+			if _, err := door.RaiseDescriptorLimit(); err != nil { // the flood's own
 				return err
 			}
 			o.Report = func(format string, a ...any) { fmt.Fprintf(os.Stderr, format+"\n", a...) }
--- a/cmd/cherryhub/serve.go
+++ b/cmd/cherryhub/serve.go
@@ -125,7 +125,7 @@
 			}
 			fmt.Printf("%v and a router at http://%s. Try:\n\n  curl -N http://%s/v1/chat/completions -d "+
 				`'{"model":"chat","stream":true,"messages":[{"role":"user","content":"Hello"}]}'`+"\n\n", fleet, one.Address(), one.Address())
-			return errors.Join(untilSignal(one.Fault()), one.Stop(), fleet.Close())
+			return errors.Join(untilSignal(one.Errors()), one.Stop(), fleet.Close())
 		}}
 }
 
--- a/internal/admit/sketch.go
+++ b/internal/admit/sketch.go
@@ -19,18 +19,18 @@
 // known is not held back by it for long: the anteroom stands open.
 type sketch struct {
 	seed  uint64
-	cells [sketchRows][sketchWide]float64
+	cells [sketchRows][sketchColumns]float64
 }
 
 const (
-	sketchRows = 4
-	sketchWide = 8192 // 256 KiB in all
+	sketchRows    = 4
+	sketchColumns = 8192 // 256 KiB in all
 )
 
 func newSketch(seed uint64) *sketch { return &sketch{seed: seed} }
 
 // find is an address's cells.
-func (s *sketch) find(a netip.Addr) [sketchRows]*float64 {
+func (s *sketch) cellsOf(a netip.Addr) [sketchRows]*float64 {
 	var key [24]byte
 	b := a.As16()
 	binary.LittleEndian.PutUint64(key[:], s.seed)
@@ -40,21 +40,21 @@
 	x, y := uint32(sum), uint32(sum>>32)|1
 	var at [sketchRows]*float64
 	for i := range at {
-		at[i] = &s.cells[i][(x+uint32(i)*y)>>(32-sketchBits)]
+		at[i] = &s.cells[i][(x+uint32(i)*y)>>(32-sketchColumnBits)]
 	}
 	return at
 }
 
-const sketchBits = 13 // of sketchWide
+const sketchColumnBits = 13 // of sketchWide
 
 // arrive counts an arrival of an address and tells how long it is too early, 0 if it may be.
 func (s *sketch) arrive(now float64, a netip.Addr, rate, burst, most float64) float64 {
-	cells := s.find(a)
+	cells := s.cellsOf(a)
 	tat := math.Inf(1)
 	for _, c := range cells {
 		tat = math.Min(tat, *c)
 	}
-	next, wait := arrive(now, tat, rate, burst, most)
+	next, wait := gcraArrive(now, tat, rate, burst, most)
 	for _, c := range cells {
 		*c = math.Max(*c, next)
 	}
@@ -62,9 +62,9 @@
 }
 
 // wait is how long an address would have to wait now.
-func (s *sketch) wait(now float64, a netip.Addr, rate, burst float64) float64 {
+func (s *sketch) waitTime(now float64, a netip.Addr, rate, burst float64) float64 {
 	tat := math.Inf(1)
-	for _, c := range s.find(a) {
+	for _, c := range s.cellsOf(a) {
 		tat = math.Min(tat, *c)
 	}
 	return math.Max(0, tat-now-(burst-1)/rate)
@@ -73,7 +73,7 @@
 // arrive is one limiter: the next theoretical arrival time, and how long this arrival is too early. An early
 // one is counted too, so that who goes on coming waits longer, by 1/rate for each, up to most; who stays away
 // is forgiven a second each second.
-func arrive(now, tat, rate, burst, most float64) (next, wait float64) {
+func gcraArrive(now, tat, rate, burst, most float64) (next, wait float64) {
 	wait = math.Max(0, math.Max(now, tat)-now-(burst-1)/rate)
 	next = math.Min(math.Max(now, tat)+1/rate, now+burst/rate+most)
 	return math.Max(next, math.Min(tat, next)), wait
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -30,7 +30,7 @@
 
 // Rules are what a door goes by, and how the process's descriptors are divided with it. a is the router's own
 // admission or that of its file.
-func Rules(r *pb.Router, a *pb.Admission, limit int) (door.Rules, admit.Descriptors, error) {
+func Rules(r *pb.Router, a *pb.Admission, limit int) (door.AdmissionConfig, admit.DescriptorBudget, error) {
 	peers := 0
 	if r.GetPeers() != nil {
 		peers = int(r.GetDescriptors().GetPeers())
@@ -43,51 +43,51 @@
 		}
 		return max(1, otherwise)
 	}
-	s := admit.Settings{PerAddress: int(a.GetPerAddress()), PerClient: int(a.GetPerClient()), Prefix6: int(a.GetIpv6Prefix()),
-		Rate: a.GetAddressNewPerS(), Burst: a.GetAddressBurst(), ClientRate: a.GetClientNewPerS(), ClientBurst: a.GetClientBurst(),
-		FloodRate: a.GetFloodNewPerS(), MaxWait: a.GetMaxWaitS(), AnteroomTime: a.GetAnteroomS(), HeaderTime: a.GetHeaderS(),
-		IdleTime: r.GetTiming().GetIdleS(), Calls: int(a.GetCallsPerConnection()), ClientCompletions: int(a.GetClientCompletions()),
-		AddressCompletions: int(a.GetAddressCompletions()), Returns: int(a.GetRememberedReturns()), Completions: int(r.GetLimits().GetMaxCompletions())}
-	s.Leaving = or(a.GetLeaving(), min(limit/leavingPart, leavingMost))
-	left := limit - admit.OwnDescriptors - admin - peers - s.Leaving
-	s.Connections = or(a.GetMaxConnections(), min(left/connectionsPart, connectionsMost))
+	s := admit.Settings{MaxPerAddress: int(a.GetPerAddress()), MaxPerClient: int(a.GetPerClient()), IPv6PrefixBits: int(a.GetIpv6Prefix()),
+		AddressRate: a.GetAddressNewPerS(), AddressBurst: a.GetAddressBurst(), ClientRate: a.GetClientNewPerS(), ClientBurst: a.GetClientBurst(),
+		ProvisionalFloodRate: a.GetFloodNewPerS(), MaxRetryAfter: a.GetMaxWaitS(), ProvisionalTimeout: a.GetAnteroomS(), HeaderTimeout: a.GetHeaderS(),
+		IdleTimeout: r.GetTiming().GetIdleS(), MaxRequestsPerConnection: int(a.GetCallsPerConnection()), MaxCompletionsPerClient: int(a.GetClientCompletions()),
+		MaxCompletionsPerAddress: int(a.GetAddressCompletions()), MaxRememberedRateLimits: int(a.GetRememberedReturns()), MaxCompletions: int(r.GetLimits().GetMaxCompletions())}
+	s.MaxClosing = or(a.GetLeaving(), min(limit/leavingPart, leavingMost))
+	left := limit - admit.ProcessDescriptors - admin - peers - s.MaxClosing
+	s.MaxConnections = or(a.GetMaxConnections(), min(left/connectionsPart, connectionsMost))
 	if len(entries) > 0 {
-		s.Reserve = or(a.GetReserveConnections(), s.Connections/reservePart)
-		s.Anteroom = or(a.GetAnteroom(), min(s.Connections/anteroomPart, anteroomMost))
+		s.ReservedConnections = or(a.GetReserveConnections(), s.MaxConnections/reservePart)
+		s.MaxProvisional = or(a.GetAnteroom(), min(s.MaxConnections/anteroomPart, anteroomMost))
 	}
-	d, err := admit.Divide(limit, admin, peers, s)
+	d, err := admit.DivideDescriptors(limit, admin, peers, s)
 	if err != nil {
-		return door.Rules{}, d, err
+		return door.AdmissionConfig{}, d, err
 	}
-	s.Completions = d.Completions
+	s.MaxCompletions = d.MaxCompletions
 	if len(entries) > 0 {
-		s.ReserveCompletions = min(or(a.GetReserveCompletions(), s.Completions/reservePart), s.Completions-1)
+		s.ReservedCompletions = min(or(a.GetReserveCompletions(), s.MaxCompletions/reservePart), s.MaxCompletions-1)
 	}
 	var seed [8]byte
 	rand.Read(seed[:]) //nolint:errcheck // never fails
 	for i, b := range seed {
-		s.Seed |= uint64(b) << (8 * i)
+		s.HashSeed |= uint64(b) << (8 * i)
 	}
-	return door.Rules{Settings: s, Clients: entries, Tenants: tenants}, d, nil
+	return door.AdmissionConfig{Settings: s, Clients: entries, ClientTenants: tenants}, d, nil
 }
 
 // clients are the known ones: tenants by their keys, and those of the admission.
-func clients(r *pb.Router, a *pb.Admission) ([]admit.Entry, []int) {
-	var entries []admit.Entry
+func clients(r *pb.Router, a *pb.Admission) ([]admit.ClientConfig, []int) {
+	var entries []admit.ClientConfig
 	var tenants []int
 	byName := map[string]int{}
 	for i, t := range r.GetTenants() {
 		byName[t.GetName()] = i
 		if len(t.GetKeySha256()) > 0 {
-			entries = append(entries, admit.Entry{Name: t.GetName(), Keys: sums(t.GetKeySha256())})
+			entries = append(entries, admit.ClientConfig{Name: t.GetName(), KeyHashes: sums(t.GetKeySha256())})
 			tenants = append(tenants, i)
 		}
 	}
 	for _, k := range a.GetClients() {
-		e := admit.Entry{Name: k.GetName(), Keys: sums(k.GetKeySha256()), Certificates: slices.Clone(k.GetCertificates())}
+		e := admit.ClientConfig{Name: k.GetName(), KeyHashes: sums(k.GetKeySha256()), CertificateNames: slices.Clone(k.GetCertificates())}
 		for _, text := range k.GetRanges() {
 			if p, err := netip.ParsePrefix(text); err == nil { // checked with the settings
-				e.Ranges = append(e.Ranges, p)
+				e.AddressRanges = append(e.AddressRanges, p)
 			}
 		}
 		entries = append(entries, e)
@@ -117,11 +117,11 @@
 // Door are a door's options; listener, rules and log are the caller's to add.
 func Door(r *pb.Router, a *pb.Admission) door.Options {
 	l := r.GetLimits()
-	o := door.Options{Unread: int(l.GetMaxBodyBytes()+l.GetMaxHeaderBytes()) + unreadMore, Linger: lingerFor}
-	rand.Read(o.Secret[:]) //nolint:errcheck // never fails
+	o := door.Options{MaxUnreadBytes: int(l.GetMaxBodyBytes()+l.GetMaxHeaderBytes()) + unreadMore, LingerTimeout: lingerFor}
+	rand.Read(o.KeyHashSecret[:]) //nolint:errcheck // never fails
 	if t := r.GetTls(); t != nil {
-		o.TLS = &door.TLS{Certificate: t.GetCertificateFile(), Key: t.GetKeyFile(), ClientCA: t.GetClientCaFile(), MinVersion: tls.VersionTLS12,
-			Poll: Seconds(t.GetPollS()), Handshake: Seconds(a.GetHeaderS())}
+		o.TLS = &door.TLSOptions{CertificateFile: t.GetCertificateFile(), KeyFile: t.GetKeyFile(), ClientCAFile: t.GetClientCaFile(), MinVersion: tls.VersionTLS12,
+			PollInterval: Seconds(t.GetPollS()), HandshakeTimeout: Seconds(a.GetHeaderS())}
 		if t.GetMinVersion() == pb.TlsVersion_TLS13 {
 			o.TLS.MinVersion = tls.VersionTLS13
 		}
--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -100,10 +100,10 @@
 
 // Planner are the planner's options; its log is the caller's to add.
 func Planner(r *pb.Router) planner.Options {
-	o := planner.Options{Zone: r.GetZone(), MaxEngines: int(r.GetList().GetMaxEngines()), Mailbox: int(r.GetLimits().GetMailbox()),
-		MaxCompletions: int(r.GetLimits().GetMaxCompletions())}
+	o := planner.Options{Zone: r.GetZone(), MaxEngines: int(r.GetList().GetMaxEngines()), MaxQueuedCompletions: int(r.GetLimits().GetMailbox()),
+		MaxOpenCompletions: int(r.GetLimits().GetMaxCompletions())}
 	for _, m := range r.GetMachines() {
-		o.Machines = append(o.Machines, planner.Machine{Name: m.GetName(), Role: roleOf(m.GetRole())})
+		o.MachineKinds = append(o.MachineKinds, planner.MachineKind{Name: m.GetName(), Role: roleOf(m.GetRole())})
 	}
 	return o
 }
@@ -123,25 +123,25 @@
 	o := edge.Options{
 		Limits: edge.Limits{MaxBodyBytes: int(l.GetMaxBodyBytes()), MaxHeaderBytes: int(l.GetMaxHeaderBytes()),
 			MaxDepth: int(l.GetMaxDepth()), MaxMessages: int(l.GetMaxMessages()), MaxAnswerBytes: int(l.GetMaxAnswerBytes())},
-		Identity: edge.Identity{SessionFrom: id.GetSessionFrom(), SharedFromLeading: id.GetSharedFromLeading(),
+		Identity: edge.Identity{SessionFields: id.GetSessionFrom(), LeadingMessagesShared: id.GetSharedFromLeading(),
 			BytesPerToken: id.GetBytesPerToken()},
-		BodyWait: Seconds(a.GetBodyWaitS()), BodyRate: a.GetBodyBytesPerS(), ReadRate: a.GetReadBytesPerS(),
-		Margin: ms(t.GetAnswerMarginMs()), LetGo: Seconds(r.GetLetGoS()), StreamMost: Seconds(t.GetStreamMostS()),
-		ClientWrite: Seconds(t.GetClientWriteS()), Idle: Seconds(t.GetIdleS()), ComeBack: Seconds(r.GetAllowed().GetMaxComeBackS()),
+		MaxBodyLag: Seconds(a.GetBodyWaitS()), MinBodyRate: a.GetBodyBytesPerS(), MinClientReadRate: a.GetReadBytesPerS(),
+		AnswerMargin: ms(t.GetAnswerMarginMs()), HoldLimit: Seconds(r.GetLetGoS()), MaxStreamDuration: Seconds(t.GetStreamMostS()),
+		ClientWriteTimeout: Seconds(t.GetClientWriteS()), IdleTimeout: Seconds(t.GetIdleS()), RetryAfter: Seconds(r.GetAllowed().GetMaxComeBackS()),
 	}
-	if len(o.Identity.SessionFrom) == 0 {
-		o.Identity.SessionFrom = []string{"prompt_cache_key", "user"}
+	if len(o.Identity.SessionFields) == 0 {
+		o.Identity.SessionFields = []string{"prompt_cache_key", "user"}
 	}
 	for _, w := range r.GetWorkloads() {
 		models := w.GetModels()
 		if len(models) == 0 {
 			models = []string{w.GetName()}
 		}
-		o.Workloads = append(o.Workloads, edge.Workload{Name: w.GetName(), Models: models, Timeout: Seconds(w.GetClientTimeoutS()),
-			Effect: effectOf(w.GetEffect()), Most: int(w.GetMaxAnswerTokens())})
+		o.Workloads = append(o.Workloads, edge.Workload{Name: w.GetName(), Models: models, ClientTimeout: Seconds(w.GetClientTimeoutS()),
+			Idempotency: effectOf(w.GetEffect()), DefaultMaxTokens: int(w.GetMaxAnswerTokens())})
 	}
 	for _, t := range r.GetTenants() {
-		o.Tenants = append(o.Tenants, edge.Tenant{Name: t.GetName(), Anonymous: t.GetAnonymous(), Keys: sums(t.GetKeySha256())})
+		o.Tenants = append(o.Tenants, edge.Tenant{Name: t.GetName(), Anonymous: t.GetAnonymous(), KeyHashes: sums(t.GetKeySha256())})
 	}
 	return o
 }
@@ -154,7 +154,7 @@
 		return nil
 	}
 	self := duty.Member{Name: r.GetName(), Incarnation: uint64(time.Now().UnixMilli()), Zone: r.GetZone(), Weight: p.GetWeight()}
-	return &peer.Options{Duty: duty.Settings{Self: self, Settle: p.GetSettleS(), Lease: p.GetLeaseS(), HandOver: p.GetHandOverS(), Moves: int(p.GetMoves())},
-		Interval: p.GetProbeIntervalS(), Candidates: int(p.GetCandidates()), OwnRate: p.GetOwnProbesPerS(), Columns: figures(r.GetReports()).Columns(),
-		Member: member.Options{Self: self, Listen: p.GetListen(), Seeds: p.GetSeeds(), KeyHex: p.GetKeyHex()}}
+	return &peer.Options{Duty: duty.Settings{Self: self, SettleTime: p.GetSettleS(), LeaseTime: p.GetLeaseS(), HandoverDelay: p.GetHandOverS(), MaxJoins: int(p.GetMoves())},
+		ProbeInterval: p.GetProbeIntervalS(), Candidates: int(p.GetCandidates()), OwnProbesPerSecond: p.GetOwnProbesPerS(), ReportColumns: figures(r.GetReports()).Columns(),
+		Membership: member.Options{Self: self, Listen: p.GetListen(), Seeds: p.GetSeeds(), KeyHex: p.GetKeyHex()}}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -169,23 +169,23 @@
 admission { clients { name: "office" tenant: "t" ranges: "10.1.0.0/16" } clients { name: "guest" certificates: "g.example" } }`, sum)), r))
 	rules, d, err := Rules(r, r.GetAdmission(), 20000)
 	require.NoError(t, err)
-	assert.Equal(t, 20000, d.Own+d.Admin+d.Peers+d.Connections+d.Leaving+d.Engines)
+	assert.Equal(t, 20000, d.Process+d.Admin+d.Peers+d.Connections+d.Closing+d.Engines)
 	s := rules.Settings
-	assert.Equal(t, d.Connections, s.Connections)
-	assert.Equal(t, d.Completions, s.Completions)
-	assert.Less(t, s.Reserve+s.Anteroom, s.Connections)
-	assert.Positive(t, s.ReserveCompletions)
+	assert.Equal(t, d.Connections, s.MaxConnections)
+	assert.Equal(t, d.MaxCompletions, s.MaxCompletions)
+	assert.Less(t, s.ReservedConnections+s.MaxProvisional, s.MaxConnections)
+	assert.Positive(t, s.ReservedCompletions)
 	var names []string
 	for _, c := range rules.Clients {
 		names = append(names, c.Name)
 	}
 	assert.Equal(t, []string{"t", "office", "guest"}, names)
-	assert.Equal(t, []int{0, 0, -1}, rules.Tenants)
+	assert.Equal(t, []int{0, 0, -1}, rules.ClientTenants)
 
 	for _, limit := range []int{256, 1024, 4096, 1 << 20} { // the defaults fit whatever a machine gives
 		_, d, err := Rules(r, nil, limit)
 		require.NoError(t, err, "%d", limit)
-		assert.Positive(t, d.Completions)
+		assert.Positive(t, d.MaxCompletions)
 	}
 	_, _, err = Rules(r, &pb.Admission{MaxConnections: proto.Int32(5000)}, 1024)
 	assert.ErrorContains(t, err, "1024 descriptors = 64 own + 32 admin + 0 peers + 5000 client connections")
--- a/internal/door/descriptors.go
+++ b/internal/door/descriptors.go
@@ -14,7 +14,7 @@
 )
 
 // RaiseLimit raises the process's soft limit of descriptors to the hard one and tells it.
-func RaiseLimit() (int, error) {
+func RaiseDescriptorLimit() (int, error) {
 	var l unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil {
 		return 0, fmt.Errorf("limit of descriptors: %w", err)
@@ -25,24 +25,24 @@
 			l = raised
 		}
 	}
-	return int(min(l.Cur, limitMost)), nil
+	return int(min(l.Cur, maxDescriptorLimit)), nil
 }
 
 // limitMost is where a limit is as good as none.
-const limitMost = 1 << 20
+const maxDescriptorLimit = 1 << 20
 
 // spare is some descriptors kept for the moment in which there is none: one is closed, the connection accepted in
 // its place is refused and closed, and it is opened again. Whoever else waits for a descriptor may be quicker, so
 // there are some.
-type spare struct {
+type spareDescriptors struct {
 	mu    sync.Mutex
 	files []*os.File
 }
 
-const spares = 4
+const spareDescriptorCount = 4
 
-func newSpare() (*spare, error) {
-	s := &spare{}
+func newSpareDescriptors() (*spareDescriptors, error) {
+	s := &spareDescriptors{}
 	s.fill()
 	if len(s.files) == 0 {
 		return nil, fmt.Errorf("none can be opened: %w", unix.EMFILE)
@@ -53,14 +53,14 @@
 // refuse accepts one connection at a listener in a spare one's place and refuses it. Where there is none left it
 // waits a moment: the listener stays readable and would have the poller spin. That slows the streams that share
 // the poller, which is why it is short.
-func (s *spare) refuse(listener int) (refused bool) {
+func (s *spareDescriptors) refuse(listener int) (refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fill()
 	defer s.fill()
 	n := len(s.files)
 	if n == 0 {
-		time.Sleep(spareWait)
+		time.Sleep(noSpareDelay)
 		return false
 	}
 	s.files[n-1].Close() //nolint:errcheck // of /dev/null
@@ -69,19 +69,19 @@
 	if err != nil {
 		return false
 	}
-	unix.SetNonblock(fd, true)                                                   //nolint:errcheck // it is read once
-	unix.Write(fd, refusal(admit.Verdict{Reason: admit.NoDescriptors, Wait: 1})) //nolint:errcheck // told as well as can be
-	unix.Shutdown(fd, unix.SHUT_WR)                                              //nolint:errcheck // as above
+	unix.SetNonblock(fd, true)                                                                        //nolint:errcheck // it is read once
+	unix.Write(fd, refusalResponse(admit.Decision{Reason: admit.ReasonNoDescriptors, RetryAfter: 1})) //nolint:errcheck // told as well as can be
+	unix.Shutdown(fd, unix.SHUT_WR)                                                                   //nolint:errcheck // as above
 	// It can't linger: the next one needs the spare. What the client sent so far is read, which in most cases is
 	// its whole call, so that the close is no reset.
 	var buf [4096]byte
-	for begun := time.Now(); time.Since(begun) < spareLinger; {
+	for begun := time.Now(); time.Since(begun) < spareLingerTimeout; {
 		n, err := unix.Read(fd, buf[:])
 		if n == 0 || err != nil && err != unix.EAGAIN {
 			break
 		}
 		if err == unix.EAGAIN {
-			time.Sleep(spareLinger / 10)
+			time.Sleep(spareLingerTimeout / 10)
 		}
 	}
 	unix.Close(fd) //nolint:errcheck // done with it
@@ -90,12 +90,12 @@
 
 // Both are short: the poller waits.
 const (
-	spareLinger = time.Millisecond
-	spareWait   = 2 * time.Millisecond
+	spareLingerTimeout = time.Millisecond
+	noSpareDelay       = 2 * time.Millisecond
 )
 
-func (s *spare) fill() {
-	for len(s.files) < spares {
+func (s *spareDescriptors) fill() {
+	for len(s.files) < spareDescriptorCount {
 		f, err := os.Open(os.DevNull)
 		if err != nil {
 			return
@@ -105,13 +105,13 @@
 }
 
 // renew opens spare ones again where others took their place.
-func (s *spare) renew() {
+func (s *spareDescriptors) refill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fill()
 }
 
-func (s *spare) close() (err error) {
+func (s *spareDescriptors) close() (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.files {
@@ -123,38 +123,38 @@
 
 // lingering holds refused connections until their clients have closed them or a time is over, and reads what
 // they send, so that closing doesn't reset the answer away. Its size is fixed: when it is full the oldest goes.
-type lingering struct {
-	most time.Duration
-	mu   sync.Mutex
-	ring []lingerer
-	head int // the oldest
-	n    int
+type lingerQueue struct {
+	timeout time.Duration
+	mu      sync.Mutex
+	ring    []lingeringConn
+	head    int // the oldest
+	count   int
 }
 
-type lingerer struct {
-	fd    int
-	until time.Time
+type lingeringConn struct {
+	fd       int
+	deadline time.Time
 }
 
-func newLingering(n int, most time.Duration) *lingering {
-	return &lingering{most: most, ring: make([]lingerer, n)}
+func newLingerQueue(n int, most time.Duration) *lingerQueue {
+	return &lingerQueue{timeout: most, ring: make([]lingeringConn, n)}
 }
 
-func (l *lingering) add(fd int) {
+func (l *lingerQueue) add(fd int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.n == len(l.ring) {
+	if l.count == len(l.ring) {
 		old := l.ring[l.head]
-		l.head, l.n = (l.head+1)%len(l.ring), l.n-1
-		drain(old.fd)
+		l.head, l.count = (l.head+1)%len(l.ring), l.count-1
+		drainSocket(old.fd)
 		unix.Close(old.fd) //nolint:errcheck // done with it
 	}
-	l.ring[(l.head+l.n)%len(l.ring)] = lingerer{fd, time.Now().Add(l.most)}
-	l.n++
+	l.ring[(l.head+l.count)%len(l.ring)] = lingeringConn{fd, time.Now().Add(l.timeout)}
+	l.count++
 }
 
 // drain reads what there is, and tells whether the client has closed.
-func drain(fd int) (over bool) {
+func drainSocket(fd int) (over bool) {
 	var buf [4096]byte
 	for range 16 {
 		n, err := unix.Read(fd, buf[:])
@@ -170,42 +170,42 @@
 }
 
 // lingerEvery is how often lingering connections are read.
-const lingerEvery = 5 * time.Millisecond
+const lingerPollInterval = 5 * time.Millisecond
 
-func (l *lingering) run(ctx context.Context) {
-	tick := time.NewTicker(lingerEvery)
+func (l *lingerQueue) run(ctx context.Context) {
+	tick := time.NewTicker(lingerPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			l.look(now)
+			l.poll(now)
 		}
 	}
 }
 
-func (l *lingering) look(now time.Time) {
+func (l *lingerQueue) poll(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	kept := 0
-	for i := range l.n {
+	for i := range l.count {
 		one := l.ring[(l.head+i)%len(l.ring)]
-		if drain(one.fd) || now.After(one.until) {
+		if drainSocket(one.fd) || now.After(one.deadline) {
 			unix.Close(one.fd) //nolint:errcheck // done with it
 			continue
 		}
 		l.ring[(l.head+kept)%len(l.ring)] = one
 		kept++
 	}
-	l.n = kept
+	l.count = kept
 }
 
-func (l *lingering) closeAll() {
+func (l *lingerQueue) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.n {
+	for i := range l.count {
 		unix.Close(l.ring[(l.head+i)%len(l.ring)].fd) //nolint:errcheck // done with it
 	}
-	l.n = 0
+	l.count = 0
 }
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -19,10 +19,10 @@
 )
 
 func TestEveryRefusalIsWhole(t *testing.T) {
-	for r := admit.Reason(1); int(r) < admit.Reasons; r++ {
-		a := r.Answer()
+	for r := admit.Reason(1); int(r) < admit.NumReasons; r++ {
+		a := r.Response()
 		require.NotZero(t, a.Status, r.String())
-		status, wrong := crowd.Judge(refusal(admit.Verdict{Reason: r, Wait: 0.2}))
+		status, wrong := crowd.Judge(refusalResponse(admit.Decision{Reason: r, RetryAfter: 0.2}))
 		assert.Equal(t, a.Status, status)
 		assert.Empty(t, wrong, r.String())
 	}
@@ -50,12 +50,12 @@
 
 // A refused client that is still sending gets its answer: without lingering the close would be a reset.
 func TestLingeringKeepsTheAnswer(t *testing.T) {
-	l := newLingering(4, 500*time.Millisecond)
+	l := newLingerQueue(4, 500*time.Millisecond)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go l.run(ctx)
 	client, fd := pair(t)
-	text := refusal(admit.Verdict{Reason: admit.Full, Wait: 1})
+	text := refusalResponse(admit.Decision{Reason: admit.ReasonPoolFull, RetryAfter: 1})
 	unix.Write(fd, text)
 	unix.Shutdown(fd, unix.SHUT_WR)
 	l.add(fd)
@@ -68,18 +68,18 @@
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(all))
 	client.Close()
-	require.Eventually(t, func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.n == 0 }, 400*time.Millisecond, time.Millisecond, "its client closed")
+	require.Eventually(t, func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.count == 0 }, 400*time.Millisecond, time.Millisecond, "its client closed")
 }
 
 func TestLingeringIsBounded(t *testing.T) {
-	l := newLingering(3, time.Hour)
+	l := newLingerQueue(3, time.Hour)
 	var clients []net.Conn
 	for range 5 {
 		client, fd := pair(t)
 		clients = append(clients, client)
 		l.add(fd)
 	}
-	assert.Equal(t, 3, l.n)
+	assert.Equal(t, 3, l.count)
 	for i, c := range clients {
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := c.Read(make([]byte, 1))
@@ -89,8 +89,8 @@
 			assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		}
 	}
-	l.look(time.Now().Add(2 * time.Hour))
-	assert.Zero(t, l.n)
+	l.poll(time.Now().Add(2 * time.Hour))
+	assert.Zero(t, l.count)
 	l.closeAll()
 }
 
@@ -103,7 +103,7 @@
 	var changed atomic.Int32
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go Follow(ctx, []string{one, two}, 20*time.Millisecond, func() { changed.Add(1) })
+	go WatchFiles(ctx, []string{one, two}, 20*time.Millisecond, func() { changed.Add(1) })
 	time.Sleep(100 * time.Millisecond)
 	assert.Zero(t, changed.Load())
 	put(one, "22")
@@ -117,7 +117,7 @@
 }
 
 func TestSpareOnesComeBack(t *testing.T) {
-	s, err := newSpare()
+	s, err := newSpareDescriptors()
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -135,6 +135,6 @@
 	status, wrong := crowd.Judge(all)
 	assert.Equal(t, 503, status)
 	assert.Empty(t, wrong)
-	assert.Len(t, s.files, spares)
+	assert.Len(t, s.files, spareDescriptorCount)
 	assert.NoError(t, s.close())
 }
--- a/internal/door/door.go
+++ b/internal/door/listener.go
@@ -29,110 +29,110 @@
 )
 
 // Rules are what is in force, and is replaced whole at a reload.
-type Rules struct {
-	Settings admit.Settings
-	Clients  []admit.Entry
-	Tenants  []int // by client: its tenant for the edge, or -1
+type AdmissionConfig struct {
+	Settings      admit.Settings
+	Clients       []admit.ClientConfig
+	ClientTenants []int // by client: its tenant for the edge, or -1
 }
 
 // Options of a door.
 type Options struct {
-	Listener *net.TCPListener
-	Rules    Rules
-	Secret   [16]byte      // chance of the process
-	Unread   int           // bytes that a client may send ahead of what is read, then it is cut off
-	Linger   time.Duration // a refused connection is read on so long, so that its answer isn't lost to a reset
-	TLS      *TLS          // nil: plain
-	Log      *slog.Logger
+	Listener       *net.TCPListener
+	Admission      AdmissionConfig
+	KeyHashSecret  [16]byte      // chance of the process
+	MaxUnreadBytes int           // bytes that a client may send ahead of what is read, then it is cut off
+	LingerTimeout  time.Duration // a refused connection is read on so long, so that its answer isn't lost to a reset
+	TLS            *TLSOptions   // nil: plain
+	Log            *slog.Logger
 }
 
 // Door lets clients in. It is a netpoll.Listener where there is no TLS; else it is a net.Listener whose
 // connections have shaken hands.
-type Door struct {
-	o     Options
-	began time.Time
-	file  int // the listener's descriptor
-	owner interface{ Close() error }
-	spare *spare
-	out   *lingering
-	tls   *tlsDoor
-
-	mu    sync.Mutex
-	gate  *admit.Gate
-	rules *known
-	conns map[admit.Conn]*Conn
-
-	none   atomic.Uint64 // refused for want of descriptors
-	closed atomic.Bool
-	end    context.CancelFunc
-	parts  sync.WaitGroup
+type Listener struct {
+	options   Options
+	startedAt time.Time
+	fd        int // the listener's descriptor
+	closer    interface{ Close() error }
+	spare     *spareDescriptors
+	lingering *lingerQueue
+	tls       *tlsListener
+
+	mu         sync.Mutex
+	controller *admit.Controller
+	clients    *clientTable
+	conns      map[admit.ConnID]*Conn
+
+	noDescriptors atomic.Uint64 // refused for want of descriptors
+	closed        atomic.Bool
+	cancel        context.CancelFunc
+	running       sync.WaitGroup
 }
 
 // known is the clients in force.
-type known struct {
-	book    *admit.Book
-	tenants []int
+type clientTable struct {
+	directory     *admit.ClientDirectory
+	clientTenants []int
 }
 
-func newKnown(r Rules, secret [16]byte) (*known, error) {
-	book, err := admit.NewBook(r.Clients, secret)
+func newClientTable(r AdmissionConfig, secret [16]byte) (*clientTable, error) {
+	book, err := admit.NewClientDirectory(r.Clients, secret)
 	if err != nil {
 		return nil, err
 	}
-	return &known{book, r.Tenants}, nil
+	return &clientTable{book, r.ClientTenants}, nil
 }
 
 // New makes a door at a listener, which becomes its own.
-func New(o Options) (*Door, error) {
-	k, err := newKnown(o.Rules, o.Secret)
+func New(o Options) (*Listener, error) {
+	k, err := newClientTable(o.Admission, o.KeyHashSecret)
 	if err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	gate, err := admit.New(o.Rules.Settings, k.book.Clients())
+	gate, err := admit.New(o.Admission.Settings, k.directory.Clients())
 	if err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	d := &Door{o: o, began: time.Now(), gate: gate, rules: k, conns: map[admit.Conn]*Conn{}}
-	if d.spare, err = newSpare(); err != nil {
+	d := &Listener{options: o, startedAt: time.Now(), controller: gate, clients: k, conns: map[admit.ConnID]*Conn{}}
+	if d.spare, err = newSpareDescriptors(); err != nil {
 		return nil, fmt.Errorf("admission: spare descriptor: %w", err)
 	}
 	if o.TLS != nil {
-		if d.tls, err = newTLSDoor(d, o.TLS); err != nil {
+		if d.tls, err = newTLSListener(d, o.TLS); err != nil {
 			return nil, errors.Join(err, d.spare.close())
 		}
-		d.owner = o.Listener
+		d.closer = o.Listener
 	} else {
 		// The descriptor is duplicated, as the listener's own belongs to the runtime's poller.
 		f, err := o.Listener.File()
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("admission: listener: %w", err), d.spare.close())
 		}
-		d.owner, d.file = f, int(f.Fd())
-		if err := unix.SetNonblock(d.file, true); err != nil {
+		d.closer, d.fd = f, int(f.Fd())
+		if err := unix.SetNonblock(d.fd, true); err != nil {
 			return nil, errors.Join(fmt.Errorf("admission: listener: %w", err), f.Close(), d.spare.close())
 		}
 	}
-	d.out = newLingering(max(1, o.Rules.Settings.Leaving), o.Linger)
+	d.lingering = newLingerQueue(max(1, o.Admission.Settings.MaxClosing), o.LingerTimeout)
 	ctx, end := context.WithCancel(context.Background())
-	d.end = end
-	d.parts.Go(func() { d.out.run(ctx) })
-	d.parts.Go(func() { d.tend(ctx) })
+	d.cancel = end
+	d.running.Go(func() { d.lingering.run(ctx) })
+	d.running.Go(func() { d.maintain(ctx) })
 	if d.tls != nil {
-		d.parts.Go(func() { d.tls.run(ctx) })
+		d.running.Go(func() { d.tls.acceptLoop(ctx) })
 	}
 	return d, nil
 }
 
-func (d *Door) now() float64 { return time.Since(d.began).Seconds() }
+func (d *Listener) now() float64 { return time.Since(d.startedAt).Seconds() }
 
 // tendEvery is how often connections are looked at: what waited too long, what sends without being read, who
 // left while its answer is made. Refusals and room are decided at once, not here.
-const tendEvery = 50 * time.Millisecond
+const maintenanceInterval = 50 * time.Millisecond
 
-func (d *Door) tend(ctx context.Context) {
-	tick := time.NewTicker(tendEvery)
+func (d *Listener) maintain(ctx context.Context) {
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
-	watch := newWatch(d.o.Log)
+	watch := newRefusalLogger(d.options.Log)
 	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
@@ -140,143 +140,143 @@
 		case <-tick.C:
 		}
 		d.mu.Lock()
-		d.gate.Due(d.now())
-		off := d.sendOff()
+		d.controller.EvictExpired(d.now())
+		off := d.pendingCloses()
 		var calling []*Conn
 		for _, c := range d.conns {
-			if c.calling.Load() {
+			if c.inRequest.Load() {
 				calling = append(calling, c)
 			}
 		}
 		d.mu.Unlock()
-		d.tellOff(off)
+		d.closeConns(off)
 		for _, c := range calling {
-			if c.unread() > d.o.Unread {
-				d.o.Log.Warn("client sends without bound during its call", "address", c.String())
-				c.cut()
+			if c.unreadBytes() > d.options.MaxUnreadBytes {
+				d.options.Log.Warn("client sends without bound during its call", "address", c.String())
+				c.closeNow()
 			}
 		}
-		if d.tls != nil && round%leftEvery == 0 {
-			leftDuringCall(calling)
+		if d.tls != nil && round%disconnectCheckRounds == 0 {
+			notifyDisconnects(calling)
 		}
-		d.spare.renew()
+		d.spare.refill()
 		if round%20 == 0 {
 			d.mu.Lock()
-			f, top := d.gate.Figures(), d.gate.Top(1)
+			f, top := d.controller.Stats(), d.controller.TopHolders(1)
 			d.mu.Unlock()
-			f.Refused[admit.NoDescriptors] += d.none.Load()
-			watch.tell(f, top)
+			f.Refused[admit.ReasonNoDescriptors] += d.noDescriptors.Load()
+			watch.logChanges(f, top)
 		}
 	}
 }
 
 // off is a connection to be told to go.
-type off struct {
-	c      *Conn
-	reason admit.Reason
-	fresh  bool // it never had a call: it gets an answer
+type closeRequest struct {
+	conn         *Conn
+	reason       admit.Reason
+	noRequestYet bool // it never had a call: it gets an answer
 }
 
 // sendOff collects what the gate wants gone; the lock is held.
-func (d *Door) sendOff() []off {
-	var all []off
-	for _, e := range d.gate.Evicted() {
+func (d *Listener) pendingCloses() []closeRequest {
+	var all []closeRequest
+	for _, e := range d.controller.TakeEvictions() {
 		if c := d.conns[e.Conn]; c != nil {
-			all = append(all, off{c, e.Reason, !c.called})
+			all = append(all, closeRequest{c, e.Reason, !c.hadRequest})
 		}
 	}
 	return all
 }
 
 // tellOff tells connections to go, without the lock.
-func (d *Door) tellOff(all []off) {
+func (d *Listener) closeConns(all []closeRequest) {
 	for _, o := range all {
-		o.c.sendOff(o.reason, o.fresh)
+		o.conn.closeGracefully(o.reason, o.noRequestYet)
 	}
 }
 
 // Reload puts other rules in force, whole or not at all.
-func (d *Door) Reload(r Rules) error {
-	k, err := newKnown(r, d.o.Secret)
+func (d *Listener) Reload(r AdmissionConfig) error {
+	k, err := newClientTable(r, d.options.KeyHashSecret)
 	if err != nil {
 		return fmt.Errorf("admission: %w", err)
 	}
 	d.mu.Lock()
-	if err := d.gate.Reload(r.Settings, k.book.Clients()); err != nil {
+	if err := d.controller.Reload(r.Settings, k.directory.Clients()); err != nil {
 		d.mu.Unlock()
 		return fmt.Errorf("admission: %w", err)
 	}
-	d.rules = k
-	off := d.sendOff()
+	d.clients = k
+	off := d.pendingCloses()
 	d.mu.Unlock()
-	d.tellOff(off)
+	d.closeConns(off)
 	return nil
 }
 
 // Drain refuses whoever comes, and has connections without a call go at once, others after their call. Without it
 // clients would find out that this router stops by a broken connection.
-func (d *Door) Drain() {
+func (d *Listener) Drain() {
 	d.mu.Lock()
-	d.gate.Drain()
-	d.gate.Due(d.now())
-	off := d.sendOff()
+	d.controller.Drain()
+	d.controller.EvictExpired(d.now())
+	off := d.pendingCloses()
 	d.mu.Unlock()
-	d.tellOff(off)
+	d.closeConns(off)
 }
 
 // Figures tells the totals, and who holds the most.
-func (d *Door) Figures(top int) (admit.Figures, []admit.Holder) {
+func (d *Listener) Stats(top int) (admit.Stats, []admit.Holder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.gate.Figures()
-	f.Refused[admit.NoDescriptors] += d.none.Load()
-	return f, d.gate.Top(top)
+	f := d.controller.Stats()
+	f.Refused[admit.ReasonNoDescriptors] += d.noDescriptors.Load()
+	return f, d.controller.TopHolders(top)
 }
 
 // Secure tells whether clients speak TLS.
-func (d *Door) Secure() bool { return d.o.TLS != nil }
+func (d *Listener) UsesTLS() bool { return d.options.TLS != nil }
 
 // Addr is of net.Listener.
-func (d *Door) Addr() net.Addr { return d.o.Listener.Addr() }
+func (d *Listener) Addr() net.Addr { return d.options.Listener.Addr() }
 
 // Fd is of netpoll.Listener.
-func (d *Door) Fd() int { return d.file }
+func (d *Listener) Fd() int { return d.fd }
 
 // Close stops accepting. Connections that were let in go on.
-func (d *Door) Close() error {
+func (d *Listener) Close() error {
 	if d.closed.Swap(true) {
 		return nil
 	}
-	return errors.Join(d.o.Listener.Close(), d.closeOwn())
+	return errors.Join(d.options.Listener.Close(), d.closeDuplicate())
 }
 
-func (d *Door) closeOwn() error {
+func (d *Listener) closeDuplicate() error {
 	if d.tls != nil {
 		return nil
 	}
-	return d.owner.Close()
+	return d.closer.Close()
 }
 
 // End ends the door's own work, after Close and once what it let in is over.
-func (d *Door) End() error {
+func (d *Listener) Shutdown() error {
 	err := d.Close()
-	d.end()
-	d.parts.Wait()
-	d.out.closeAll()
+	d.cancel()
+	d.running.Wait()
+	d.lingering.closeAll()
 	return errors.Join(err, d.spare.close())
 }
 
 // acceptMost bounds what one wake of the poller refuses, so that a flood doesn't hold up the connections that
 // share the poller. The listener stays readable, so the rest comes at its next wake.
-const acceptMost = 64
+const maxAcceptsPerWake = 64
 
 // Accept is of netpoll.Listener: it returns nil and no error where nobody waits who may come in.
-func (d *Door) Accept() (net.Conn, error) {
+func (d *Listener) Accept() (net.Conn, error) {
 	if d.tls != nil {
 		return d.tls.accept()
 	}
-	for range acceptMost {
-		fd, sa, err := unix.Accept(d.file)
+	for range maxAcceptsPerWake {
+		fd, sa, err := unix.Accept(d.fd)
 		switch {
 		case err == nil:
 		case errors.Is(err, unix.EAGAIN):
@@ -287,10 +287,10 @@
 			// Out of descriptors, whoever took them. A spare one takes the connection, refuses and closes it, so
 			// that the client is told and the poller doesn't spin on a listener that stays readable. Netpoll's own
 			// way, to try again after up to a second, would leave clients hanging.
-			if !d.spare.refuse(d.file) {
+			if !d.spare.refuse(d.fd) {
 				return nil, nil //nolint:nilnil // it asks again
 			}
-			d.none.Add(1)
+			d.noDescriptors.Add(1)
 			continue
 		default:
 			if d.closed.Load() {
@@ -303,48 +303,48 @@
 			unix.Close(fd) //nolint:errcheck // of no use
 			continue
 		}
-		from := addressOf(sa)
-		c, v := d.enter(from)
+		from := addrPortOf(sa)
+		c, v := d.admitConn(from)
 		if c == nil {
 			d.refuse(fd, v)
 			continue
 		}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) //nolint:errcheck // slower without
 		c.fd = fd
-		return &accepted{c: c}, nil
+		return &netpollConn{conn: c}, nil
 	}
 	return nil, nil //nolint:nilnil // as netpoll wants it: it asks again at once
 }
 
 // enter asks the gate for a connection that came, and has those go for whose place it is.
-func (d *Door) enter(from netip.AddrPort) (*Conn, admit.Verdict) {
+func (d *Listener) admitConn(from netip.AddrPort) (*Conn, admit.Decision) {
 	d.mu.Lock()
-	client := d.rules.book.ByAddress(from.Addr())
-	id, v := d.gate.Accept(d.now(), from.Addr(), client)
+	client := d.clients.directory.ByAddress(from.Addr())
+	id, v := d.controller.Accept(d.now(), from.Addr(), client)
 	var c *Conn
-	if v.OK() {
-		c = &Conn{d: d, id: id, from: from, fd: -1}
+	if v.Admitted() {
+		c = &Conn{listener: d, id: id, remote: from, fd: -1}
 		d.conns[id] = c
 	}
-	off := d.sendOff()
+	off := d.pendingCloses()
 	d.mu.Unlock()
-	d.tellOff(off)
+	d.closeConns(off)
 	return c, v
 }
 
 // refuse answers a connection that is not let in and leaves it to linger. Nothing is parsed, no goroutine made.
-func (d *Door) refuse(fd int, v admit.Verdict) {
-	answer := refusal(v)
+func (d *Listener) refuse(fd int, v admit.Decision) {
+	answer := refusalResponse(v)
 	if d.tls != nil {
-		answer = alert
+		answer = accessDeniedAlert
 	}
 	unix.Write(fd, answer)          //nolint:errcheck // a fresh socket's buffer takes it, or the client is gone
 	unix.Shutdown(fd, unix.SHUT_WR) //nolint:errcheck // as above
-	d.out.add(fd)
+	d.lingering.add(fd)
 }
 
 // Prepared takes a connection that netpoll made of one that was accepted.
-func (d *Door) Prepared(conn net.Conn) {
+func (d *Listener) AttachConn(conn net.Conn) {
 	c, mine := conn.RemoteAddr().(*Conn)
 	if !mine {
 		return
@@ -355,7 +355,7 @@
 		c.mu.Unlock()
 		if n, is := h.Conn.(netpoll.Connection); is {
 			n.AddCloseCallback(func(netpoll.Connection) error { //nolint:errcheck // never fails
-				c.over()
+				c.forget()
 				return nil
 			})
 		}
@@ -365,140 +365,140 @@
 // Call begins a call of a connection whose header was read; key is its API key, empty for none.
 // CallOver must follow. A call that is refused must be answered and its connection closed. tenant is the caller's
 // for the edge, -1 where it is not known.
-func (d *Door) Call(from net.Addr, key string) (tenant int, v admit.Verdict) {
+func (d *Listener) BeginRequest(from net.Addr, key string) (tenant int, v admit.Decision) {
 	c, mine := from.(*Conn)
 	if !mine {
-		return -1, admit.Verdict{}
+		return -1, admit.Decision{}
 	}
 	d.mu.Lock()
-	book := d.rules.book
+	book := d.clients.directory
 	d.mu.Unlock()
 	client := book.ByKey(key) // hashes; outside the lock
 	d.mu.Lock()
-	if d.rules.book != book { // reloaded meanwhile
-		book = d.rules.book
+	if d.clients.directory != book { // reloaded meanwhile
+		book = d.clients.directory
 		client = book.ByKey(key)
 	}
-	if client == admit.Unknown && len(c.names) > 0 {
-		client = book.ByCertificate(c.names)
+	if client == admit.UnknownClient && len(c.certificateNames) > 0 {
+		client = book.ByCertificateNames(c.certificateNames)
 	}
-	if client == admit.Unknown {
-		client = book.ByAddress(c.from.Addr())
+	if client == admit.UnknownClient {
+		client = book.ByAddress(c.remote.Addr())
 	}
-	v = d.gate.Call(d.now(), c.id, client)
-	c.called = true
+	v = d.controller.BeginRequest(d.now(), c.id, client)
+	c.hadRequest = true
 	tenant = -1
-	if client != admit.Unknown && client < len(d.rules.tenants) {
-		tenant = d.rules.tenants[client]
+	if client != admit.UnknownClient && client < len(d.clients.clientTenants) {
+		tenant = d.clients.clientTenants[client]
 	}
-	off := d.sendOff()
+	off := d.pendingCloses()
 	d.mu.Unlock()
-	c.calling.Store(true)
-	d.tellOff(off)
+	c.inRequest.Store(true)
+	d.closeConns(off)
 	return tenant, v
 }
 
 // Last tells whether a connection is to be closed after its call, which a reload may have changed during it.
-func (d *Door) Last(from net.Addr) bool {
+func (d *Listener) ShouldClose(from net.Addr) bool {
 	c, mine := from.(*Conn)
 	if !mine {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gate.Last(c.id)
+	return d.controller.ShouldClose(c.id)
 }
 
 // CallOver ends a call.
-func (d *Door) CallOver(from net.Addr) {
+func (d *Listener) EndRequest(from net.Addr) {
 	c, mine := from.(*Conn)
 	if !mine {
 		return
 	}
-	c.calling.Store(false)
-	c.left.Store(nil)
+	c.inRequest.Store(false)
+	c.onDisconnect.Store(nil)
 	d.mu.Lock()
-	d.gate.CallOver(d.now(), c.id)
+	d.controller.EndRequest(d.now(), c.id)
 	d.mu.Unlock()
 }
 
 // WhenLeft has a function called when the client is seen to have left during its call. Where netpoll sees that
 // by itself it is not called.
-func (d *Door) WhenLeft(from net.Addr, f func()) {
+func (d *Listener) OnDisconnect(from net.Addr, f func()) {
 	if c, mine := from.(*Conn); mine && d.tls != nil {
-		c.left.Store(&f)
+		c.onDisconnect.Store(&f)
 	}
 }
 
 // Take lets a completion in, and gives what ends it.
-func (d *Door) Take(from net.Addr) (over func(), v admit.Verdict) { // over may be called again
+func (d *Listener) AdmitCompletion(from net.Addr) (over func(), v admit.Decision) { // over may be called again
 	c, mine := from.(*Conn)
 	if !mine {
-		return func() {}, admit.Verdict{}
+		return func() {}, admit.Decision{}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ticket, v := d.gate.Take(c.id)
+	ticket, v := d.controller.AdmitCompletion(c.id)
 	return sync.OnceFunc(func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.gate.Over(ticket)
+		d.controller.EndCompletion(ticket)
 	}), v
 }
 
 // Early refuses a completion that comes back before it was told to.
-func (d *Door) Early(key uint64) admit.Verdict {
+func (d *Listener) CheckRetry(key uint64) admit.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gate.Early(d.now(), key)
+	return d.controller.CheckRetry(d.now(), key)
 }
 
 // RateLimited hears what a completion was told.
-func (d *Door) RateLimited(key uint64, comeBack time.Duration) {
+func (d *Listener) RecordRateLimit(key uint64, comeBack time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gate.RateLimited(d.now(), key, comeBack.Seconds())
+	d.controller.RecordRateLimit(d.now(), key, comeBack.Seconds())
 }
 
 // Conn is a connection that was let in. It is the remote address of what is made of it, which is how its calls
 // are told apart.
 type Conn struct {
-	d      *Door
-	id     admit.Conn
-	from   netip.AddrPort
-	names  []string // of a verified certificate
-	called bool     // guarded by the door's lock
+	listener         *Listener
+	id               admit.ConnID
+	remote           netip.AddrPort
+	certificateNames []string // of a verified certificate
+	hadRequest       bool     // guarded by the door's lock
 
-	calling atomic.Bool
-	left    atomic.Pointer[func()]
+	inRequest    atomic.Bool
+	onDisconnect atomic.Pointer[func()]
 
-	mu     sync.Mutex
-	fd     int
-	conn   network.Conn // of netpoll
-	secure *tls.Conn
-	raw    net.Conn
-	closed bool
-	told   bool
+	mu        sync.Mutex
+	fd        int
+	conn      network.Conn // of netpoll
+	tlsConn   *tls.Conn
+	rawConn   net.Conn
+	closed    bool
+	closeSent bool
 }
 
 // Network is of net.Addr.
 func (c *Conn) Network() string { return "tcp" }
 
 // String is of net.Addr.
-func (c *Conn) String() string { return c.from.String() }
+func (c *Conn) String() string { return c.remote.String() }
 
 // accepted is a Conn as netpoll.Conn: netpoll takes the descriptor and the addresses from it and nothing else.
-type accepted struct {
+type netpollConn struct {
 	net.Conn // none: netpoll calls nothing else
-	c        *Conn
+	conn     *Conn
 }
 
-func (a *accepted) Fd() int              { return a.c.fd }
-func (a *accepted) LocalAddr() net.Addr  { return a.c.d.Addr() }
-func (a *accepted) RemoteAddr() net.Addr { return a.c }
+func (a *netpollConn) Fd() int              { return a.conn.fd }
+func (a *netpollConn) LocalAddr() net.Addr  { return a.conn.listener.Addr() }
+func (a *netpollConn) RemoteAddr() net.Addr { return a.conn }
 
 // over forgets a connection whose descriptor is about to be closed.
-func (c *Conn) over() {
+func (c *Conn) forget() {
 	c.mu.Lock()
 	was := c.closed
 	c.closed = true
@@ -506,15 +506,15 @@
 	if was {
 		return
 	}
-	d := c.d
+	d := c.listener
 	d.mu.Lock()
 	delete(d.conns, c.id)
-	d.gate.Closed(c.id)
+	d.controller.ConnClosed(c.id)
 	d.mu.Unlock()
 }
 
 // unread is how much the client sent that nobody has read.
-func (c *Conn) unread() int {
+func (c *Conn) unreadBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == nil || c.closed {
@@ -524,9 +524,9 @@
 }
 
 // cut closes the connection outright.
-func (c *Conn) cut() {
+func (c *Conn) closeNow() {
 	c.mu.Lock()
-	conn, raw, closed := c.conn, c.raw, c.closed
+	conn, raw, closed := c.conn, c.rawConn, c.closed
 	c.mu.Unlock()
 	switch {
 	case closed:
@@ -540,29 +540,29 @@
 // sendOff tells a connection that has no call to go. One that never had one gets an answer; one between two
 // calls is closed as HTTP allows at any time. What it sends now is read on for a moment, so that the answer
 // isn't lost to a reset. The lock keeps the descriptor from being closed, and so from being another's.
-func (c *Conn) sendOff(reason admit.Reason, fresh bool) {
+func (c *Conn) closeGracefully(reason admit.Reason, fresh bool) {
 	c.mu.Lock()
-	if c.closed || c.told {
+	if c.closed || c.closeSent {
 		c.mu.Unlock()
 		return
 	}
-	c.told = true
-	if c.raw != nil {
-		secure := c.secure
+	c.closeSent = true
+	if c.rawConn != nil {
+		secure := c.tlsConn
 		c.mu.Unlock()
-		sendOffTLS(secure, c.raw, reason, fresh)
-		time.AfterFunc(c.d.o.Linger, c.cut)
+		closeTLSGracefully(secure, c.rawConn, reason, fresh)
+		time.AfterFunc(c.listener.options.LingerTimeout, c.closeNow)
 		return
 	}
 	if fresh {
-		unix.Write(c.fd, refusal(admit.Verdict{Reason: reason, Wait: 1})) //nolint:errcheck // nothing else was written, or it is gone
+		unix.Write(c.fd, refusalResponse(admit.Decision{Reason: reason, RetryAfter: 1})) //nolint:errcheck // nothing else was written, or it is gone
 	}
 	unix.Shutdown(c.fd, unix.SHUT_WR) //nolint:errcheck // as above
 	c.mu.Unlock()
-	time.AfterFunc(c.d.o.Linger, c.cut)
+	time.AfterFunc(c.listener.options.LingerTimeout, c.closeNow)
 }
 
-func addressOf(sa unix.Sockaddr) netip.AddrPort {
+func addrPortOf(sa unix.Sockaddr) netip.AddrPort {
 	switch a := sa.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
@@ -573,13 +573,13 @@
 }
 
 // refusal is a whole HTTP answer.
-func refusal(v admit.Verdict) []byte {
-	a := v.Reason.Answer()
-	body := fmt.Sprintf(`{"error":{"message":%q,"type":%q,"param":null,"code":%q}}`, a.Message, a.Kind, a.Code)
+func refusalResponse(v admit.Decision) []byte {
+	a := v.Reason.Response()
+	body := fmt.Sprintf(`{"error":{"message":%q,"type":%q,"param":null,"code":%q}}`, a.Message, a.Type, a.Code)
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n", a.Status, http.StatusText(a.Status), len(body))
-	if v.Wait > 0 && a.Status != 408 {
-		fmt.Fprintf(&b, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", int(math.Ceil(v.Wait)), int(math.Ceil(v.Wait*1000)))
+	if v.RetryAfter > 0 && a.Status != 408 {
+		fmt.Fprintf(&b, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", int(math.Ceil(v.RetryAfter)), int(math.Ceil(v.RetryAfter*1000)))
 	}
 	b.WriteString("\r\n")
 	b.WriteString(body)
@@ -587,23 +587,23 @@
 }
 
 // watch logs refusals: a line a second and reason at most, however many there are.
-type watch struct {
+type refusalLogger struct {
 	log  *slog.Logger
-	last admit.Figures
+	last admit.Stats
 }
 
-func newWatch(log *slog.Logger) *watch { return &watch{log: log} }
+func newRefusalLogger(log *slog.Logger) *refusalLogger { return &refusalLogger{log: log} }
 
-func (w *watch) tell(f admit.Figures, top []admit.Holder) {
+func (w *refusalLogger) logChanges(f admit.Stats, top []admit.Holder) {
 	var holder string
 	if len(top) > 0 {
-		holder = fmt.Sprintf("%s (%d)", top[0].Name, top[0].Connections+top[0].Anteroom)
+		holder = fmt.Sprintf("%s (%d)", top[0].Name, top[0].Connections+top[0].Provisional)
 	}
-	for r := range admit.Reason(admit.Reasons) {
+	for r := range admit.Reason(admit.NumReasons) {
 		if n := f.Refused[r] - w.last.Refused[r]; n > 0 {
 			w.log.Info("refused in the last second", "reason", r.String(), "count", n, "holds the most", holder)
 		}
-		if n := f.Ended[r] - w.last.Ended[r]; n > 0 && !slices.Contains([]admit.Reason{admit.Idle}, r) {
+		if n := f.Evicted[r] - w.last.Evicted[r]; n > 0 && !slices.Contains([]admit.Reason{admit.ReasonIdleTimeout}, r) {
 			w.log.Info("connections ended in the last second", "reason", r.String(), "count", n, "holds the most", holder)
 		}
 	}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	drift      = 0.02 // share by which two clocks may differ: an own interval is kept longer by it
-	pauseSlack = 2.0  // hand-over times; a longer gap between two ticks means that this instance stood still
-	lateMost   = 3.0  // intervals; a result older than this tells nothing and is not passed on
+	maxClockDrift           = 0.02 // share by which two clocks may differ: an own interval is kept longer by it
+	pauseThresholdHandovers = 2.0  // hand-over times; a longer gap between two ticks means that this instance stood still
+	maxResultAgeIntervals   = 3.0  // intervals; a result older than this tells nothing and is not passed on
 )
 
 // Member is an instance. Its name and incarnation together are unique for one life.
@@ -53,12 +53,14 @@
 
 // Epoch orders the owners of a duty. Two owners never have the same one.
 type Epoch struct {
-	N     uint64
-	Owner string
+	Number uint64
+	Owner  string
 }
 
 // Less tells whether e comes before f.
-func (e Epoch) Less(f Epoch) bool { return e.N < f.N || e.N == f.N && e.Owner < f.Owner }
+func (e Epoch) Less(f Epoch) bool {
+	return e.Number < f.Number || e.Number == f.Number && e.Owner < f.Owner
+}
 
 // Result is what an instance tells the others of a duty that it did.
 type Result struct {
@@ -70,24 +72,24 @@
 }
 
 // Standing is what a Result that was heard is worth.
-type Standing uint8
+type Freshness uint8
 
 // The standings.
 const (
-	Fresh   Standing = iota // the newest of its duty
-	Late                    // of an owner whose epoch is over, or older than what is known
-	Unknown                 // of no duty here, or of no use any more
+	Fresh   Freshness = iota // the newest of its duty
+	Late                     // of an owner whose epoch is over, or older than what is known
+	Unknown                  // of no duty here, or of no use any more
 )
 
-func (s Standing) String() string { return [...]string{"fresh", "late", "unknown"}[s] }
+func (s Freshness) String() string { return [...]string{"fresh", "late", "unknown"}[s] }
 
 // Settings of a table. All are seconds but Moves.
 type Settings struct {
-	Self     Member
-	Settle   float64 // a member is on the roster once it was in sight for so long
-	Lease    float64 // a member out of sight stays on the roster for so long
-	HandOver float64 // a candidate waits so much longer than the one before it
-	Moves    int     // members that come onto the roster at once, at most; the rest a Settle later each time
+	Self          Member
+	SettleTime    float64 // a member is on the roster once it was in sight for so long
+	LeaseTime     float64 // a member out of sight stays on the roster for so long
+	HandoverDelay float64 // a candidate waits so much longer than the one before it
+	MaxJoins      int     // members that come onto the roster at once, at most; the rest a Settle later each time
 }
 
 // Cause says why an instance does a duty.
@@ -95,9 +97,9 @@
 
 // The causes.
 const (
-	Own      Cause = iota // it is the first candidate in sight
-	StepIn                // no result came from the one before it
-	Inherits              // those before it are out of sight
+	CauseOwner     Cause = iota // it is the first candidate in sight
+	CauseNoResult               // no result came from the one before it
+	CauseOwnerLost              // those before it are out of sight
 )
 
 func (c Cause) String() string {
@@ -105,72 +107,72 @@
 }
 
 // Act is a duty that is to be done now. Its result goes to Done.
-type Act struct {
+type Task struct {
 	Duty
-	Epoch    Epoch
-	Cause    Cause
-	TakeOver bool    // the last result was another's
-	Late     float64 // seconds past its interval since it was done last, 0 where it never was
+	Epoch     Epoch
+	Cause     Cause
+	TakenOver bool    // the last result was another's
+	Late      float64 // seconds past its interval since it was done last, 0 where it never was
 }
 
 // Table holds an instance's duties. Calls must not overlap, and time must not go back.
-type Table struct {
-	s       Settings
-	now     float64
-	born    float64 // time of New
-	ticked  float64 // time of the last tick
-	listens float64 // nothing is done until then: after the start, and after having stood still
-	sight   map[string]*seen
-	roster  []*seen // by name
-	duties  []*state
-	byKey   map[Key]*state
+type Scheduler struct {
+	settings    Settings
+	now         float64
+	createdAt   float64 // time of New
+	lastTick    float64 // time of the last tick
+	listenUntil float64 // nothing is done until then: after the start, and after having stood still
+	members     map[string]*memberState
+	roster      []*memberState // by name
+	duties      []*dutyState
+	byKey       map[Key]*dutyState
 }
 
 // seen is a member that is or was in sight.
-type seen struct {
+type memberState struct {
 	Member
-	since  float64 // in sight without a break since
-	lost   float64 // out of sight since; +Inf while in sight
-	listed bool    // on the roster
-	hash   uint64  // of its name
+	aliveSince float64 // in sight without a break since
+	lostAt     float64 // out of sight since; +Inf while in sight
+	onRoster   bool    // on the roster
+	hash       uint64  // of its name
 }
 
 // state is a duty and what is known of it.
-type state struct {
+type dutyState struct {
 	Duty
-	candidates []*seen
-	done       float64 // when it was done last, by anyone
+	candidates []*memberState
+	doneAt     float64 // when it was done last, by anyone
 	epoch      Epoch
-	mine       float64 // when this instance began it last
-	out        bool    // this instance is at it
+	startedAt  float64 // when this instance began it last
+	running    bool    // this instance is at it
 }
 
 // New makes a table. The instance listens for two Settles and a HandOver before it does anything: by then it has
 // seen the others, they have seen it, and all have each other on their rosters. Settle must be longer than
 // membership takes to tell of one who joins.
-func New(now float64, s Settings) (*Table, error) {
+func New(now float64, s Settings) (*Scheduler, error) {
 	if s.Self.Name == "" || !(s.Self.Weight > 0) {
 		return nil, fmt.Errorf("duty: self %q of weight %v: a name and a weight above 0 are wanted", s.Self.Name, s.Self.Weight)
 	}
-	if !(s.Settle >= 0) || !(s.HandOver > 0) || !(s.Lease > s.Settle) || s.Moves < 1 {
+	if !(s.SettleTime >= 0) || !(s.HandoverDelay > 0) || !(s.LeaseTime > s.SettleTime) || s.MaxJoins < 1 {
 		return nil, errors.New("duty: settle from 0, hand-over above 0, lease above settle and moves from 1 are wanted")
 	}
-	t := &Table{s: s, now: now, born: now, ticked: now, listens: now + 2*s.Settle + s.HandOver, sight: map[string]*seen{}, byKey: map[Key]*state{}}
-	t.sight[s.Self.Name] = &seen{Member: s.Self, since: now, lost: math.Inf(1), hash: nameHash(s.Self.Name)}
+	t := &Scheduler{settings: s, now: now, createdAt: now, lastTick: now, listenUntil: now + 2*s.SettleTime + s.HandoverDelay, members: map[string]*memberState{}, byKey: map[Key]*dutyState{}}
+	t.members[s.Self.Name] = &memberState{Member: s.Self, aliveSince: now, lostAt: math.Inf(1), hash: nameHash(s.Self.Name)}
 	return t, nil
 }
 
 // SetDuties sets what is to be done. What is known of a duty that stays is kept; a new one is due at once.
-func (t *Table) SetDuties(now float64, all []Duty) {
+func (t *Scheduler) SetDuties(now float64, all []Duty) {
 	t.now = now
-	byKey, kept := map[Key]*state{}, make([]*state, 0, len(all))
+	byKey, kept := map[Key]*dutyState{}, make([]*dutyState, 0, len(all))
 	for _, d := range all {
 		if byKey[d.Key] != nil || d.Interval <= 0 {
 			continue
 		}
 		st := t.byKey[d.Key]
 		if st == nil {
-			st = &state{done: math.Inf(-1), mine: math.Inf(-1)}
+			st = &dutyState{doneAt: math.Inf(-1), startedAt: math.Inf(-1)}
 		}
 		st.Duty = d
 		st.Candidates = max(1, d.Candidates)
@@ -178,100 +180,102 @@
 		kept = append(kept, st)
 	}
 	t.byKey, t.duties = byKey, kept
-	t.rank()
+	t.rankCandidates()
 }
 
 // Sight sets the members in sight, as membership tells them; the instance itself need not be among them.
-func (t *Table) Sight(now float64, members []Member) {
+func (t *Scheduler) SetMembers(now float64, members []Member) {
 	t.now = now
-	there := map[string]bool{t.s.Self.Name: true}
+	there := map[string]bool{t.settings.Self.Name: true}
 	for _, m := range members {
-		if m.Name == t.s.Self.Name {
+		if m.Name == t.settings.Self.Name {
 			continue
 		}
 		there[m.Name] = true
-		s := t.sight[m.Name]
+		s := t.members[m.Name]
 		if s == nil {
-			s = &seen{since: now, lost: math.Inf(1), hash: nameHash(m.Name)}
-			t.sight[m.Name] = s
+			s = &memberState{aliveSince: now, lostAt: math.Inf(1), hash: nameHash(m.Name)}
+			t.members[m.Name] = s
 		}
-		if !math.IsInf(s.lost, 1) || s.Incarnation != m.Incarnation {
-			s.since, s.lost = now, math.Inf(1)
+		if !math.IsInf(s.lostAt, 1) || s.Incarnation != m.Incarnation {
+			s.aliveSince, s.lostAt = now, math.Inf(1)
 		}
 		s.Member = m
 	}
-	for name, s := range t.sight { // the order does not matter: each is its own
-		if !there[name] && math.IsInf(s.lost, 1) {
-			s.lost = now
+	for name, s := range t.members { // the order does not matter: each is its own
+		if !there[name] && math.IsInf(s.lostAt, 1) {
+			s.lostAt = now
 		}
 	}
-	t.list()
+	t.updateRoster()
 }
 
 // Left takes a member off the roster at once: it has said that it goes.
-func (t *Table) Left(now float64, name string) {
+func (t *Scheduler) MemberLeft(now float64, name string) {
 	t.now = now
-	if s := t.sight[name]; s != nil && name != t.s.Self.Name {
-		delete(t.sight, name)
-		t.list()
+	if s := t.members[name]; s != nil && name != t.settings.Self.Name {
+		delete(t.members, name)
+		t.updateRoster()
 	}
 }
 
 // list brings the roster up to date: who was in sight for a Settle comes on, a few at a time; who is out of
 // sight for a Lease goes off. Flapping moves nobody. A candidate that is gone longer than the Lease makes room
 // for the next in order: until then, at most, a duty all of whose candidates died is not done.
-func (t *Table) list() {
-	for name, s := range t.sight { // the order does not matter: each is its own
-		if t.now-s.lost >= t.s.Lease {
-			delete(t.sight, name)
+func (t *Scheduler) updateRoster() {
+	for name, s := range t.members { // the order does not matter: each is its own
+		if t.now-s.lostAt >= t.settings.LeaseTime {
+			delete(t.members, name)
 		}
 	}
-	var wait []*seen
-	for _, s := range t.sight { // sorted below
-		if !s.listed && t.now-s.since >= t.s.Settle && math.IsInf(s.lost, 1) {
+	var wait []*memberState
+	for _, s := range t.members { // sorted below
+		if !s.onRoster && t.now-s.aliveSince >= t.settings.SettleTime && math.IsInf(s.lostAt, 1) {
 			wait = append(wait, s)
 		}
 	}
-	slices.SortFunc(wait, func(a, b *seen) int { return cmp.Or(cmp.Compare(a.since, b.since), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(wait, func(a, b *memberState) int {
+		return cmp.Or(cmp.Compare(a.aliveSince, b.aliveSince), cmp.Compare(a.Name, b.Name))
+	})
 	for i, s := range wait {
-		if i >= t.s.Moves && len(t.roster) > 1 {
-			s.since = t.now // its turn comes with the next
+		if i >= t.settings.MaxJoins && len(t.roster) > 1 {
+			s.aliveSince = t.now // its turn comes with the next
 			continue
 		}
-		s.listed = true
+		s.onRoster = true
 	}
-	var roster []*seen
-	for _, s := range t.sight { // sorted below
-		if s.listed {
+	var roster []*memberState
+	for _, s := range t.members { // sorted below
+		if s.onRoster {
 			roster = append(roster, s)
 		}
 	}
-	slices.SortFunc(roster, func(a, b *seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(roster, func(a, b *memberState) int { return cmp.Compare(a.Name, b.Name) })
 	if !slices.Equal(roster, t.roster) {
 		t.roster = roster
-		t.rank()
+		t.rankCandidates()
 	}
 }
 
 func nameHash(name string) uint64 { return xxhash.Sum64String(name) * 0x9e3779b97f4a7c15 }
 
 // lot is a member's place in the order for a duty.
-type lot struct {
-	of   *seen
-	far  bool // out of the subject's zone
-	draw float64
+type rankedMember struct {
+	member    *memberState
+	otherZone bool // out of the subject's zone
+	score     float64
 }
 
-func (a lot) before(b lot) bool {
-	if a.far != b.far {
-		return b.far
+func (a rankedMember) before(b rankedMember) bool {
+	if a.otherZone != b.otherZone {
+		return b.otherZone
 	}
-	return a.draw < b.draw || a.draw == b.draw && a.of.Name < b.of.Name
+	return a.score < b.score || a.score == b.score && a.member.Name < b.member.Name
 }
 
 // rank finds every duty's candidates: the first few in its order.
-func (t *Table) rank() {
-	var first []lot
+func (t *Scheduler) rankCandidates() {
+	var first []rankedMember
 	for _, d := range t.duties {
 		first = first[:0]
 		key := xxhash.Sum64String(string(d.Kind) + "\x00" + d.Subject)
@@ -279,7 +283,7 @@
 			h := (key ^ s.hash) * 0xbf58476d1ce4e5b9
 			h ^= h >> 31
 			u := (float64(h*0x94d049bb133111eb>>11) + 0.5) / (1 << 53)
-			l := lot{s, s.Zone != d.Zone, -math.Log(u) / s.Weight}
+			l := rankedMember{s, s.Zone != d.Zone, -math.Log(u) / s.Weight}
 			at := len(first)
 			for at > 0 && l.before(first[at-1]) {
 				at--
@@ -290,104 +294,104 @@
 		}
 		d.candidates = d.candidates[:0]
 		for _, l := range first {
-			d.candidates = append(d.candidates, l.of)
+			d.candidates = append(d.candidates, l.member)
 		}
 	}
 }
 
 // turn is when this instance is to do a duty, and why; never if it is no candidate. It waits a hand-over for
 // each candidate in sight before it.
-func (t *Table) turn(d *state) (at float64, why Cause) {
+func (t *Scheduler) dueTime(d *dutyState) (at float64, why Cause) {
 	before := 0
 	for i, c := range d.candidates {
-		if c.Name != t.s.Self.Name {
-			if math.IsInf(c.lost, 1) {
+		if c.Name != t.settings.Self.Name {
+			if math.IsInf(c.lostAt, 1) {
 				before++
 			}
 			continue
 		}
 		switch {
 		case before > 0:
-			why = StepIn
+			why = CauseNoResult
 		case i > 0:
-			why = Inherits
+			why = CauseOwnerLost
 		}
 		// Where nobody is known to have done it, an earlier life of this instance may have, an interval ago.
-		at = math.Max(d.done+d.Interval, math.Max(t.listens, t.born+d.Interval))
-		if d.done > t.born {
-			at = d.done + d.Interval
+		at = math.Max(d.doneAt+d.Interval, math.Max(t.listenUntil, t.createdAt+d.Interval))
+		if d.doneAt > t.createdAt {
+			at = d.doneAt + d.Interval
 		}
-		at += float64(before) * t.s.HandOver
-		return math.Max(at, d.mine+d.Interval*(1+drift)), why
+		at += float64(before) * t.settings.HandoverDelay
+		return math.Max(at, d.startedAt+d.Interval*(1+maxClockDrift)), why
 	}
-	return math.Inf(1), Own
+	return math.Inf(1), CauseOwner
 }
 
 // Tick tells what is to be done now, and when to tick again at the latest. After a gap between ticks the
 // instance has stood still: others may have stepped in, so it listens first and does nothing.
-func (t *Table) Tick(now float64) (acts []Act, next float64) {
+func (t *Scheduler) Tick(now float64) (acts []Task, next float64) {
 	t.now = now
-	if now-t.ticked > pauseSlack*t.s.HandOver {
-		t.listens = math.Max(t.listens, now+t.s.HandOver)
+	if now-t.lastTick > pauseThresholdHandovers*t.settings.HandoverDelay {
+		t.listenUntil = math.Max(t.listenUntil, now+t.settings.HandoverDelay)
 	}
-	t.ticked = now
-	t.list()
-	next = now + t.s.HandOver
-	if now < t.listens {
-		return nil, math.Min(next, t.listens)
+	t.lastTick = now
+	t.updateRoster()
+	next = now + t.settings.HandoverDelay
+	if now < t.listenUntil {
+		return nil, math.Min(next, t.listenUntil)
 	}
 	for _, d := range t.duties {
-		if d.out {
+		if d.running {
 			continue
 		}
-		at, why := t.turn(d)
+		at, why := t.dueTime(d)
 		if at > now {
 			next = math.Min(next, at)
 			continue
 		}
-		over := d.epoch.Owner != t.s.Self.Name
+		over := d.epoch.Owner != t.settings.Self.Name
 		epoch := d.epoch
 		if over {
-			epoch = Epoch{d.epoch.N + 1, t.s.Self.Name}
+			epoch = Epoch{d.epoch.Number + 1, t.settings.Self.Name}
 		}
-		d.out, d.mine = true, now
+		d.running, d.startedAt = true, now
 		late := 0.0
-		if !math.IsInf(d.done, -1) {
-			late = math.Max(0, now-d.done-d.Interval)
+		if !math.IsInf(d.doneAt, -1) {
+			late = math.Max(0, now-d.doneAt-d.Interval)
 		}
-		acts = append(acts, Act{d.Duty, epoch, why, over && d.epoch.N > 0, late})
+		acts = append(acts, Task{d.Duty, epoch, why, over && d.epoch.Number > 0, late})
 	}
 	return acts, next
 }
 
 // Done takes the end of an Act and gives the result to tell the others. ok is false where it is to be told to
 // nobody: the duty is gone, or the instance stood still meanwhile and another has it now.
-func (t *Table) Done(now float64, a Act, payload []byte) (r Result, ok bool) {
+func (t *Scheduler) Finish(now float64, a Task, payload []byte) (r Result, ok bool) {
 	t.now = now
 	d := t.byKey[a.Key]
-	if d == nil || !d.out {
+	if d == nil || !d.running {
 		return Result{}, false
 	}
-	d.out = false
+	d.running = false
 	if a.Epoch.Less(d.epoch) {
 		return Result{}, false
 	}
 	d.epoch = a.Epoch
-	d.done = math.Max(d.done, d.mine)
-	return Result{Key: a.Key, Epoch: a.Epoch, Origin: t.s.Self, Age: now - d.mine, Payload: payload}, true
+	d.doneAt = math.Max(d.doneAt, d.startedAt)
+	return Result{Key: a.Key, Epoch: a.Epoch, Origin: t.settings.Self, Age: now - d.startedAt, Payload: payload}, true
 }
 
 // Heard takes another's result and says what it is worth. One that is late still counts as done when it was
 // done: the subject met it.
-func (t *Table) Heard(now float64, r Result) Standing {
+func (t *Scheduler) ReceiveResult(now float64, r Result) Freshness {
 	t.now = now
 	d := t.byKey[r.Key]
-	if d == nil || !(r.Age >= 0) || r.Age > lateMost*d.Interval || r.Origin.Name == t.s.Self.Name {
+	if d == nil || !(r.Age >= 0) || r.Age > maxResultAgeIntervals*d.Interval || r.Origin.Name == t.settings.Self.Name {
 		return Unknown
 	}
 	done := now - r.Age
-	newer := done > d.done
-	d.done = math.Max(d.done, done)
+	newer := done > d.doneAt
+	d.doneAt = math.Max(d.doneAt, done)
 	if r.Epoch.Less(d.epoch) || !newer {
 		return Late
 	}
@@ -406,11 +410,11 @@
 }
 
 // Status lists all duties in the order in which they were set.
-func (t *Table) Status(now float64) []Status {
+func (t *Scheduler) Status(now float64) []Status {
 	all := make([]Status, 0, len(t.duties))
 	for _, d := range t.duties {
-		s := Status{Duty: d.Duty, Owner: d.epoch.Owner, Epoch: d.epoch.N, Since: now - d.done,
-			Late: math.Max(0, now-d.done-d.Interval)}
+		s := Status{Duty: d.Duty, Owner: d.epoch.Owner, Epoch: d.epoch.Number, Since: now - d.doneAt,
+			Late: math.Max(0, now-d.doneAt-d.Interval)}
 		for _, c := range d.candidates {
 			s.Candidates = append(s.Candidates, c.Name)
 		}
@@ -420,7 +424,7 @@
 }
 
 // Roster is the names of those on it.
-func (t *Table) Roster() (names []string) {
+func (t *Scheduler) Roster() (names []string) {
 	for _, s := range t.roster {
 		names = append(names, s.Name)
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -25,7 +25,9 @@
 	return all
 }
 
-func usual() Settings { return Settings{Settle: 1, Lease: 5, HandOver: 0.2, Moves: 100} }
+func usual() Settings {
+	return Settings{SettleTime: 1, LeaseTime: 5, HandoverDelay: 0.2, MaxJoins: 100}
+}
 
 // TestAnyCourse plays joins, deaths, pauses, one-way cuts and message faults and holds each step to the promises.
 func TestAnyCourse(t *testing.T) {
@@ -127,7 +129,7 @@
 // TestRate: the sum of all that a subject meets stays under its greatest rate in a split of any length.
 func TestRate(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newWorld(seed, 6, probes(6, 2), Settings{Settle: 1, Lease: 60, HandOver: 0.2, Moves: 100})
+		w := newWorld(seed, 6, probes(6, 2), Settings{SettleTime: 1, LeaseTime: 60, HandoverDelay: 0.2, MaxJoins: 100})
 		for _, n := range w.nodes {
 			n.start()
 		}
@@ -159,7 +161,7 @@
 // done is done, the rest after a lease.
 func TestJoinAndHalfDie(t *testing.T) {
 	const nodes, subjects = 40, 60
-	w := newWorld(9, nodes, probes(subjects, 2), Settings{Settle: 2, Lease: 8, HandOver: 0.2, Moves: 100})
+	w := newWorld(9, nodes, probes(subjects, 2), Settings{SettleTime: 2, LeaseTime: 8, HandoverDelay: 0.2, MaxJoins: 100})
 	for _, n := range w.nodes[1:] {
 		n.start()
 	}
@@ -203,22 +205,22 @@
 	require.NoError(t, err)
 	table.SetDuties(0, probes(40, 2))
 	a := Member{Name: "a", Incarnation: 1, Weight: 1}
-	table.Sight(0, []Member{a})
+	table.SetMembers(0, []Member{a})
 	first := 0
 	for now := 0.0; now < 10.0; now += 0.1 {
 		for _, d := range table.duties { // a does its own, all at 10 s last, but for the second half
 			if len(d.candidates) > 0 && d.candidates[0].Name == "a" && (now < 9 || first%2 == 0) && math.Mod(now+0.001, 1) < 0.05 {
-				table.Heard(now, Result{Key: d.Key, Epoch: Epoch{1, "a"}, Origin: a})
+				table.ReceiveResult(now, Result{Key: d.Key, Epoch: Epoch{1, "a"}, Origin: a})
 			}
 			first++
 		}
 		acts, _ := table.Tick(now)
 		for _, act := range acts {
-			_, ok := table.Done(now, act, nil)
+			_, ok := table.Finish(now, act, nil)
 			assert.True(t, ok)
 		}
 	}
-	table.Sight(10, nil) // a is dead
+	table.SetMembers(10, nil) // a is dead
 	began := map[Key]float64{}
 	for now := 10.0; now < 13; now += 0.05 {
 		acts, _ := table.Tick(now)
@@ -226,7 +228,7 @@
 			if _, seen := began[act.Key]; !seen {
 				began[act.Key] = now
 			}
-			table.Done(now, act, nil)
+			table.Finish(now, act, nil)
 		}
 	}
 	require.Len(t, began, 40)
@@ -242,12 +244,12 @@
 	require.NoError(t, err)
 	table.SetDuties(0, probes(1, 2))
 	key, a, c := probes(1, 2)[0].Key, Member{Name: "a"}, Member{Name: "c"}
-	assert.Equal(t, Fresh, table.Heard(1, Result{Key: key, Epoch: Epoch{1, "a"}, Origin: a}))
-	assert.Equal(t, Late, table.Heard(1, Result{Key: key, Epoch: Epoch{1, "a"}, Origin: a}), "heard twice")
-	assert.Equal(t, Fresh, table.Heard(2, Result{Key: key, Epoch: Epoch{2, "c"}, Origin: c}))
-	assert.Equal(t, Late, table.Heard(2.5, Result{Key: key, Epoch: Epoch{1, "a"}, Origin: a, Age: 0.1}), "an owner whose epoch is over")
-	assert.Equal(t, 2.4, table.duties[0].done, "still the subject met it")
-	assert.Equal(t, Late, table.Heard(2.6, Result{Key: key, Epoch: Epoch{2, "c"}, Origin: c, Age: 1}), "older than what is known")
+	assert.Equal(t, Fresh, table.ReceiveResult(1, Result{Key: key, Epoch: Epoch{1, "a"}, Origin: a}))
+	assert.Equal(t, Late, table.ReceiveResult(1, Result{Key: key, Epoch: Epoch{1, "a"}, Origin: a}), "heard twice")
+	assert.Equal(t, Fresh, table.ReceiveResult(2, Result{Key: key, Epoch: Epoch{2, "c"}, Origin: c}))
+	assert.Equal(t, Late, table.ReceiveResult(2.5, Result{Key: key, Epoch: Epoch{1, "a"}, Origin: a, Age: 0.1}), "an owner whose epoch is over")
+	assert.Equal(t, 2.4, table.duties[0].doneAt, "still the subject met it")
+	assert.Equal(t, Late, table.ReceiveResult(2.6, Result{Key: key, Epoch: Epoch{2, "c"}, Origin: c, Age: 1}), "older than what is known")
 	for name, r := range map[string]Result{
 		"no duty":  {Key: Key{"probe", "nobody"}, Origin: a},
 		"too old":  {Key: key, Epoch: Epoch{9, "a"}, Origin: a, Age: 9},
@@ -255,13 +257,13 @@
 		"age NaN":  {Key: key, Epoch: Epoch{9, "a"}, Origin: a, Age: math.NaN()},
 		"from one": {Key: key, Epoch: Epoch{9, "b"}, Origin: s.Self},
 	} {
-		assert.Equal(t, Unknown, table.Heard(3, r), name)
+		assert.Equal(t, Unknown, table.ReceiveResult(3, r), name)
 	}
 }
 
 // TestRoster: who flaps moves nobody; who joins comes on after a while, a few at a time; who leaves goes at once.
 func TestRoster(t *testing.T) {
-	s := Settings{Self: Member{Name: "self", Weight: 1}, Settle: 1, Lease: 5, HandOver: 0.2, Moves: 2}
+	s := Settings{Self: Member{Name: "self", Weight: 1}, SettleTime: 1, LeaseTime: 5, HandoverDelay: 0.2, MaxJoins: 2}
 	table, err := New(0, s)
 	require.NoError(t, err)
 	table.SetDuties(0, probes(5, 2))
@@ -271,7 +273,11 @@
 		}
 		return all
 	}
-	at := func(now float64, in []Member) []string { table.Sight(now, in); table.Tick(now); return table.Roster() }
+	at := func(now float64, in []Member) []string {
+		table.SetMembers(now, in)
+		table.Tick(now)
+		return table.Roster()
+	}
 	assert.Empty(t, at(0, members(1)))
 	assert.Equal(t, []string{"m0", "self"}, at(1, members(1)))
 	at(2, members(6))
@@ -286,10 +292,10 @@
 	}
 	assert.Contains(t, at(10, members(2)), "m2", "out of sight, and still on the roster")
 	assert.NotContains(t, at(15.1, members(2)), "m2", "for a lease")
-	table.Left(15.2, "m1")
+	table.MemberLeft(15.2, "m1")
 	assert.NotContains(t, table.Roster(), "m1")
-	for _, bad := range []Settings{{}, {Self: Member{Name: "a"}}, {Self: Member{Name: "a", Weight: 1}, HandOver: 1, Lease: 1, Settle: 2, Moves: 1},
-		{Self: Member{Name: "a", Weight: 1}, Lease: 1, Moves: 1}, {Self: Member{Name: "a", Weight: 1}, Lease: 1, HandOver: 1}} {
+	for _, bad := range []Settings{{}, {Self: Member{Name: "a"}}, {Self: Member{Name: "a", Weight: 1}, HandoverDelay: 1, LeaseTime: 1, SettleTime: 2, MaxJoins: 1},
+		{Self: Member{Name: "a", Weight: 1}, LeaseTime: 1, MaxJoins: 1}, {Self: Member{Name: "a", Weight: 1}, LeaseTime: 1, HandoverDelay: 1}} {
 		_, err := New(0, bad)
 		assert.Error(t, err)
 	}
@@ -302,7 +308,7 @@
 	table, err := New(0, s)
 	require.NoError(t, err)
 	table.SetDuties(0, probes(4000, 2))
-	table.Sight(0, []Member{{Name: "a2", Zone: "a", Weight: 3}, {Name: "b1", Zone: "b", Weight: 1}})
+	table.SetMembers(0, []Member{{Name: "a2", Zone: "a", Weight: 3}, {Name: "b1", Zone: "b", Weight: 1}})
 	table.Tick(1)
 	first := map[string]int{}
 	for _, d := range table.duties {
@@ -317,7 +323,7 @@
 // TestAtSize prints what it costs at size, against each probing for itself. For the figures of docs/results.md:
 // go test ./internal/duty -run TestAtSize -v -duty.nodes 250 -duty.engines 100 -duty.seconds 3600
 func TestAtSize(t *testing.T) {
-	w := newWorld(3, *sizeNodes, probes(*sizeEngines, 2), Settings{Settle: 2, Lease: 30, HandOver: 0.2, Moves: 100})
+	w := newWorld(3, *sizeNodes, probes(*sizeEngines, 2), Settings{SettleTime: 2, LeaseTime: 30, HandoverDelay: 0.2, MaxJoins: 100})
 	w.loss = 0.01
 	for _, n := range w.nodes {
 		n.start()
@@ -344,5 +350,5 @@
 		float64(w.sent)/float64(*sizeNodes)/(*sizeSeconds), float64(w.takeovers)/math.Max(1, float64(deaths)))
 	assert.Less(t, float64(total)/float64(*sizeEngines)/(*sizeSeconds), 1.1, "hardly more than one an interval")
 	assert.Less(t, at(0.99), 1.1)
-	assert.Less(t, at(1), 1+2*drift+0.2*2+0.2)
+	assert.Less(t, at(1), 1+2*maxClockDrift+0.2*2+0.2)
 }
--- a/internal/duty/sim_test.go
+++ b/internal/duty/sim_test.go
@@ -42,7 +42,7 @@
 	w      *world
 	id     int
 	m      Member
-	t      *Table
+	t      *Scheduler
 	up     bool
 	paused bool
 	wakes  float64 // when it went on after a pause
@@ -144,7 +144,7 @@
 			return
 		}
 		n.paused, n.since = false, n.w.now
-		if d > pauseSlack*n.w.settings.HandOver { // a shorter one is a slow tick
+		if d > pauseThresholdHandovers*n.w.settings.HandoverDelay { // a shorter one is a slow tick
 			n.wakes = n.w.now
 		}
 		box := n.boxed
@@ -177,7 +177,7 @@
 					all = append(all, o.m)
 				}
 			}
-			a.t.Sight(a.clock(), all)
+			a.t.SetMembers(a.clock(), all)
 		}
 	})
 }
@@ -203,7 +203,7 @@
 		return
 	}
 	if n.w.plant == "stands still" {
-		n.t.ticked = n.clock()
+		n.t.lastTick = n.clock()
 	}
 	acts, next := n.t.Tick(n.clock())
 	for _, a := range acts {
@@ -215,16 +215,16 @@
 }
 
 // act does a duty: the subject meets it, and the result goes out when it is done.
-func (n *node) act(a Act) {
+func (n *node) act(a Task) {
 	w := n.w
-	if a.TakeOver {
+	if a.TakenOver {
 		w.takeovers++
 	}
 	all := append(w.acts[a.Subject], done{w.now, n.id, w.union(a.Key)})
 	w.acts[a.Subject] = all
 	w.check(n, a, all)
 	if w.plant == "own budget" {
-		n.t.byKey[a.Key].mine, n.t.byKey[a.Key].done = math.Inf(-1), math.Inf(-1)
+		n.t.byKey[a.Key].startedAt, n.t.byKey[a.Key].doneAt = math.Inf(-1), math.Inf(-1)
 	}
 	gen := n.gen
 	w.after(w.takes, func() {
@@ -232,7 +232,7 @@
 			return
 		}
 		finish := func() {
-			if r, ok := n.t.Done(n.clock(), a, nil); ok {
+			if r, ok := n.t.Finish(n.clock(), a, nil); ok {
 				w.send(n, r)
 			}
 		}
@@ -258,7 +258,7 @@
 			w.after(w.between(w.delay), func() {
 				hear := func() {
 					if o.gen == gen && o.up {
-						o.t.Heard(o.clock(), r)
+						o.t.ReceiveResult(o.clock(), r)
 					}
 				}
 				if o.paused {
@@ -272,7 +272,7 @@
 }
 
 // check holds an act to what is always promised.
-func (w *world) check(n *node, a Act, all []done) {
+func (w *world) check(n *node, a Task, all []done) {
 	mine, window, most := 0, 0, w.k
 	for _, d := range all {
 		if w.now-d.at < a.Interval-1e-9 {
@@ -289,7 +289,7 @@
 	switch {
 	case mine > 1:
 		w.fault = fmt.Errorf("%.3f s: node %d did %s %d times in an interval", w.now, n.id, a.Subject, mine)
-	case w.now-n.wakes < w.settings.HandOver/n.skew-1e-9:
+	case w.now-n.wakes < w.settings.HandoverDelay/n.skew-1e-9:
 		w.fault = fmt.Errorf("%.3f s: node %d did %s at once after standing still", w.now, n.id, a.Subject)
 	case window > most:
 		w.fault = fmt.Errorf("%.3f s: %s was done %d times in an interval, %d is the most", w.now, a.Subject, window, most)
@@ -314,7 +314,7 @@
 func (w *world) overdue() error {
 	s := w.settings
 	for i, d := range w.duties {
-		limit := d.Interval*(1+2*drift) + float64(w.k)*s.HandOver + 0.01
+		limit := d.Interval*(1+2*maxClockDrift) + float64(w.k)*s.HandoverDelay + 0.01
 		var names []string
 		agreed := true
 		for _, n := range w.nodes {
@@ -334,7 +334,7 @@
 			continue
 		}
 		for _, n := range w.nodes {
-			held := n.up && !n.paused && w.now-n.since > limit+2*s.Settle+2*s.HandOver && w.now-w.rosterAt > limit+2*s.Settle+2*s.HandOver+w.detect[1]
+			held := n.up && !n.paused && w.now-n.since > limit+2*s.SettleTime+2*s.HandoverDelay && w.now-w.rosterAt > limit+2*s.SettleTime+2*s.HandoverDelay+w.detect[1]
 			for _, name := range names {
 				last := math.Inf(-1)
 				if acts := w.acts[d.Subject]; len(acts) > 0 {
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -82,7 +82,7 @@
 	case c.usage && !c.stream:
 		return nil, invalid("stream_options", "stream_options is only allowed with stream")
 	}
-	for _, name := range id.SessionFrom {
+	for _, name := range id.SessionFields {
 		if i := slices.IndexFunc(c.fields, func(f engine.Field) bool { return f.Name == name }); i >= 0 {
 			if v := gjson.Parse(engine.Text(c.fields[i].JSON)); v.Type == gjson.String && v.Str != "" {
 				c.session = xxhash.Sum64String(v.Str)
@@ -168,7 +168,7 @@
 		n++
 		text += size
 		leading = leading && (role.Str == "system" || role.Str == "developer")
-		if leading && id.SharedFromLeading {
+		if leading && id.LeadingMessagesShared {
 			hash.WriteString(m.Raw) //nolint:errcheck // never fails
 			c.shared = hash.Sum64()
 			c.sharedLen = float64(n)*messageTokens + float64(text)/id.BytesPerToken
--- a/internal/edge/completion.go
+++ b/internal/edge/completion.go
@@ -21,7 +21,7 @@
 	client Client
 
 	won   atomic.Int32        // 0: open; n+1: dispatch n's answer is the client's; answered: it has another one
-	final chan link.Order     // the planner's final answer
+	final chan link.Command   // the planner's final answer
 	begun chan *run           // the dispatch that won
 	fault chan *engine.Result // the engines' word that the completion itself is at fault
 
@@ -38,22 +38,22 @@
 const answered = -1
 
 // Order is of link.Edge.
-func (e *Edge) Order(o link.Order) {
+func (e *Edge) Execute(o link.Command) {
 	if o.Kind == link.Probe {
-		e.probe(o.Engine)
+		e.probe(o.Address)
 		return
 	}
 	c := e.find(o.Completion)
 	if c == nil {
 		if o.Kind == link.Dispatch {
-			e.planner.Tell(link.Fact{Kind: link.Ended, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.NotSent})
+			e.planner.Notify(link.Event{Kind: link.DispatchEnded, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.NotSent})
 		}
 		return
 	}
 	switch o.Kind {
 	case link.Dispatch:
 		c.dispatch(o)
-	case link.HoldPlace:
+	case link.Reserve:
 		c.holdPlace(o)
 	case link.Release:
 		c.release("planner")
@@ -85,19 +85,19 @@
 	if err != nil {
 		e.o.Log.Debug("probe failed", "engine", address, "err", err)
 	}
-	e.planner.Tell(link.Fact{Kind: link.Probed, Address: address, Outcome: engine.ProbeOutcome(err), Report: report})
+	e.planner.Notify(link.Event{Kind: link.ProbeEnded, Address: address, Outcome: engine.ProbeOutcome(err), Report: report})
 	return err
 }
 
 // dispatch starts a dispatch; the planner's goroutine calls it, so that a cancel that follows finds it.
-func (c *completion) dispatch(o link.Order) {
-	r := &run{c: c, n: o.Dispatch, engine: o.Engine, reads: o.Reads, at: time.Now(), sent: make(chan struct{})}
+func (c *completion) dispatch(o link.Command) {
+	r := &run{c: c, n: o.Dispatch, engine: o.Address, reads: o.IsRead, at: time.Now(), sent: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancelCause(c.e.base)
 	c.mu.Lock()
 	if c.handled || c.won.Load() == answered {
 		c.mu.Unlock()
 		r.cancel(engine.ErrCancelled)
-		c.e.planner.Tell(link.Fact{Kind: link.Ended, Completion: c.id, Dispatch: r.n, Outcome: decide.NotSent})
+		c.e.planner.Notify(link.Event{Kind: link.DispatchEnded, Completion: c.id, Dispatch: r.n, Outcome: decide.NotSent})
 		return
 	}
 	c.runs = append(c.runs, r)
@@ -135,7 +135,7 @@
 	c.mu.Unlock()
 	if over {
 		c.e.forget(c.id)
-		c.r.Over()
+		c.r.OnDone()
 	}
 }
 
--- a/internal/edge/run.go
+++ b/internal/edge/dispatch.go
@@ -39,7 +39,7 @@
 	r.c.mu.Lock()
 	r.wrote = true
 	if r.c.e.debugs() {
-		r.c.e.o.Log.Debug("dispatch written", "completion", r.c.r.Name, "dispatch", r.n, "engine", r.engine, "reads", r.reads,
+		r.c.e.o.Log.Debug("dispatch written", "completion", r.c.r.ExternalID, "dispatch", r.n, "engine", r.engine, "reads", r.reads,
 			"connection", sent.Connection, "connection_answered_ago", time.Since(sent.Since).Seconds())
 	}
 	r.c.mu.Unlock()
@@ -53,12 +53,12 @@
 // old the order is.
 func (r *run) call(body []byte, timeout time.Duration) *engine.Call {
 	c := r.c
-	id := c.r.Name
+	id := c.r.ExternalID
 	until := r.at.Add(timeout)
-	if deadline := c.r.Arrived.Add(c.r.Timeout - c.r.Margin); until.After(deadline) {
+	if deadline := c.r.ArrivedAt.Add(c.r.FirstTokenTimeout - c.r.AnswerMargin); until.After(deadline) {
 		until = deadline
 	}
-	if !c.e.o.OneName {
+	if !c.e.o.ReleaseByCompletion {
 		id += "-" + strconv.Itoa(r.n)
 	}
 	check := time.Duration(0)
@@ -68,20 +68,20 @@
 	}
 	r.until = until
 	c.mu.Unlock()
-	return &engine.Call{Address: r.engine, ID: id, Key: c.r.Key, CheckAfter: check, Trace: c.r.Trace, Target: c.r.Target, Body: body, Until: until, Wrote: r.wasWritten,
+	return &engine.Call{Address: r.engine, ID: id, Key: c.r.IdempotencyKey, CheckAfter: check, Trace: c.r.TraceParent, Target: c.r.Target, Body: body, Until: until, Wrote: r.wasWritten,
 		Heard: func(report []float64) {
-			c.e.planner.Tell(link.Fact{Kind: link.Probed, Address: r.engine, Outcome: decide.Finished, Report: report})
+			c.e.planner.Notify(link.Event{Kind: link.ProbeEnded, Address: r.engine, Outcome: decide.Finished, Report: report})
 		}}
 }
 
 func (r *run) read(timeout time.Duration) {
 	c := r.c
 	timer := time.AfterFunc(timeout, func() { r.cancel(engine.ErrTimedOut) })
-	call := r.call(c.r.Body(true, nil), timeout)
+	call := r.call(c.r.BuildBody(true, nil), timeout)
 	result := c.e.o.Engines.Read(r.ctx, call)
 	timer.Stop()
 	switch {
-	case c.e.o.OneName: // its lease sees to it
+	case c.e.o.ReleaseByCompletion: // its lease sees to it
 	case result.Outcome == decide.Read:
 		c.hold(&holding{address: r.engine, id: call.ID, params: result.State})
 	case mayRun(result.Outcome) && !result.Done:
@@ -102,7 +102,7 @@
 	if r.state != nil {
 		state = r.state.params
 	}
-	stream, result := c.e.o.Engines.Write(r.ctx, r.cancel, r.call(c.r.Body(false, state), timeout), timeout)
+	stream, result := c.e.o.Engines.Write(r.ctx, r.cancel, r.call(c.r.BuildBody(false, state), timeout), timeout)
 	if stream == nil {
 		missing := result.Outcome == decide.Full && result.Found == 1
 		c.giveBack(r.state, missing)
@@ -127,7 +127,7 @@
 	}
 	r.stream = stream
 	r.first = time.Since(r.at)
-	c.e.planner.Tell(link.Fact{Kind: link.Started, Completion: c.id, Dispatch: r.n, Took: r.first.Seconds()})
+	c.e.planner.Notify(link.Event{Kind: link.DispatchStarted, Completion: c.id, Dispatch: r.n, Elapsed: r.first.Seconds()})
 	c.begun <- r // there is room for the one that wins
 }
 
@@ -139,8 +139,8 @@
 		if r.stream != nil {
 			usage, _ = r.stream.Usage()
 		}
-		c.e.o.Log.Debug("dispatch ended", "completion", c.r.Name, "dispatch", r.n, "engine", r.engine, "reads", r.reads,
-			"outcome", result.Outcome, "after", r.at.Sub(c.r.Arrived).Seconds(), "first", r.first.Seconds(), "took", took.Seconds(),
+		c.e.o.Log.Debug("dispatch ended", "completion", c.r.ExternalID, "dispatch", r.n, "engine", r.engine, "reads", r.reads,
+			"outcome", result.Outcome, "after", r.at.Sub(c.r.ArrivedAt).Seconds(), "first", r.first.Seconds(), "took", took.Seconds(),
 			"found", result.Found, "answer", usage.Answer, "err", result.Err)
 	}
 	if result.Body != nil && c.won.CompareAndSwap(0, answered) {
@@ -148,7 +148,7 @@
 	}
 	r.cancel(engine.ErrCancelled)
 	r.wasSent()
-	c.e.o.Observe.Dispatched(r.reads, result.Outcome, took)
+	c.e.o.Observer.DispatchEnded(r.reads, result.Outcome, took)
 	c.mu.Lock()
 	r.over = true
 	c.out--
@@ -159,8 +159,8 @@
 		c.arm(c.place)
 	}
 	c.mu.Unlock()
-	c.e.planner.Tell(link.Fact{Kind: link.Ended, Completion: c.id, Dispatch: r.n, Outcome: result.Outcome, Took: took.Seconds(),
-		Done: result.Done, Found: result.Found, Report: result.Report})
+	c.e.planner.Notify(link.Event{Kind: link.DispatchEnded, Completion: c.id, Dispatch: r.n, Outcome: result.Outcome, Elapsed: took.Seconds(),
+		Answered: result.Done, CachedTokens: result.Found, Report: result.Report})
 	c.settle()
 	c.e.runs.Add(-1)
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -33,17 +33,17 @@
 
 // Workload is a kind of completion as the edge needs to know it.
 type Workload struct {
-	Name    string
-	Models  []string
-	Timeout time.Duration // client timeout: to the first token, or the whole if not streamed
-	Effect  decide.Idempotency
-	Most    int // tokens of an answer where the client doesn't say
+	Name             string
+	Models           []string
+	ClientTimeout    time.Duration // client timeout: to the first token, or the whole if not streamed
+	Idempotency      decide.Idempotency
+	DefaultMaxTokens int // tokens of an answer where the client doesn't say
 }
 
 // Tenant is one of those who share the engines.
 type Tenant struct {
 	Name      string
-	Keys      [][32]byte // SHA-256 of its API keys
+	KeyHashes [][32]byte // SHA-256 of its API keys
 	Anonymous bool       // clients without a key are this one
 }
 
@@ -54,44 +54,44 @@
 
 // Identity says how a completion's parts are known.
 type Identity struct {
-	SessionFrom       []string // body fields in order
-	SharedFromLeading bool
-	BytesPerToken     float64
+	SessionFields         []string // body fields in order
+	LeadingMessagesShared bool
+	BytesPerToken         float64
 }
 
 // Options of an edge.
 type Options struct {
-	Listener    net.Listener // or Door; neither: another front calls Take
-	Door        *door.Door   // lets clients in, nil: everybody is
-	Workloads   []Workload
-	Tenants     []Tenant // none: no keys are asked for
-	Limits      Limits
-	Identity    Identity
-	Margin      time.Duration // kept for the way of the final answer
-	LetGo       time.Duration // a state is held no longer while no dispatch is out
-	StreamMost  time.Duration
-	ClientWrite time.Duration // a client that doesn't read so long has left
-	Idle        time.Duration // a client's connection between two completions
-	BodyWait    time.Duration // a body may fall so far behind BodyRate, 0 for no such limit
-	BodyRate    float64       // bytes a second
-	ReadRate    float64       // bytes a second at which a client reads at least while an answer waits, 0 for no such limit
-	ComeBack    time.Duration // the advice to one who was not taken, 0 for none
-	Engines     Engines
-	OneName     bool                                                         // engines hold all of a completion under one name, and any of them lets go of all
-	Probe       func(ctx context.Context, address string) ([]float64, error) // nil: Engines does it
-	Log         *slog.Logger
-	Observe     Observer
+	Listener            net.Listener   // or Door; neither: another front calls Take
+	AdmissionListener   *door.Listener // lets clients in, nil: everybody is
+	Workloads           []Workload
+	Tenants             []Tenant // none: no keys are asked for
+	Limits              Limits
+	Identity            Identity
+	AnswerMargin        time.Duration // kept for the way of the final answer
+	HoldLimit           time.Duration // a state is held no longer while no dispatch is out
+	MaxStreamDuration   time.Duration
+	ClientWriteTimeout  time.Duration // a client that doesn't read so long has left
+	IdleTimeout         time.Duration // a client's connection between two completions
+	MaxBodyLag          time.Duration // a body may fall so far behind BodyRate, 0 for no such limit
+	MinBodyRate         float64       // bytes a second
+	MinClientReadRate   float64       // bytes a second at which a client reads at least while an answer waits, 0 for no such limit
+	RetryAfter          time.Duration // the advice to one who was not taken, 0 for none
+	Engines             Engines
+	ReleaseByCompletion bool                                                         // engines hold all of a completion under one name, and any of them lets go of all
+	Probe               func(ctx context.Context, address string) ([]float64, error) // nil: Engines does it
+	Log                 *slog.Logger
+	Observer            Observer
 }
 
 // Observer hears what an edge does; calls must not block.
 type Observer interface {
-	Took(workload int)
-	Answered(workload int, how Answer, took time.Duration)
+	CompletionAccepted(workload int)
+	CompletionAnswered(workload int, how Answer, took time.Duration)
 	FirstToken(workload int, took time.Duration)
-	Dispatched(reads bool, o decide.Outcome, took time.Duration)
+	DispatchEnded(reads bool, o decide.Outcome, took time.Duration)
 	Refused(status int)
-	Released(reason string)
-	LetGo(held time.Duration) // what was held has been let go, so long after the last that is known of its use
+	ReleaseStarted(reason string)
+	StateReleased(held time.Duration) // what was held has been let go, so long after the last that is known of its use
 }
 
 // Answer is how a completion ended for its client.
@@ -102,7 +102,7 @@
 	Finished Answer = iota
 	RateLimited
 	Aborted
-	Gone
+	ClientLeft
 )
 
 func (a Answer) String() string {
@@ -161,35 +161,35 @@
 		e.nobody = 0
 	}
 	for i, t := range o.Tenants {
-		for _, key := range t.Keys {
+		for _, key := range t.KeyHashes {
 			e.tenants[key] = i
 		}
 		if t.Anonymous {
 			e.nobody = i
 		}
 	}
-	if o.Listener == nil && o.Door == nil { // another front calls Take
+	if o.Listener == nil && o.AdmissionListener == nil { // another front calls Take
 		return e
 	}
 	options := []config.Option{server.WithListener(o.Listener), server.WithTransport(netpoll.NewTransporter),
 		server.WithSenseClientDisconnection(true), server.WithStreamBody(true), server.WithDisablePrintRoute(true),
 		server.WithMaxRequestBodySize(o.Limits.MaxBodyBytes), server.WithMaxHeaderBytes(o.Limits.MaxHeaderBytes),
-		server.WithReadTimeout(o.Idle), server.WithIdleTimeout(o.Idle), server.WithKeepAliveTimeout(o.Idle),
-		server.WithWriteTimeout(o.ClientWrite), server.WithExitWaitTime(time.Second), server.WithRedirectTrailingSlash(false), server.WithHandleMethodNotAllowed(true)}
-	if o.Door != nil {
-		options = append(options, server.WithListener(o.Door))
-		if o.Door.Secure() {
+		server.WithReadTimeout(o.IdleTimeout), server.WithIdleTimeout(o.IdleTimeout), server.WithKeepAliveTimeout(o.IdleTimeout),
+		server.WithWriteTimeout(o.ClientWriteTimeout), server.WithExitWaitTime(time.Second), server.WithRedirectTrailingSlash(false), server.WithHandleMethodNotAllowed(true)}
+	if o.AdmissionListener != nil {
+		options = append(options, server.WithListener(o.AdmissionListener))
+		if o.AdmissionListener.UsesTLS() {
 			// Hertz would sense a client's leaving by a read of its own, beside that of hangUp; the door senses it here.
 			options = append(options, server.WithTransport(standard.NewTransporter), server.WithSenseClientDisconnection(false))
 		} else {
 			options = append(options, server.WithOnAccept(func(conn net.Conn) context.Context {
-				o.Door.Prepared(conn)
+				o.AdmissionListener.AttachConn(conn)
 				return context.Background()
 			}))
 		}
 	}
 	e.server = server.New(options...)
-	if o.Door != nil {
+	if o.AdmissionListener != nil {
 		e.server.Use(e.guard)
 	}
 	e.server.POST("/v1/chat/completions", e.complete)
@@ -209,7 +209,7 @@
 func (e *Edge) debugs() bool { return e.o.Log.Enabled(e.base, slog.LevelDebug) }
 
 // Plan sets the planner.
-func (e *Edge) Plan(p link.Planner) { e.planner = p }
+func (e *Edge) SetPlanner(p link.Planner) { e.planner = p }
 
 // Serve serves clients until Stop. Where Stop came first it serves nobody.
 func (e *Edge) Serve() error {
@@ -237,8 +237,8 @@
 // waits for states to be released.
 func (e *Edge) Stop(ctx context.Context) error {
 	e.ending.Store(true)
-	if e.o.Door != nil {
-		e.o.Door.Drain()
+	if e.o.AdmissionListener != nil {
+		e.o.AdmissionListener.Drain()
 	}
 	e.await(ctx, func() bool { return e.active.Load() == 0 })
 	e.end(engine.ErrCancelled)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -30,19 +30,19 @@
 type script struct {
 	mu    sync.Mutex
 	e     *Edge
-	facts []link.Fact
-	told  func(s *script, f link.Fact) // nil: it is stalled
+	facts []link.Event
+	told  func(s *script, f link.Event) // nil: it is stalled
 	full  bool
 }
 
-func (s *script) Offer(f link.Fact) bool {
+func (s *script) Offer(f link.Event) bool {
 	if !s.full {
-		s.Tell(f)
+		s.Notify(f)
 	}
 	return !s.full
 }
 
-func (s *script) Tell(f link.Fact) {
+func (s *script) Notify(f link.Event) {
 	s.mu.Lock()
 	s.facts = append(s.facts, f)
 	s.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *script) count(kind link.FactKind) (n int) {
+func (s *script) count(kind link.EventKind) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.facts {
@@ -62,19 +62,19 @@
 	return n
 }
 
-func (s *script) order(kind link.OrderKind, of link.Fact, n int, address string) {
-	s.e.Order(link.Order{Kind: kind, Completion: of.Completion, Dispatch: n, Engine: address, Timeout: 5})
+func (s *script) order(kind link.CommandKind, of link.Event, n int, address string) {
+	s.e.Execute(link.Command{Kind: kind, Completion: of.Completion, Dispatch: n, Address: address, Timeout: 5})
 }
 
 type quiet struct{}
 
-func (quiet) Took(int)                                       {}
-func (quiet) Answered(int, Answer, time.Duration)            {}
-func (quiet) FirstToken(int, time.Duration)                  {}
-func (quiet) Dispatched(bool, decide.Outcome, time.Duration) {}
-func (quiet) Refused(int)                                    {}
-func (quiet) LetGo(time.Duration)                            {}
-func (quiet) Released(string)                                {}
+func (quiet) CompletionAccepted(int)                            {}
+func (quiet) CompletionAnswered(int, Answer, time.Duration)     {}
+func (quiet) FirstToken(int, time.Duration)                     {}
+func (quiet) DispatchEnded(bool, decide.Outcome, time.Duration) {}
+func (quiet) Refused(int)                                       {}
+func (quiet) StateReleased(time.Duration)                       {}
+func (quiet) ReleaseStarted(string)                             {}
 
 // serve starts an edge with a scripted planner.
 func serve(t *testing.T, s *script, change func(*Options)) string {
@@ -83,17 +83,17 @@
 	client, err := engine.NewClient(engine.Options{ConnectTimeout: time.Second, ProbeTimeout: time.Second, IdleConn: time.Second,
 		StreamIdle: 2 * time.Second, MaxEventBytes: 1 << 16})
 	require.NoError(t, err)
-	o := Options{Listener: ln, Workloads: []Workload{{Name: "m", Models: []string{"m"}, Timeout: 600 * time.Millisecond, Most: 9},
-		{Name: "once", Models: []string{"once"}, Timeout: 600 * time.Millisecond, Effect: decide.NonIdempotent, Most: 9}},
-		Limits:   Limits{MaxBodyBytes: 1 << 16, MaxHeaderBytes: 1 << 14, MaxDepth: 20, MaxMessages: 10, MaxAnswerBytes: 1 << 20},
-		Identity: Identity{SessionFrom: []string{"prompt_cache_key"}, SharedFromLeading: true, BytesPerToken: 4},
-		Margin:   100 * time.Millisecond, LetGo: 300 * time.Millisecond, StreamMost: 20 * time.Second, ClientWrite: 500 * time.Millisecond,
-		Idle: 5 * time.Second, ComeBack: time.Second, Engines: VLLM(client), Log: slog.New(slog.DiscardHandler), Observe: quiet{}}
+	o := Options{Listener: ln, Workloads: []Workload{{Name: "m", Models: []string{"m"}, ClientTimeout: 600 * time.Millisecond, DefaultMaxTokens: 9},
+		{Name: "once", Models: []string{"once"}, ClientTimeout: 600 * time.Millisecond, Idempotency: decide.NonIdempotent, DefaultMaxTokens: 9}},
+		Limits:       Limits{MaxBodyBytes: 1 << 16, MaxHeaderBytes: 1 << 14, MaxDepth: 20, MaxMessages: 10, MaxAnswerBytes: 1 << 20},
+		Identity:     Identity{SessionFields: []string{"prompt_cache_key"}, LeadingMessagesShared: true, BytesPerToken: 4},
+		AnswerMargin: 100 * time.Millisecond, HoldLimit: 300 * time.Millisecond, MaxStreamDuration: 20 * time.Second, ClientWriteTimeout: 500 * time.Millisecond,
+		IdleTimeout: 5 * time.Second, RetryAfter: time.Second, Engines: VLLMEngines(client), Log: slog.New(slog.DiscardHandler), Observer: quiet{}}
 	if change != nil {
 		change(&o)
 	}
 	s.e = New(o)
-	s.e.Plan(s)
+	s.e.SetPlanner(s)
 	go s.e.Serve() //nolint:errcheck // ends with Stop
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -250,7 +250,7 @@
 		assert.Equal(t, retry, resp.Header.Get("X-Should-Retry"))
 		assert.Less(t, time.Since(began), 600*time.Millisecond)
 	}
-	assert.Equal(t, 2, s.count(link.Left))
+	assert.Equal(t, 2, s.count(link.ClientLeft))
 }
 
 // TestStatedTimeout: a shorter timeout that the client states holds.
@@ -282,8 +282,8 @@
 func TestSecondCopy(t *testing.T) {
 	a, _ := writer(t, 5, 2*time.Millisecond, "a")
 	b, _ := writer(t, 5, 2*time.Millisecond, "b")
-	s := &script{told: func(s *script, f link.Fact) {
-		if f.Kind == link.Take {
+	s := &script{told: func(s *script, f link.Event) {
+		if f.Kind == link.CompletionArrived {
 			s.order(link.Dispatch, f, 0, a)
 			s.order(link.Dispatch, f, 1, b)
 		}
@@ -295,16 +295,16 @@
 		assert.True(t, hasA == 5 && hasB == 0 || hasA == 0 && hasB == 5, text)
 		assert.Equal(t, 1, strings.Count(text, "[DONE]"))
 	}
-	assert.Eventually(t, func() bool { return s.count(link.Ended) == 60 }, 2*time.Second, 5*time.Millisecond, "each dispatch has its end")
-	assert.Equal(t, 30, s.count(link.Started))
+	assert.Eventually(t, func() bool { return s.count(link.DispatchEnded) == 60 }, 2*time.Second, 5*time.Millisecond, "each dispatch has its end")
+	assert.Equal(t, 30, s.count(link.DispatchStarted))
 }
 
 // TestSameInstant: the planner's final answer and an engine's first token come together. There is one answer,
 // whole, whichever it is.
 func TestSameInstant(t *testing.T) {
 	a, _ := writer(t, 2, 5*time.Millisecond, "a")
-	s := &script{told: func(s *script, f link.Fact) {
-		if f.Kind == link.Take {
+	s := &script{told: func(s *script, f link.Event) {
+		if f.Kind == link.CompletionArrived {
 			s.order(link.Dispatch, f, 0, a)
 			time.Sleep(5*time.Millisecond + time.Duration(f.Completion%40)*50*time.Microsecond)
 			s.order(link.RateLimit, f, 0, "")
@@ -325,7 +325,7 @@
 		}
 	}
 	assert.Equal(t, 80, kinds[200]+kinds[429])
-	assert.Eventually(t, func() bool { return s.count(link.Ended) == 80 }, 2*time.Second, 5*time.Millisecond)
+	assert.Eventually(t, func() bool { return s.count(link.DispatchEnded) == 80 }, 2*time.Second, 5*time.Millisecond)
 }
 
 // TestClientLeaves: a client that leaves, before its first token or in the stream, ends its dispatch in 50 ms.
@@ -352,8 +352,8 @@
 			})}
 			go server.Serve(ln) //nolint:errcheck // ends with Close
 			defer server.Close()
-			s := &script{told: func(s *script, f link.Fact) {
-				if f.Kind == link.Take {
+			s := &script{told: func(s *script, f link.Event) {
+				if f.Kind == link.CompletionArrived {
 					s.order(link.Dispatch, f, 0, ln.Addr().String())
 				}
 			}}
@@ -367,7 +367,7 @@
 			at := time.Now()
 			leave()
 			assert.Less(t, (<-ended).Sub(at), 50*time.Millisecond)
-			assert.Eventually(t, func() bool { return s.count(link.Left) == 1 && s.count(link.Ended) == 1 }, time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return s.count(link.ClientLeft) == 1 && s.count(link.DispatchEnded) == 1 }, time.Second, time.Millisecond)
 		})
 	}
 }
@@ -387,9 +387,9 @@
 	})}
 	go server.Serve(ln) //nolint:errcheck // ends with Close
 	defer server.Close()
-	s := &script{told: func(s *script, f link.Fact) {
-		if f.Kind == link.Take {
-			s.e.Order(link.Order{Kind: link.Dispatch, Completion: f.Completion, Reads: true, Engine: ln.Addr().String(), Timeout: 5})
+	s := &script{told: func(s *script, f link.Event) {
+		if f.Kind == link.CompletionArrived {
+			s.e.Execute(link.Command{Kind: link.Dispatch, Completion: f.Completion, IsRead: true, Address: ln.Addr().String(), Timeout: 5})
 		}
 	}}
 	url := serve(t, s, nil)
@@ -402,10 +402,10 @@
 func TestSlowClient(t *testing.T) {
 	a, calls := writer(t, 4000, 0, strings.Repeat("a", 4000)) // 16 MB
 	b, _ := writer(t, 20, 5*time.Millisecond, "b")
-	s := &script{told: func(s *script, f link.Fact) {
-		if f.Kind == link.Take && f.Completion == 1 {
+	s := &script{told: func(s *script, f link.Event) {
+		if f.Kind == link.CompletionArrived && f.Completion == 1 {
 			s.order(link.Dispatch, f, 0, a)
-		} else if f.Kind == link.Take {
+		} else if f.Kind == link.CompletionArrived {
 			s.order(link.Dispatch, f, 0, b)
 		}
 	}}
@@ -422,13 +422,13 @@
 		assert.Equal(t, 20, strings.Count(text, `"b"`))
 		assert.Less(t, time.Since(began), 600*time.Millisecond)
 	}
-	assert.Eventually(t, func() bool { return s.count(link.Left) == 1 }, 3*time.Second, 10*time.Millisecond, "it is ended")
-	assert.Eventually(t, func() bool { return s.count(link.Ended) == 4 }, time.Second, 10*time.Millisecond)
+	assert.Eventually(t, func() bool { return s.count(link.ClientLeft) == 1 }, 3*time.Second, 10*time.Millisecond, "it is ended")
+	assert.Eventually(t, func() bool { return s.count(link.DispatchEnded) == 4 }, time.Second, 10*time.Millisecond)
 }
 
 func TestKeys(t *testing.T) {
 	url := serve(t, &script{full: true}, func(o *Options) {
-		o.Tenants = []Tenant{{Name: "a", Keys: [][32]byte{sha("key-a")}}}
+		o.Tenants = []Tenant{{Name: "a", KeyHashes: [][32]byte{sha("key-a")}}}
 	})
 	for header, status := range map[string]int{"": 401, "Bearer key-b": 401, "Bearer key-a": 429, "key-a": 401} {
 		req, err := http.NewRequest("POST", url+"/v1/chat/completions", strings.NewReader(whole))
@@ -442,7 +442,7 @@
 }
 
 func TestIdentity(t *testing.T) {
-	l, id := Limits{MaxDepth: 20, MaxMessages: 100}, Identity{SessionFrom: []string{"prompt_cache_key", "user"}, SharedFromLeading: true, BytesPerToken: 4}
+	l, id := Limits{MaxDepth: 20, MaxMessages: 100}, Identity{SessionFields: []string{"prompt_cache_key", "user"}, LeadingMessagesShared: true, BytesPerToken: 4}
 	parse := func(body string) *chat {
 		c, bad := parseChat([]byte(body), l, id)
 		require.Nil(t, bad)
@@ -469,7 +469,7 @@
 	f.Add([]byte(`{"a\"\\":{"b":[{}]},"model":"m","messages":[{"role":"\u0000","content":null}],"stream":true,"stream_options":{"include_usage":true}}`))
 	f.Add([]byte(strings.Repeat("[", 100)))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		c, bad := parseChat(body, Limits{MaxDepth: 20, MaxMessages: 10}, Identity{SessionFrom: []string{"user"}, SharedFromLeading: true, BytesPerToken: 4})
+		c, bad := parseChat(body, Limits{MaxDepth: 20, MaxMessages: 10}, Identity{SessionFields: []string{"user"}, LeadingMessagesShared: true, BytesPerToken: 4})
 		if (c == nil) == (bad == nil) {
 			t.Fatal("a call or an error")
 		}
@@ -495,13 +495,13 @@
 	require.NoError(t, err)
 	defer ln.Close()
 	for i := range 60 {
-		e := New(Options{Listener: ln, Workloads: []Workload{{Name: "m", Models: []string{"m"}, Timeout: 50 * time.Millisecond, Most: 9}},
-			Limits:      Limits{MaxBodyBytes: 1 << 23, MaxHeaderBytes: 1 << 14, MaxDepth: 20, MaxMessages: 10},
-			Identity:    Identity{SessionFrom: []string{"user"}, BytesPerToken: 4},
-			ClientWrite: time.Second, Idle: time.Second, Log: slog.New(slog.DiscardHandler), Observe: quiet{}, Probe: func(context.Context, string) ([]float64, error) { return nil, nil }})
+		e := New(Options{Listener: ln, Workloads: []Workload{{Name: "m", Models: []string{"m"}, ClientTimeout: 50 * time.Millisecond, DefaultMaxTokens: 9}},
+			Limits:             Limits{MaxBodyBytes: 1 << 23, MaxHeaderBytes: 1 << 14, MaxDepth: 20, MaxMessages: 10},
+			Identity:           Identity{SessionFields: []string{"user"}, BytesPerToken: 4},
+			ClientWriteTimeout: time.Second, IdleTimeout: time.Second, Log: slog.New(slog.DiscardHandler), Observer: quiet{}, Probe: func(context.Context, string) ([]float64, error) { return nil, nil }})
 		var stopped atomic.Bool
-		e.Plan(planFunc(func(f link.Fact) bool {
-			if f.Kind == link.Take && stopped.Load() {
+		e.SetPlanner(planFunc(func(f link.Event) bool {
+			if f.Kind == link.CompletionArrived && stopped.Load() {
 				late++
 			}
 			return false
@@ -526,10 +526,10 @@
 }
 
 // planFunc is a planner that hears of everything.
-type planFunc func(f link.Fact) bool
+type planFunc func(f link.Event) bool
 
-func (p planFunc) Offer(f link.Fact) bool { return p(f) }
-func (p planFunc) Tell(f link.Fact)       { p(f) }
+func (p planFunc) Offer(f link.Event) bool { return p(f) }
+func (p planFunc) Notify(f link.Event)     { p(f) }
 
 // TestReleasesAreBounded: past the most that may run a state is given up with an error that names it.
 func TestReleasesAreBounded(t *testing.T) {
@@ -548,7 +548,7 @@
 func TestReportsNameTheirEngine(t *testing.T) {
 	s := &script{}
 	serve(t, s, nil)
-	s.e.Order(link.Order{Kind: link.Probe, Engine: "127.0.0.1:1"})
-	require.Eventually(t, func() bool { return s.count(link.Probed) == 1 }, 2*time.Second, time.Millisecond)
+	s.e.Execute(link.Command{Kind: link.Probe, Address: "127.0.0.1:1"})
+	require.Eventually(t, func() bool { return s.count(link.ProbeEnded) == 1 }, 2*time.Second, time.Millisecond)
 	assert.Equal(t, "127.0.0.1:1", s.facts[0].Address)
 }
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -58,17 +58,17 @@
 	}
 
 	w := &e.o.Workloads[work]
-	timeout, whole := w.Timeout, e.o.StreamMost
+	timeout, whole := w.ClientTimeout, e.o.MaxStreamDuration
 	if stated := statedTimeout(rc); stated > 0 {
 		timeout, whole = min(timeout, stated), min(whole, stated)
 	}
 	if !ch.stream {
 		whole = min(whole, timeout)
 	}
-	margin := min(e.o.Margin, timeout/4)
+	margin := min(e.o.AnswerMargin, timeout/4)
 	most := ch.most
 	if most == 0 {
-		most = w.Most
+		most = w.DefaultMaxTokens
 	}
 	over, bad := e.take(rc)
 	if bad != nil {
@@ -77,22 +77,22 @@
 	}
 	id := e.NextID()
 	h := &rc.Request.Header
-	r := &Request{ID: id, Name: e.name(id), Key: string(h.Peek("Idempotency-Key")), Trace: string(h.Peek("Traceparent")),
-		Arrived: arrived, Timeout: timeout, Margin: margin, Whole: whole, Over: over,
+	r := &Request{ID: id, ExternalID: e.name(id), IdempotencyKey: string(h.Peek("Idempotency-Key")), TraceParent: string(h.Peek("Traceparent")),
+		ArrivedAt: arrived, FirstTokenTimeout: timeout, AnswerMargin: margin, TotalTimeout: whole, OnDone: over,
 		Prompt: decide.Prompt{Workload: work, Tenant: tenant, Session: ch.session, SharedPrefix: ch.shared, SharedPrefixTokens: ch.sharedLen,
 			Tokens: ch.prompt, MaxOutputTokens: float64(most)},
-		Body: func(reads bool, state []byte) []byte {
+		BuildBody: func(reads bool, state []byte) []byte {
 			if reads {
 				return engine.ReadBody(ch.fields)
 			}
-			return engine.WriteBody(ch.fields, state, w.Most)
+			return engine.WriteBody(ch.fields, state, w.DefaultMaxTokens)
 		}}
-	if r.Key == "" {
-		r.Key = r.Name
+	if r.IdempotencyKey == "" {
+		r.IdempotencyKey = r.ExternalID
 	}
-	rc.Response.Header.Set("X-Request-Id", r.Name)
-	if _, taken := e.Take(ctx, r, &chatClient{e: e, rc: rc, chat: ch, r: r, returns: returns}); !taken {
-		setComeBack(rc, e.o.ComeBack.Seconds())
+	rc.Response.Header.Set("X-Request-Id", r.ExternalID)
+	if _, taken := e.Handle(ctx, r, &chatClient{e: e, rc: rc, chat: ch, r: r, returns: returns}); !taken {
+		setComeBack(rc, e.o.RetryAfter.Seconds())
 		e.refuse(rc, e.busy())
 	}
 }
@@ -107,7 +107,7 @@
 }
 
 // Fault is of Client, as are the methods below.
-func (c *chatClient) Fault(status int, body []byte) {
+func (c *chatClient) EngineError(status int, body []byte) {
 	c.e.refuse(c.rc, &apiError{status: status, message: string(body)})
 }
 
@@ -129,7 +129,7 @@
 
 // noRetry keeps OpenAI's clients from trying again by themselves what may not run twice.
 func (c *chatClient) noRetry() {
-	if c.e.o.Workloads[c.r.Prompt.Workload].Effect == decide.NonIdempotent {
+	if c.e.o.Workloads[c.r.Prompt.Workload].Idempotency == decide.NonIdempotent {
 		c.rc.Response.Header.Set("X-Should-Retry", "false")
 	}
 }
@@ -167,26 +167,26 @@
 			continue
 		case err == nil:
 			out = append(append(append(out, "data: "...), event.Data...), "\n\n"...)
-			if stream.More() && len(out) < flushMost {
+			if stream.HasBufferedEvent() && len(out) < flushMost {
 				continue
 			}
 		case errors.Is(err, io.EOF):
 			out = append(out, "data: [DONE]\n\n"...)
 		case ctx.Err() != nil:
-			return Gone
+			return ClientLeft
 		default:
 			out = append(append(append(out, "data: "...), c.broken(run, err).body()...), "\n\n"...)
 		}
 		began := time.Now()
 		if _, fault := rc.Write(out); fault != nil || rc.Flush() != nil {
-			return Gone
+			return ClientLeft
 		}
 		// A client that reads a little now and then never waits past ClientWrite for one write. All its waits
 		// together are bounded too; without that it would hold an engine's place for the whole StreamMost.
 		wrote += float64(len(out))
 		waited += time.Since(began)
-		if e := c.e; e.o.ReadRate > 0 && waited.Seconds() > e.o.ClientWrite.Seconds()+wrote/e.o.ReadRate {
-			return Gone
+		if e := c.e; e.o.MinClientReadRate > 0 && waited.Seconds() > e.o.ClientWriteTimeout.Seconds()+wrote/e.o.MinClientReadRate {
+			return ClientLeft
 		}
 		out = out[:0]
 		switch {
@@ -210,7 +210,7 @@
 	case errors.Is(cause, engine.ErrCancelled):
 		return &apiError{kind: "server_error", code: "stopping", message: "aborted: this router is stopping"}
 	}
-	c.e.o.Log.Info("answer broke", "completion", c.r.Name, "err", err)
+	c.e.o.Log.Info("answer broke", "completion", c.r.ExternalID, "err", err)
 	return &apiError{kind: "server_error", code: "answer_broken", message: "aborted: the answer broke on its way"}
 }
 
@@ -232,7 +232,7 @@
 			rc.Write(whole.body(usage, told)) //nolint:errcheck // into the response's buffer
 			return Finished
 		case ctx.Err() != nil:
-			return Gone
+			return ClientLeft
 		}
 		c.noRetry()
 		bad := c.broken(run, err)
@@ -296,12 +296,12 @@
 	}
 	body := make([]byte, 0, max(0, min(rc.Request.Header.ContentLength(), bodyAhead))+bytes.MinRead)
 	began, stream, conn := time.Now(), rc.RequestBodyStream(), rc.GetConn()
-	if e.o.BodyWait > 0 {
-		defer conn.SetReadTimeout(e.o.Idle) //nolint:errcheck // of a connection that is closed
+	if e.o.MaxBodyLag > 0 {
+		defer conn.SetReadTimeout(e.o.IdleTimeout) //nolint:errcheck // of a connection that is closed
 	}
 	for {
-		if e.o.BodyWait > 0 {
-			left := e.o.BodyWait + time.Duration(float64(len(body))/e.o.BodyRate*float64(time.Second)) - time.Since(began)
+		if e.o.MaxBodyLag > 0 {
+			left := e.o.MaxBodyLag + time.Duration(float64(len(body))/e.o.MinBodyRate*float64(time.Second)) - time.Since(began)
 			if left <= 0 {
 				return nil, bodySlow
 			}
@@ -317,7 +317,7 @@
 			return nil, tooLarge
 		case errors.Is(err, io.EOF):
 			return body, nil
-		case err != nil && e.o.BodyWait > 0 && time.Since(began).Seconds() >= e.o.BodyWait.Seconds()+float64(len(body))/e.o.BodyRate:
+		case err != nil && e.o.MaxBodyLag > 0 && time.Since(began).Seconds() >= e.o.MaxBodyLag.Seconds()+float64(len(body))/e.o.MinBodyRate:
 			return nil, bodySlow
 		case err != nil:
 			return nil, &apiError{status: 400, kind: "invalid_request_error", code: "body_broken", message: "the body ended early"}
@@ -333,7 +333,7 @@
 // refuse answers with an error. An engine's own word (no kind) goes on as it is if it is JSON.
 func (e *Edge) refuse(rc *app.RequestContext, err *apiError) {
 	if err.status < 500 && err.status != 429 {
-		e.o.Observe.Refused(err.status)
+		e.o.Observer.Refused(err.status)
 	}
 	if err.code == "body_too_large" || err.code == "body_broken" || err == bodySlow {
 		e.hangUp(rc, err, lingerFor)
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -56,23 +56,23 @@
 
 // leaseExpires lets go of what nobody took in time.
 func (c *completion) leaseExpires() {
-	reason := ReasonLimit
+	reason := ReleaseReasonHoldLimit
 	if c.writes() {
-		reason = ReasonLimitWriting
+		reason = ReleaseReasonHoldLimitWriting
 	}
 	level := slog.LevelDebug
 	if _, holds := c.lease.HeldFor(0); holds { // else it is for what a call that was cut off may leave yet
 		level = slog.LevelInfo
 	}
-	c.e.o.Log.Log(c.e.base, level, "held state expires", "completion", c.r.Name, "why", reason, "engine", c.lease.at, "dispatches", len(c.runs),
-		"out", c.out, "since_taken", time.Since(c.r.Arrived).Seconds(), "answered", c.handled)
+	c.e.o.Log.Log(c.e.base, level, "held state expires", "completion", c.r.ExternalID, "why", reason, "engine", c.lease.at, "dispatches", len(c.runs),
+		"out", c.out, "since_taken", time.Since(c.r.ArrivedAt).Seconds(), "answered", c.handled)
 	c.cancelConnecting()
 	c.releaseHeld(reason)
 }
 
 // releaseDue is how long it is until a release has to be sent, false for not at all.
 func (c *completion) releaseDue() (time.Duration, bool) {
-	at, due := c.lease.NextRelease(c.e.o.LetGo.Seconds())
+	at, due := c.lease.NextRelease(c.e.o.HoldLimit.Seconds())
 	return time.Until(c.e.began.Add(time.Duration(at * float64(time.Second)))), due
 }
 
@@ -94,7 +94,7 @@
 	c.lease.releasing = true
 	c.lease.ReleaseSent()
 	c.logLease("release is sent", reason)
-	c.e.releaseWhile(&holding{address: c.lease.at, id: c.r.Name}, reason, c.leaseRuns, c.leaseReleased)
+	c.e.releaseWhile(&holding{address: c.lease.at, id: c.r.ExternalID}, reason, c.leaseRuns, c.leaseReleased)
 }
 
 // leaseRuns tells whether a release is still wanted.
@@ -110,7 +110,7 @@
 	c.lease.releasing = false
 	if answered {
 		if held, holds := c.lease.HeldFor(c.e.seconds(time.Now())); holds {
-			c.e.o.Observe.LetGo(time.Duration(held * float64(time.Second)))
+			c.e.o.Observer.StateReleased(time.Duration(held * float64(time.Second)))
 		}
 		c.lease.ReleaseAnswered(c.e.seconds(sent), c.writes())
 		c.logLease("release is answered", "")
@@ -124,7 +124,7 @@
 
 // leaseEnds books a dispatch's end, and tells whether the state that was read may be gone.
 func (c *completion) leaseEnds(r *run, o decide.Outcome) (gone bool) {
-	if !c.e.o.OneName {
+	if !c.e.o.ReleaseByCompletion {
 		return false
 	}
 	now, until := c.e.seconds(time.Now()), c.e.seconds(r.until)
@@ -158,6 +158,6 @@
 	if !c.e.debugs() {
 		return
 	}
-	c.e.o.Log.Debug("held state", "completion", c.r.Name, "change", what, "why", why, "engine", c.lease.at, "held", c.lease.Active(),
+	c.e.o.Log.Debug("held state", "completion", c.r.ExternalID, "change", what, "why", why, "engine", c.lease.at, "held", c.lease.Active(),
 		"dispatches_out", c.out)
 }
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -38,7 +38,7 @@
 type answer struct{}
 
 func (answer) Next() (engine.Event, error) { return engine.Event{}, io.EOF }
-func (answer) More() bool                  { return false }
+func (answer) HasBufferedEvent() bool      { return false }
 func (answer) Usage() (engine.Usage, bool) { return engine.Usage{}, false }
 func (answer) Close() *engine.Result       { return &engine.Result{Outcome: decide.Finished} }
 
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func (e *engines) Hold(context.Context, string, string, float64, time.Duration) (bool, error) {
+func (e *engines) Reserve(context.Context, string, string, float64, time.Duration) (bool, error) {
 	e.next(new([]scripted), "place")
 	return false, nil
 }
@@ -188,11 +188,11 @@
 // orders is a planner that answers facts with orders.
 type orders struct {
 	e  *Edge
-	do func(e *Edge, f link.Fact)
+	do func(e *Edge, f link.Event)
 }
 
-func (o *orders) Offer(f link.Fact) bool { o.do(o.e, f); return true }
-func (o *orders) Tell(f link.Fact)       { o.do(o.e, f) }
+func (o *orders) Offer(f link.Event) bool { o.do(o.e, f); return true }
+func (o *orders) Notify(f link.Event)     { o.do(o.e, f) }
 
 // nobody is a client that takes each answer; relays, nil for at once, is how long a stream takes.
 type nobody struct {
@@ -207,30 +207,30 @@
 	n.answers <- "whole"
 	return Finished
 }
-func (n nobody) RateLimit(float64) { n.answers <- "limited" }
-func (n nobody) Abort(bool)        { n.answers <- "aborted" }
-func (n nobody) Fault(int, []byte) { n.answers <- "fault" }
+func (n nobody) RateLimit(float64)       { n.answers <- "limited" }
+func (n nobody) Abort(bool)              { n.answers <- "aborted" }
+func (n nobody) EngineError(int, []byte) { n.answers <- "fault" }
 
 // plan is a planner that reads, asks for a place, and writes while there is a state, up to so many dispatches; then it gives up.
-func plan(most int, ends func(f link.Fact)) func(*Edge, link.Fact) {
+func plan(most int, ends func(f link.Event)) func(*Edge, link.Event) {
 	state := false
 	dispatch := func(e *Edge, n int) {
-		e.Order(link.Order{Kind: link.Dispatch, Completion: 7, Dispatch: n, Engine: "a", Reads: !state, Timeout: 5})
-		e.Order(link.Order{Kind: link.HoldPlace, Completion: 7, Engine: "b"})
+		e.Execute(link.Command{Kind: link.Dispatch, Completion: 7, Dispatch: n, Address: "a", IsRead: !state, Timeout: 5})
+		e.Execute(link.Command{Kind: link.Reserve, Completion: 7, Address: "b"})
 	}
-	return func(e *Edge, f link.Fact) {
+	return func(e *Edge, f link.Event) {
 		switch f.Kind {
-		case link.Take:
+		case link.CompletionArrived:
 			dispatch(e, 0)
-		case link.Ended:
+		case link.DispatchEnded:
 			ends(f)
-			state = f.Outcome == decide.Read || state && f.Found == 0
+			state = f.Outcome == decide.Read || state && f.CachedTokens == 0
 			if f.Dispatch+1 < most {
 				dispatch(e, f.Dispatch+1)
 				return
 			}
-			e.Order(link.Order{Kind: link.RateLimit, Completion: 7})
-			e.Order(link.Order{Kind: link.Release, Completion: 7})
+			e.Execute(link.Command{Kind: link.RateLimit, Completion: 7})
+			e.Execute(link.Command{Kind: link.Release, Completion: 7})
 		}
 	}
 }
@@ -287,7 +287,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				engines := one.engines
 				var over atomic.Bool // several may say so at once
-				n := takeOne(t, engines, 4*time.Second, plan(len(one.sent), func(link.Fact) {}), func() { over.Store(true) })
+				n := takeOne(t, engines, 4*time.Second, plan(len(one.sent), func(link.Event) {}), func() { over.Store(true) })
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
 				engines.change(func() {})
@@ -303,12 +303,12 @@
 }
 
 // takeOne has an edge before the engines take a completion, with a planner that answers facts with orders.
-func takeOne(t *testing.T, engines *engines, timeout time.Duration, do func(*Edge, link.Fact), over func()) nobody {
-	e := New(Options{Engines: engines, OneName: true, LetGo: letGo, Log: slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelDebug})), Observe: quiet{}})
-	e.Plan(&orders{e, do})
+func takeOne(t *testing.T, engines *engines, timeout time.Duration, do func(*Edge, link.Event), over func()) nobody {
+	e := New(Options{Engines: engines, ReleaseByCompletion: true, HoldLimit: letGo, Log: slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelDebug})), Observer: quiet{}})
+	e.SetPlanner(&orders{e, do})
 	n := nobody{make(chan string, 1), &engines.relays}
-	_, taken := e.Take(context.Background(), &Request{ID: 7, Name: "x", Arrived: time.Now(), Timeout: timeout, Whole: 3 * timeout,
-		Body: func(bool, []byte) []byte { return nil }, Over: over}, n)
+	_, taken := e.Handle(context.Background(), &Request{ID: 7, ExternalID: "x", ArrivedAt: time.Now(), FirstTokenTimeout: timeout, TotalTimeout: 3 * timeout,
+		BuildBody: func(bool, []byte) []byte { return nil }, OnDone: over}, n)
 	require.True(t, taken)
 	return n
 }
@@ -321,12 +321,12 @@
 		began := time.Now()
 		var over sync.Once // several may say so at once
 		var known time.Duration
-		takeOne(t, engines, 2*time.Second, func(e *Edge, f link.Fact) {
+		takeOne(t, engines, 2*time.Second, func(e *Edge, f link.Event) {
 			switch f.Kind {
-			case link.Take:
-				e.Order(link.Order{Kind: link.Dispatch, Completion: 7, Engine: "a", Reads: true, Timeout: 5})
-			case link.Ended:
-				e.Order(link.Order{Kind: link.RateLimit, Completion: 7})
+			case link.CompletionArrived:
+				e.Execute(link.Command{Kind: link.Dispatch, Completion: 7, Address: "a", IsRead: true, Timeout: 5})
+			case link.DispatchEnded:
+				e.Execute(link.Command{Kind: link.RateLimit, Completion: 7})
 			}
 		}, func() {
 			over.Do(func() { known = time.Since(began) })
@@ -350,7 +350,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var found []float64
 				takeOne(t, &engines{reads: []scripted{{takes: letGo / 10, outcome: decide.Read, leaves: true}}, writes: []scripted{write}}, 4*time.Second,
-					plan(2, func(f link.Fact) { found = append(found, f.Found) }), func() {})
+					plan(2, func(f link.Event) { found = append(found, f.CachedTokens) }), func() {})
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
 				require.Equal(t, []float64{0, 1}, found)
--- a/internal/edge/holding.go
+++ b/internal/edge/release.go
@@ -59,7 +59,7 @@
 		}
 		c.mu.Unlock()
 		if mine {
-			c.e.release(h, ReasonLimit)
+			c.e.release(h, ReleaseReasonHoldLimit)
 			c.settle()
 		}
 	})
@@ -67,13 +67,13 @@
 
 // The reasons for a release of what nobody took in time: no write is out, or one is that has not begun.
 const (
-	ReasonLimit        = "limit"
-	ReasonLimitWriting = "limit_writing"
+	ReleaseReasonHoldLimit        = "limit"
+	ReleaseReasonHoldLimitWriting = "limit_writing"
 )
 
 // ownLetGo is the time after which the edge, and an engine's lease, let go by themselves.
 func (e *Edge) ownLetGo() time.Duration {
-	return time.Duration(float64(e.o.LetGo) * decide.ReleaseFraction)
+	return time.Duration(float64(e.o.HoldLimit) * decide.ReleaseFraction)
 }
 
 // giveBack ends a write's use of a state: it is gone, or waits again.
@@ -153,7 +153,7 @@
 
 // releaseWhile is release as long as it is still wanted; over is called at its end, with when the try was begun that was answered.
 func (e *Edge) releaseWhile(h *holding, reason string, wanted func() bool, over func(sent time.Time, answered bool)) {
-	e.o.Observe.Released(reason)
+	e.o.Observer.ReleaseStarted(reason)
 	if e.releases.Add(1) > releaseMost {
 		e.releases.Add(-1)
 		e.o.Log.Error("state not released: too many releases run", "engine", h.address, "id", h.id)
@@ -167,9 +167,9 @@
 		sent, answered := time.Time{}, false
 		defer func() { over(sent, answered) }()
 		began := time.Now()
-		for pause := releasePause; wanted(); pause = min(2*pause, e.o.LetGo/3) {
+		for pause := releasePause; wanted(); pause = min(2*pause, e.o.HoldLimit/3) {
 			sent = time.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), e.o.LetGo/3)
+			ctx, cancel := context.WithTimeout(context.Background(), e.o.HoldLimit/3)
 			err := e.o.Engines.Release(ctx, h.address, h.id)
 			cancel()
 			e.o.Log.Debug("released", "id", h.id, "engine", h.address, "reason", reason, "seconds", time.Since(began).Seconds(), "err", err)
@@ -186,19 +186,19 @@
 }
 
 // holdPlace asks a writer for a place.
-func (c *completion) holdPlace(o link.Order) {
-	if c.e.o.OneName { // a place could stay held unknown to anybody
+func (c *completion) holdPlace(o link.Command) {
+	if c.e.o.ReleaseByCompletion { // a place could stay held unknown to anybody
 		return
 	}
-	h := &holding{address: o.Engine, id: c.r.Name + "-place"}
+	h := &holding{address: o.Address, id: c.r.ExternalID + "-place"}
 	c.e.runs.Add(1)
 	go func() {
 		defer c.e.runs.Add(-1)
 		ctx, cancel := context.WithTimeout(c.e.base, time.Second)
 		defer cancel()
-		held, err := c.e.o.Engines.Hold(ctx, h.address, h.id, c.r.Prompt.Tokens, c.e.ownLetGo())
+		held, err := c.e.o.Engines.Reserve(ctx, h.address, h.id, c.r.Prompt.Tokens, c.e.ownLetGo())
 		if err != nil {
-			c.e.o.Log.Debug("no place", "completion", c.r.Name, "engine", h.address, "err", err)
+			c.e.o.Log.Debug("no place", "completion", c.r.ExternalID, "engine", h.address, "err", err)
 			c.e.releaseUnsure(h)
 		}
 		if held && err == nil {
@@ -216,6 +216,6 @@
 				c.settle()
 			}
 		}
-		c.e.planner.Tell(link.Fact{Kind: link.Placed, Completion: c.id, Dispatch: o.Dispatch, Held: held && err == nil})
+		c.e.planner.Notify(link.Event{Kind: link.ReservationAnswered, Completion: c.id, Dispatch: o.Dispatch, Reserved: held && err == nil})
 	}()
 }
--- a/internal/edge/release_test.go
+++ b/internal/edge/release_test.go
@@ -44,7 +44,7 @@
 	return nil, &engine.Result{Outcome: decide.Unreachable}
 }
 
-func (l *lateEngine) Hold(ctx context.Context, _, id string, _ float64, _ time.Duration) (bool, error) {
+func (l *lateEngine) Reserve(ctx context.Context, _, id string, _ float64, _ time.Duration) (bool, error) {
 	<-ctx.Done()
 	l.holdsLate(id)
 	return false, ctx.Err()
@@ -67,18 +67,18 @@
 func TestReleaseBehindACutCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &lateEngine{held: map[string]time.Time{}}
-		e := New(Options{Engines: engines, LetGo: letGo, Log: slog.New(slog.DiscardHandler), Observe: quiet{}})
-		e.Plan(&orders{e, func(e *Edge, f link.Fact) {
+		e := New(Options{Engines: engines, HoldLimit: letGo, Log: slog.New(slog.DiscardHandler), Observer: quiet{}})
+		e.SetPlanner(&orders{e, func(e *Edge, f link.Event) {
 			switch f.Kind {
-			case link.Take:
-				e.Order(link.Order{Kind: link.Dispatch, Completion: 7, Engine: "a", Reads: true, Timeout: 0.1})
-				e.Order(link.Order{Kind: link.HoldPlace, Completion: 7, Engine: "b"})
-			case link.Ended:
-				e.Order(link.Order{Kind: link.RateLimit, Completion: 7})
+			case link.CompletionArrived:
+				e.Execute(link.Command{Kind: link.Dispatch, Completion: 7, Address: "a", IsRead: true, Timeout: 0.1})
+				e.Execute(link.Command{Kind: link.Reserve, Completion: 7, Address: "b"})
+			case link.DispatchEnded:
+				e.Execute(link.Command{Kind: link.RateLimit, Completion: 7})
 			}
 		}})
-		_, taken := e.Take(t.Context(), &Request{ID: 7, Name: "x", Arrived: time.Now(), Timeout: 2 * time.Second, Whole: time.Second,
-			Body: func(bool, []byte) []byte { return nil }, Over: func() {}}, nobody{answers: make(chan string, 1)})
+		_, taken := e.Handle(t.Context(), &Request{ID: 7, ExternalID: "x", ArrivedAt: time.Now(), FirstTokenTimeout: 2 * time.Second, TotalTimeout: time.Second,
+			BuildBody: func(bool, []byte) []byte { return nil }, OnDone: func() {}}, nobody{answers: make(chan string, 1)})
 		require.True(t, taken)
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -11,18 +11,18 @@
 
 // Request is what a front tells of a completion.
 type Request struct {
-	ID      uint64 // of NextID
-	Name    string // what engines and the log know it by
-	Key     string // Idempotency-Key, empty for none
-	Trace   string // traceparent, empty for none
-	Target  string // of the call, where engines get the client's own; empty for theirs
-	Prompt  decide.Prompt
-	Arrived time.Time
-	Timeout time.Duration                         // until the first token
-	Margin  time.Duration                         // of it, kept for the way of the final answer
-	Whole   time.Duration                         // until the answer's end
-	Body    func(reads bool, state []byte) []byte // of a dispatch; state is a read's, nil for none
-	Over    func()                                // is called once nothing can come of it any more; may be called again
+	ID                uint64 // of NextID
+	ExternalID        string // what engines and the log know it by
+	IdempotencyKey    string // Idempotency-Key, empty for none
+	TraceParent       string // traceparent, empty for none
+	Target            string // of the call, where engines get the client's own; empty for theirs
+	Prompt            decide.Prompt
+	ArrivedAt         time.Time
+	FirstTokenTimeout time.Duration                         // until the first token
+	AnswerMargin      time.Duration                         // of it, kept for the way of the final answer
+	TotalTimeout      time.Duration                         // until the answer's end
+	BuildBody         func(reads bool, state []byte) []byte // of a dispatch; state is a read's, nil for none
+	OnDone            func()                                // is called once nothing can come of it any more; may be called again
 }
 
 // Client is a completion's client as its front has it: the completion's record calls one of these once.
@@ -32,13 +32,13 @@
 	Relay(ctx, run context.Context, s Stream) Answer
 	RateLimit(comeBack float64)
 	Abort(late bool) // late: the client timeout is spent
-	Fault(status int, body []byte)
+	EngineError(status int, body []byte)
 }
 
 // Stream is a write's answer. One goroutine at a time may use it; Close may be called twice.
 type Stream interface {
 	Next() (engine.Event, error)
-	More() bool // a whole event more has come already
+	HasBufferedEvent() bool // a whole event more has come already
 	Usage() (engine.Usage, bool)
 	Close() *engine.Result
 }
@@ -48,7 +48,7 @@
 	Read(ctx context.Context, call *engine.Call) *engine.Result
 	Write(ctx context.Context, cancel context.CancelCauseFunc, call *engine.Call, timeout time.Duration) (Stream, *engine.Result)
 	Release(ctx context.Context, address, id string) error
-	Hold(ctx context.Context, address, id string, tokens float64, lease time.Duration) (held bool, err error)
+	Reserve(ctx context.Context, address, id string, tokens float64, lease time.Duration) (held bool, err error)
 	Probe(ctx context.Context, address string) ([]float64, error)
 }
 
@@ -65,28 +65,28 @@
 }
 
 // VLLM is a client of vLLM's calls as Engines.
-func VLLM(c *engine.Client) Engines { return vllm{c} }
+func VLLMEngines(c *engine.Client) Engines { return vllm{c} }
 
 // NextID is a number for the next completion.
 func (e *Edge) NextID() uint64 { return e.next.Add(1) }
 
 // Take takes a completion and returns once its client has what it gets. False: it is not taken, and its client
 // was told nothing.
-func (e *Edge) Take(ctx context.Context, r *Request, client Client) (Answer, bool) {
+func (e *Edge) Handle(ctx context.Context, r *Request, client Client) (Answer, bool) {
 	c := &completion{e: e, id: r.ID, r: r, client: client,
-		final: make(chan link.Order, 1), begun: make(chan *run, 1), fault: make(chan *engine.Result, 1)}
+		final: make(chan link.Command, 1), begun: make(chan *run, 1), fault: make(chan *engine.Result, 1)}
 	e.add(c)
 	prompt := r.Prompt
-	if !e.planner.Offer(link.Fact{Kind: link.Take, Completion: r.ID, Deadline: r.Arrived.Add(r.Timeout - r.Margin), Prompt: &prompt}) {
+	if !e.planner.Offer(link.Event{Kind: link.CompletionArrived, Completion: r.ID, Deadline: r.ArrivedAt.Add(r.FirstTokenTimeout - r.AnswerMargin), Prompt: &prompt}) {
 		e.forget(r.ID)
-		r.Over()
+		r.OnDone()
 		return Aborted, false
 	}
-	e.o.Observe.Took(prompt.Workload)
-	how := c.serve(ctx, r.Arrived.Add(r.Timeout-r.Margin/2), r.Arrived.Add(r.Whole-r.Margin/2))
-	e.o.Observe.Answered(prompt.Workload, how, time.Since(r.Arrived))
+	e.o.Observer.CompletionAccepted(prompt.Workload)
+	how := c.serve(ctx, r.ArrivedAt.Add(r.FirstTokenTimeout-r.AnswerMargin/2), r.ArrivedAt.Add(r.TotalTimeout-r.AnswerMargin/2))
+	e.o.Observer.CompletionAnswered(prompt.Workload, how, time.Since(r.ArrivedAt))
 	if e.debugs() {
-		e.o.Log.Debug("completion answered", "completion", r.Name, "workload", prompt.Workload, "again", prompt.Resumed, "answer", how, "tokens", prompt.Tokens, "shared", prompt.SharedPrefixTokens, "seconds", time.Since(r.Arrived).Seconds())
+		e.o.Log.Debug("completion answered", "completion", r.ExternalID, "workload", prompt.Workload, "again", prompt.Resumed, "answer", how, "tokens", prompt.Tokens, "shared", prompt.SharedPrefixTokens, "seconds", time.Since(r.ArrivedAt).Seconds())
 	}
 	c.mu.Lock()
 	c.handled = true
@@ -111,13 +111,13 @@
 	case <-ctx.Done():
 		if c.won.CompareAndSwap(0, answered) {
 			c.leave()
-			return Gone
+			return ClientLeft
 		}
 	case <-timer.C:
 		// The planner is late. That guards against one that is stalled; it answers in time by itself.
 		if c.won.CompareAndSwap(0, answered) {
 			c.leave()
-			return c.giveFinal(link.Order{Kind: link.Abort}, deadline)
+			return c.giveFinal(link.Command{Kind: link.Abort}, deadline)
 		}
 	}
 	select { // in the same instant an engine's answer won
@@ -130,25 +130,25 @@
 
 // giveFault hands on an engine's word that the completion is at fault.
 func (c *completion) giveFault(result *engine.Result) Answer {
-	c.client.Fault(result.Status, result.Body)
+	c.client.EngineError(result.Status, result.Body)
 	return Finished
 }
 
 // leave tells the planner that no answer is owed any more, and ends the dispatches.
 func (c *completion) leave() {
-	c.e.planner.Tell(link.Fact{Kind: link.Left, Completion: c.id})
+	c.e.planner.Notify(link.Event{Kind: link.ClientLeft, Completion: c.id})
 	c.cancelAll(engine.ErrCancelled)
 }
 
 // giveFinal gives the planner's final answer.
-func (c *completion) giveFinal(o link.Order, deadline time.Time) Answer {
+func (c *completion) giveFinal(o link.Command, deadline time.Time) Answer {
 	if o.Kind == link.RateLimit {
 		c.logFinal("rate-limited", deadline)
-		c.client.RateLimit(o.ComeBack)
+		c.client.RateLimit(o.RetryAfter)
 		return RateLimited
 	}
 	c.logFinal("aborted", deadline)
-	c.client.Abort(time.Until(deadline) <= c.e.o.Margin)
+	c.client.Abort(time.Until(deadline) <= c.e.o.AnswerMargin)
 	return Aborted
 }
 
@@ -160,21 +160,21 @@
 	c.mu.Lock()
 	sent, out := len(c.runs), c.out
 	c.mu.Unlock()
-	c.e.o.Log.Debug("completion given up", "completion", c.r.Name, "answer", answer, "dispatches", sent, "out", out,
+	c.e.o.Log.Debug("completion given up", "completion", c.r.ExternalID, "answer", answer, "dispatches", sent, "out", out,
 		"left", time.Until(deadline).Seconds())
 }
 
 // relay hands a dispatch's answer to the client.
 func (c *completion) relay(ctx context.Context, r *run, end time.Time) Answer {
-	c.e.o.Observe.FirstToken(c.r.Prompt.Workload, time.Since(c.r.Arrived))
+	c.e.o.Observer.FirstToken(c.r.Prompt.Workload, time.Since(c.r.ArrivedAt))
 	stop := context.AfterFunc(ctx, func() { r.cancel(engine.ErrCancelled) })
 	defer stop()
 	timer := time.AfterFunc(time.Until(end), func() { r.cancel(engine.ErrTimedOut) })
 	defer timer.Stop()
 	how := c.client.Relay(ctx, r.ctx, r.stream)
-	if how == Gone {
+	if how == ClientLeft {
 		r.cancel(engine.ErrCancelled)
-		c.e.planner.Tell(link.Fact{Kind: link.Left, Completion: c.id})
+		c.e.planner.Notify(link.Event{Kind: link.ClientLeft, Completion: c.id})
 	}
 	result := r.stream.Close()
 	result.Done = true
--- a/internal/edge/rules_test.go
+++ b/internal/edge/rules_test.go
@@ -196,36 +196,36 @@
 	}},
 	// The news that an engine drains or is gone is lost.
 	rules.DrainsKept: {course{30, 80, 40, []int{0, 1, 2}, 2000, true, []string{"drains", "drains", "dies", "list late", "list gone", "deaf planner", "router killed", "slow"}, 6}, func() faults {
-		return faults{news: func(f link.Fact) link.Fact {
-			l := *f.List
+		return faults{news: func(f link.Event) link.Event {
+			l := *f.EngineList
 			l.Kind, l.Entries = decide.ListDelta, nil
-			for _, e := range f.List.Entries {
+			for _, e := range f.EngineList.Entries {
 				if e.Phase == decide.Ready {
 					l.Entries = append(l.Entries, e)
 				}
 			}
-			f.List = &l
+			f.EngineList = &l
 			return f
 		}}
 	}},
 	// The news that an engine has just started is lost.
 	rules.ColdNotPushed: {course{250, 400, 12, []int{0}, 3000, false, []string{"dies", "dies", "drains", "router killed", "list late", "slow", "fails"}, 6}, func() faults {
-		return faults{news: func(f link.Fact) link.Fact {
-			l := *f.List
+		return faults{news: func(f link.Event) link.Event {
+			l := *f.EngineList
 			l.Entries = nil
-			for _, e := range f.List.Entries {
-				e.Start, e.Age = 1, 1000
+			for _, e := range f.EngineList.Entries {
+				e.StartID, e.Age = 1, 1000
 				l.Entries = append(l.Entries, e)
 			}
-			f.List = &l
+			f.EngineList = &l
 			return f
 		}}
 	}},
 	// Orders to let go are lost, and the edge's own limit is far too long.
 	rules.NothingPinned: {course{20, 60, 60, []int{0, 1, 2}, 4000, true, all, 8}, func() faults {
-		return faults{router: func(r *pb.Router) { *r.LetGoS = 10 }, orders: func(e link.Edge, o link.Order) {
+		return faults{router: func(r *pb.Router) { *r.LetGoS = 10 }, orders: func(e link.Edge, o link.Command) {
 			if o.Kind != link.Release {
-				e.Order(o)
+				e.Execute(o)
 			}
 		}}
 	}},
--- a/internal/edge/virtual_test.go
+++ b/internal/edge/virtual_test.go
@@ -151,8 +151,8 @@
 // faults are planted, to show that a property can fail.
 type faults struct {
 	router func(*pb.Router)
-	orders func(edge link.Edge, o link.Order) // in place of edge.Order
-	news   func(f link.Fact) link.Fact        // of the list
+	orders func(edge link.Edge, o link.Command) // in place of edge.Order
+	news   func(f link.Event) link.Event        // of the list
 }
 
 // one is a router of a world.
@@ -230,26 +230,26 @@
 
 type quiet struct{}
 
-func (quiet) Took(int)                                       {}
-func (quiet) Answered(int, edge.Answer, time.Duration)       {}
-func (quiet) FirstToken(int, time.Duration)                  {}
-func (quiet) Dispatched(bool, decide.Outcome, time.Duration) {}
-func (quiet) Refused(int)                                    {}
-func (quiet) LetGo(time.Duration)                            {}
-func (quiet) Released(string)                                {}
+func (quiet) CompletionAccepted(int)                             {}
+func (quiet) CompletionAnswered(int, edge.Answer, time.Duration) {}
+func (quiet) FirstToken(int, time.Duration)                      {}
+func (quiet) DispatchEnded(bool, decide.Outcome, time.Duration)  {}
+func (quiet) Refused(int)                                        {}
+func (quiet) StateReleased(time.Duration)                        {}
+func (quiet) ReleaseStarted(string)                              {}
 
 // orders is what a planner sees of the edge, with a planted fault between them.
 type orders struct {
 	e *edge.Edge
-	f func(link.Edge, link.Order)
+	f func(link.Edge, link.Command)
 }
 
-func (o *orders) Order(order link.Order) {
+func (o *orders) Execute(order link.Command) {
 	if o.f != nil {
 		o.f(o.e, order)
 		return
 	}
-	o.e.Order(order)
+	o.e.Execute(order)
 }
 
 // start starts a router, as internal/router does but for what needs sockets.
@@ -266,11 +266,11 @@
 	eo := config.Edge(w.own, w.own.GetAdmission())
 	eo.Listener, err = w.net.Listen(net.JoinHostPort(r.caller.from, "0"))
 	require.NoError(w.t, err)
-	eo.Engines, eo.Log, eo.Observe = edge.VLLM(r.client), log, quiet{}
+	eo.Engines, eo.Log, eo.Observer = edge.VLLMEngines(r.client), log, quiet{}
 	r.edge = edge.New(eo)
 	po := config.Planner(w.own)
 	po.Log = log
-	po.Delay = func(float64) { // the planner's goroutine stands still while it is deaf
+	po.ObserveDelay = func(float64) { // the planner's goroutine stands still while it is deaf
 		for r.deaf.Load() {
 			time.Sleep(time.Millisecond)
 		}
@@ -279,14 +279,14 @@
 	s.Seed += uint64(i)
 	r.planner, err = planner.New(s, po, &orders{r.edge, w.faults.orders})
 	require.NoError(w.t, err)
-	r.edge.Plan(r.planner)
+	r.edge.SetPlanner(r.planner)
 	r.ctx, r.stop = context.WithCancelCause(context.Background())
 	follower := fleet.New(fleet.Options{URL: w.fleet.List.URL(), Poll: time.Second, Retry: 100 * time.Millisecond, MaxEngines: 100, Dial: r.caller.dial, Log: log,
-		Tell: func(f link.Fact) {
+		Tell: func(f link.Event) {
 			if w.faults.news != nil {
 				f = w.faults.news(f)
 			}
-			r.planner.Tell(f)
+			r.planner.Notify(f)
 		}})
 	w.parts.Go(func() { r.planner.Run(r.ctx) })
 	w.parts.Go(func() { follower.Run(r.ctx) })
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -242,7 +242,7 @@
 // Hold asks a writer for a place for a completion of so many prompt tokens; the call is cherryhub's own. The
 // writer drops the place by itself after the lease: it may grant it long after the call was given up, when it had
 // stood still, and no release that came before would find it.
-func (c *Client) Hold(ctx context.Context, address, id string, tokens float64, lease time.Duration) (held bool, err error) {
+func (c *Client) Reserve(ctx context.Context, address, id string, tokens float64, lease time.Duration) (held bool, err error) {
 	body := fmt.Appendf(nil, `{"id":%q,"prompt_tokens":%.0f,"lease_ms":%d}`, id, tokens, lease.Milliseconds())
 	err = c.small(ctx, http.MethodPost, address, "/v1/kv_places", body, func(answer []byte) error {
 		held = gjson.GetBytes(answer, "held").Bool()
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -251,6 +251,6 @@
 }
 
 // More tells whether a whole event more has come already.
-func (s *Stream) More() bool {
+func (s *Stream) HasBufferedEvent() bool {
 	return len(s.held) > 0 || bytes.Contains(peek(s.r), []byte("\n\n"))
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -73,7 +73,7 @@
 	url, file   string
 	poll, retry time.Duration
 	most        int
-	tell        func(link.Fact)
+	tell        func(link.Event)
 	log         *slog.Logger
 	client      *http.Client
 	last        []byte // of a file
@@ -93,7 +93,7 @@
 	Ask           bool                                                                 // the service pushes nothing
 	SourceAddress string                                                               // dial from this address, empty for any
 	Dial          func(ctx context.Context, network, address string) (net.Conn, error) // in place of that, nil for TCP
-	Tell          func(link.Fact)
+	Tell          func(link.Event)
 	Log           *slog.Logger
 }
 
@@ -300,7 +300,7 @@
 		return nil // asked again, and nothing is new
 	}
 	f.epoch, f.version, f.known = l.Epoch, l.Version, true
-	list := &link.List{Kind: decide.ListSnapshot}
+	list := &link.EngineList{Kind: decide.ListSnapshot}
 	if l.Kind == "delta" {
 		list.Kind = decide.ListDelta
 	}
@@ -309,9 +309,9 @@
 		if e.Age != nil {
 			age = max(0, *e.Age) // an engine's clock may run ahead: it has only just started
 		}
-		list.Entries = append(list.Entries, link.Entry{Address: e.Address, Zone: e.Zone, Cell: e.Cell, Machine: e.Machine,
-			Phase: phases[e.Phase], Start: e.Start, Age: age})
+		list.Entries = append(list.Entries, link.EngineEntry{Address: e.Address, Zone: e.Zone, Cell: e.Cell, MachineKind: e.Machine,
+			Phase: phases[e.Phase], StartID: e.Start, Age: age})
 	}
-	f.tell(link.Fact{Kind: link.Listed, List: list})
+	f.tell(link.Event{Kind: link.EnginesUpdated, EngineList: list})
 	return nil
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,9 +22,9 @@
 	"cherryhub/internal/link"
 )
 
-func follower(o Options) (*Follower, *[]*link.List) {
-	var told []*link.List
-	o.Tell = func(f link.Fact) { told = append(told, f.List) }
+func follower(o Options) (*Follower, *[]*link.EngineList) {
+	var told []*link.EngineList
+	o.Tell = func(f link.Event) { told = append(told, f.EngineList) }
 	o.Log, o.MaxEngines = slog.New(slog.DiscardHandler), 3
 	return New(o), &told
 }
@@ -84,8 +84,8 @@
 	l, err := parse([]byte(full), 3)
 	require.NoError(t, err)
 	require.NoError(t, f.apply(l))
-	assert.Equal(t, &link.List{Kind: decide.ListSnapshot, Entries: []link.Entry{{Address: "h:1", Zone: "z", Cell: "c", Machine: "m",
-		Phase: decide.Ready, Start: 5, Age: 2.5}}}, (*told)[0])
+	assert.Equal(t, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{{Address: "h:1", Zone: "z", Cell: "c", MachineKind: "m",
+		Phase: decide.Ready, StartID: 5, Age: 2.5}}}, (*told)[0])
 }
 
 func TestFile(t *testing.T) {
@@ -124,8 +124,8 @@
 		}
 	}))
 	defer server.Close()
-	lists := make(chan *link.List, 10)
-	f := New(Options{URL: server.URL, Retry: 5 * time.Millisecond, MaxEngines: 3, Tell: func(f link.Fact) { lists <- f.List }, Log: slog.New(slog.DiscardHandler)})
+	lists := make(chan *link.EngineList, 10)
+	f := New(Options{URL: server.URL, Retry: 5 * time.Millisecond, MaxEngines: 3, Tell: func(f link.Event) { lists <- f.EngineList }, Log: slog.New(slog.DiscardHandler)})
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { f.Run(ctx); close(done) }()
@@ -165,11 +165,11 @@
 
 // TestNegativeAge: an engine's clock that runs ahead of the service's makes it just started, not long ago.
 func TestNegativeAge(t *testing.T) {
-	var told link.Fact
-	f := New(Options{MaxEngines: 8, Tell: func(l link.Fact) { told = l }, Log: slog.New(slog.DiscardHandler)})
+	var told link.Event
+	f := New(Options{MaxEngines: 8, Tell: func(l link.Event) { told = l }, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, f.Take([]byte(`{"kind":"full","epoch":1,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready","start":7,"age_s":-0.2},
 		{"address":"10.0.0.2:1","phase":"ready"},{"address":"10.0.0.3:1","phase":"ready","age_s":3}]}`)))
-	assert.Equal(t, []float64{0, -1, 3}, []float64{told.List.Entries[0].Age, told.List.Entries[1].Age, told.List.Entries[2].Age})
+	assert.Equal(t, []float64{0, -1, 3}, []float64{told.EngineList.Entries[0].Age, told.EngineList.Entries[1].Age, told.EngineList.Entries[2].Age})
 }
 
 // TestKnownFaultEpochBack is expected to fail once finding 28 of docs/readiness-review.md is mended: a list service whose
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -32,7 +32,7 @@
 type shared struct {
 	r      *router
 	life   int
-	table  *duty.Table
+	table  *duty.Scheduler
 	report []timed // by engine: the newest that was shared
 }
 
@@ -47,7 +47,7 @@
 	if p == nil {
 		return nil
 	}
-	table, err := duty.New(r.w.clock.Now(), duty.Settings{Self: r.member(), Settle: p.Settle, Lease: p.Lease, HandOver: p.HandOver, Moves: math.MaxInt32})
+	table, err := duty.New(r.w.clock.Now(), duty.Settings{Self: r.member(), SettleTime: p.Settle, LeaseTime: p.Lease, HandoverDelay: p.HandOver, MaxJoins: math.MaxInt32})
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -78,7 +78,7 @@
 	}
 	for _, r := range w.routers {
 		if !r.isDown && r.shared != nil {
-			r.shared.table.Sight(w.clock.Now(), up)
+			r.shared.table.SetMembers(w.clock.Now(), up)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 const leastTick = 0.001
 
 // act probes an engine and tells the others.
-func (s *shared) act(a duty.Act) {
+func (s *shared) act(a duty.Task) {
 	w := s.r.w
 	at, err := strconv.Atoi(a.Subject)
 	if err != nil {
@@ -112,7 +112,7 @@
 	w.result.Probes++
 	s.r.probe(at, s.life, func(o decide.Outcome, report []float64) {
 		s.keep(at, o, report)
-		result, ok := s.table.Done(w.clock.Now(), a, pack(o, report))
+		result, ok := s.table.Finish(w.clock.Now(), a, pack(o, report))
 		if !ok {
 			return
 		}
@@ -127,7 +127,7 @@
 
 // heard takes another's result. A failure that another met has this router look for itself.
 func (s *shared) heard(result duty.Result, at int) {
-	if s.gone() || s.table.Heard(s.r.w.clock.Now(), result) != duty.Fresh {
+	if s.gone() || s.table.ReceiveResult(s.r.w.clock.Now(), result) != duty.Fresh {
 		return
 	}
 	o, report := unpack(result.Payload)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -26,37 +26,37 @@
 
 // Options of a group. Sight and Heard are called from memberlist's goroutines and must not block.
 type Options struct {
-	Self   duty.Member
-	Listen string   // IP:port, TCP and UDP
-	Seeds  []string // addresses of some others
-	KeyHex string   // 16, 24 or 32 bytes
-	Sight  func(members []duty.Member)
-	Heard  func(message []byte)
-	Log    *slog.Logger
+	Self      duty.Member
+	Listen    string   // IP:port, TCP and UDP
+	Seeds     []string // addresses of some others
+	KeyHex    string   // 16, 24 or 32 bytes
+	OnMembers func(members []duty.Member)
+	OnMessage func(message []byte)
+	Log       *slog.Logger
 }
 
 // Group is this router's part of a group.
 type Group struct {
-	o    Options
-	list *memberlist.Memberlist
-	mu   sync.Mutex
-	in   map[string]duty.Member
-	meta []byte
+	options Options
+	list    *memberlist.Memberlist
+	mu      sync.Mutex
+	alive   map[string]duty.Member
+	meta    []byte
 }
 
 const (
-	packetMost  = 1200    // bytes of a message that goes by UDP: one packet with room for the key's and memberlist's own
-	messageMost = 4 << 20 // bytes of any
+	maxPacketBytes  = 1200    // bytes of a message that goes by UDP: one packet with room for the key's and memberlist's own
+	maxMessageBytes = 4 << 20 // bytes of any
 )
 
 // lastWords is some rounds of gossip.
-const lastWords = 300 * time.Millisecond
+const leaveGossipTime = 300 * time.Millisecond
 
 // The pauses between two joins, which double: the first keeps a start short, the longest keeps a seed that stays away, or
 // that has another address among the members, from being asked often by each of many routers.
 const (
-	rejoinFirst = time.Second
-	rejoinMost  = 30 * time.Second
+	minJoinPause = time.Second
+	maxJoinPause = 30 * time.Second
 )
 
 // Start joins the group. That no seed answers is no error: they may come later.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: listen: %w", err)
 	}
-	g := &Group{o: o, in: map[string]duty.Member{}}
+	g := &Group{options: o, alive: map[string]duty.Member{}}
 	if g.meta, err = proto.Marshal(&pb.PeerMeta{Incarnation: proto.Uint64(o.Self.Incarnation), Zone: proto.String(o.Self.Zone),
 		Weight: proto.Float64(o.Self.Weight)}); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
@@ -89,28 +89,28 @@
 	if g.list, err = memberlist.Create(c); err != nil {
 		return nil, fmt.Errorf("peers at %s: %w", o.Listen, err)
 	}
-	go g.join(ctx)
+	go g.joinSeeds(ctx)
 	return g, nil
 }
 
 // join asks the seeds that are not in sight, now and again for as long as the group runs. Whether anybody is in sight says
 // nothing of the others: routers that start together, or were cut off, may see each other and not the rest, and nothing else
 // joins the parts.
-func (g *Group) join(ctx context.Context) {
-	pause := rejoinFirst
+func (g *Group) joinSeeds(ctx context.Context) {
+	pause := minJoinPause
 	for {
 		missing := g.missingSeeds()
 		if len(missing) == 0 {
-			pause = rejoinFirst
+			pause = minJoinPause
 		} else if _, err := g.list.Join(missing); err != nil {
-			g.o.Log.Debug("peers: some seeds do not answer", "err", err)
+			g.options.Log.Debug("peers: some seeds do not answer", "err", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, rejoinMost)
+		pause = min(2*pause, maxJoinPause)
 	}
 }
 
@@ -120,29 +120,29 @@
 	for _, member := range g.list.Members() {
 		inSight[member.Address()] = true
 	}
-	return slices.DeleteFunc(slices.Clone(g.o.Seeds), func(seed string) bool { return inSight[seed] })
+	return slices.DeleteFunc(slices.Clone(g.options.Seeds), func(seed string) bool { return inSight[seed] })
 }
 
 // Tell sends a message to all in sight: a short one as well as UDP can, a long one over TCP, one after another.
-func (g *Group) Tell(message []byte) error {
-	if len(message) > packetMost {
-		return g.TellSurely(message)
+func (g *Group) Broadcast(message []byte) error {
+	if len(message) > maxPacketBytes {
+		return g.BroadcastReliably(message)
 	}
-	return g.tell(message, g.list.SendBestEffort)
+	return g.send(message, g.list.SendBestEffort)
 }
 
 // TellSurely is Tell over TCP.
-func (g *Group) TellSurely(message []byte) error {
-	if len(message) > messageMost {
-		return fmt.Errorf("peers: a message of %d bytes, %d are the most", len(message), messageMost)
+func (g *Group) BroadcastReliably(message []byte) error {
+	if len(message) > maxMessageBytes {
+		return fmt.Errorf("peers: a message of %d bytes, %d are the most", len(message), maxMessageBytes)
 	}
-	return g.tell(message, g.list.SendReliable)
+	return g.send(message, g.list.SendReliable)
 }
 
-func (g *Group) tell(message []byte, send func(*memberlist.Node, []byte) error) error {
+func (g *Group) send(message []byte, send func(*memberlist.Node, []byte) error) error {
 	var all error
 	for _, n := range g.list.Members() {
-		if n.Name == g.o.Self.Name {
+		if n.Name == g.options.Self.Name {
 			continue
 		}
 		if err := send(n, message); err != nil {
@@ -155,59 +155,59 @@
 // Stop says that this router goes, and ends its part.
 func (g *Group) Stop() error {
 	err := g.list.Leave(500 * time.Millisecond)
-	time.Sleep(lastWords) // the word goes out a few times: one packet may be lost
+	time.Sleep(leaveGossipTime) // the word goes out a few times: one packet may be lost
 	return errors.Join(err, g.list.Shutdown())
 }
 
-func (g *Group) view() {
-	all := make([]duty.Member, 0, len(g.in))
-	for _, m := range g.in { // sorted below
+func (g *Group) notifyMembers() {
+	all := make([]duty.Member, 0, len(g.alive))
+	for _, m := range g.alive { // sorted below
 		all = append(all, m)
 	}
 	slices.SortFunc(all, func(a, b duty.Member) int { return strings.Compare(a.Name, b.Name) })
-	g.o.Sight(all)
+	g.options.OnMembers(all)
 }
 
-func (g *Group) see(n *memberlist.Node) {
-	if n.Name == g.o.Self.Name {
+func (g *Group) updateMember(n *memberlist.Node) {
+	if n.Name == g.options.Self.Name {
 		return
 	}
 	meta := &pb.PeerMeta{}
 	if err := proto.Unmarshal(n.Meta, meta); err != nil || !(meta.GetWeight() > 0) {
-		g.o.Log.Warn("peers: a member whose word is not understood is left out", "member", n.Name, "err", err)
+		g.options.Log.Warn("peers: a member whose word is not understood is left out", "member", n.Name, "err", err)
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.in[n.Name] = duty.Member{Name: n.Name, Incarnation: meta.GetIncarnation(), Zone: meta.GetZone(), Weight: meta.GetWeight()}
-	g.view()
+	g.alive[n.Name] = duty.Member{Name: n.Name, Incarnation: meta.GetIncarnation(), Zone: meta.GetZone(), Weight: meta.GetWeight()}
+	g.notifyMembers()
 }
 
 // NotifyJoin is of memberlist.EventDelegate, as are the two below.
 func (g *Group) NotifyJoin(n *memberlist.Node) {
-	g.see(n)
-	if n.Name != g.o.Self.Name {
-		g.o.Log.Info("peer in sight", "member", n.Name, "address", n.Address())
+	g.updateMember(n)
+	if n.Name != g.options.Self.Name {
+		g.options.Log.Info("peer in sight", "member", n.Name, "address", n.Address())
 	}
 }
 
-func (g *Group) NotifyUpdate(n *memberlist.Node) { g.see(n) }
+func (g *Group) NotifyUpdate(n *memberlist.Node) { g.updateMember(n) }
 
 func (g *Group) NotifyLeave(n *memberlist.Node) {
-	if n.Name == g.o.Self.Name {
+	if n.Name == g.options.Self.Name {
 		return
 	}
 	g.mu.Lock()
-	delete(g.in, n.Name)
-	g.view()
+	delete(g.alive, n.Name)
+	g.notifyMembers()
 	g.mu.Unlock()
-	g.o.Log.Info("peer out of sight", "member", n.Name)
+	g.options.Log.Info("peer out of sight", "member", n.Name)
 }
 
 // NodeMeta is of memberlist.Delegate, as are those below.
 func (g *Group) NodeMeta(limit int) []byte { return g.meta[:min(limit, len(g.meta))] }
 
-func (g *Group) NotifyMsg(b []byte) { g.o.Heard(bytes.Clone(b)) }
+func (g *Group) NotifyMsg(b []byte) { g.options.OnMessage(bytes.Clone(b)) }
 
 func (g *Group) GetBroadcasts(int, int) [][]byte { return nil }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -34,82 +34,82 @@
 )
 
 const (
-	probesMost = 256                   // that run at once
-	joinMost   = 20 * time.Millisecond // an own need waits so long for the owner's next probe
+	maxConcurrentProbes = 256                   // that run at once
+	sharedProbeWait     = 20 * time.Millisecond // an own need waits so long for the owner's next probe
 )
 
 // Options of a peer.
 type Options struct {
-	Duty       duty.Settings
-	Interval   float64 // seconds, of probing each engine
-	Candidates int
-	OwnRate    float64 // probes a second besides duties
-	Columns    []string
-	Member     member.Options // all but what the peer itself fills in
-	Probe      func(ctx context.Context, address string) ([]float64, error)
-	Tell       func(link.Fact)
-	Refresh    *Refresh // nil where the engine list is pushed
-	Log        *slog.Logger
-	Observe    Observer
+	Duty               duty.Settings
+	ProbeInterval      float64 // seconds, of probing each engine
+	Candidates         int
+	OwnProbesPerSecond float64 // probes a second besides duties
+	ReportColumns      []string
+	Membership         member.Options // all but what the peer itself fills in
+	Probe              func(ctx context.Context, address string) ([]float64, error)
+	Notify             func(link.Event)
+	ListRefresh        *ListRefresh // nil where the engine list is pushed
+	Log                *slog.Logger
+	Observer           Observer
 }
 
 // Refresh is the duty of asking for the engine list: one asks, and all take what came.
-type Refresh struct {
-	Subject string  // the service
-	Every   float64 // seconds
-	Ask     func(ctx context.Context) ([]byte, error)
-	Take    func(text []byte) error
+type ListRefresh struct {
+	Subject  string  // the service
+	Interval float64 // seconds
+	Fetch    func(ctx context.Context) ([]byte, error)
+	Apply    func(text []byte) error
 }
 
 // Observer hears what a peer does; calls must not block.
 type Observer interface {
-	Probed(reason string)
-	TookOver(cause string)
-	Heard(standing string)
-	Late(seconds float64)
+	ProbeHandled(reason string)
+	DutyTakenOver(cause string)
+	ResultReceived(standing string)
+	DutyLate(seconds float64)
 }
 
 // Peer is this router among others.
 type Peer struct {
-	o     Options
-	group *member.Group
-	own   *rate.Limiter
-	slots chan struct{}
-	start time.Time
-	ring  chan struct{}
+	options    Options
+	group      *member.Group
+	ownProbes  *rate.Limiter
+	probeSlots chan struct{}
+	startedAt  time.Time
+	wakeup     chan struct{}
 
-	mu      sync.Mutex
-	table   *duty.Table
-	engines map[string]link.Entry
-	known   map[string]*known // by address
-	sight   []duty.Member
+	mu        sync.Mutex
+	scheduler *duty.Scheduler
+	engines   map[string]link.EngineEntry
+	reports   map[string]*sharedReport // by address
+	members   []duty.Member
 }
 
 // known is the last report of an engine, by any router.
-type known struct {
-	report []float64
-	at     time.Time
-	next   chan struct{} // closed when a newer one comes
+type sharedReport struct {
+	report     []float64
+	receivedAt time.Time
+	updated    chan struct{} // closed when a newer one comes
 }
 
 // New makes a peer. Run must be called once.
 func New(o Options) (*Peer, error) {
-	p := &Peer{o: o, own: rate.NewLimiter(rate.Limit(o.OwnRate), max(1, int(o.OwnRate))), slots: make(chan struct{}, probesMost),
-		start: time.Now(), ring: make(chan struct{}, 1), engines: map[string]link.Entry{}, known: map[string]*known{}}
+	p := &Peer{options: o, ownProbes: rate.NewLimiter(rate.Limit(o.OwnProbesPerSecond), max(1, int(o.OwnProbesPerSecond))), probeSlots: make(chan struct{}, maxConcurrentProbes),
+		startedAt: time.Now(), wakeup: make(chan struct{}, 1), engines: map[string]link.EngineEntry{}, reports: map[string]*sharedReport{}}
 	var err error
-	if p.table, err = duty.New(0, o.Duty); err != nil {
+	if p.scheduler, err = duty.New(0, o.Duty); err != nil {
 		return nil, err
 	}
 	p.setDuties()
 	return p, nil
 }
 
-func (p *Peer) now() float64 { return time.Since(p.start).Seconds() }
+func (p *Peer) now() float64 { return time.Since(p.startedAt).Seconds() }
 
 // Run joins the group and does duties until the context ends.
 func (p *Peer) Run(ctx context.Context) error {
-	o := p.o.Member
-	o.Sight, o.Heard, o.Log = p.sees, p.heard, p.o.Log
+	o := p.options.Membership
+	o.OnMembers, o.OnMessage, o.Log = p.setMembers, p.receiveMessage, p.options.Log
 	group, err := member.Start(ctx, o)
 	if err != nil {
 		return err
@@ -118,23 +118,23 @@
 	p.group = group
 	p.mu.Unlock()
 	var probes sync.WaitGroup
-	if p.o.Refresh != nil {
-		probes.Go(func() { p.first(ctx) })
+	if p.options.ListRefresh != nil {
+		probes.Go(func() { p.fetchFirstList(ctx) })
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		acts, next := p.table.Tick(p.now())
+		acts, next := p.scheduler.Tick(p.now())
 		p.mu.Unlock()
 		for _, a := range acts {
-			p.took(a)
+			p.recordTask(a)
 			select {
-			case p.slots <- struct{}{}:
-				probes.Go(func() { p.act(ctx, a); <-p.slots })
+			case p.probeSlots <- struct{}{}:
+				probes.Go(func() { p.runTask(ctx, a); <-p.probeSlots })
 			default: // it ends without a result, and others step in
 				p.mu.Lock()
-				p.table.Done(p.now(), a, nil)
+				p.scheduler.Finish(p.now(), a, nil)
 				p.mu.Unlock()
 			}
 		}
@@ -142,14 +142,14 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-p.ring:
+		case <-p.wakeup:
 		}
 	}
 	probes.Wait()
 	// memberlist's event of one who goes looks like that of one who died: it is said here.
-	if message, err := proto.Marshal(&pb.PeerResults{Leaves: &p.o.Duty.Self.Name}); err == nil {
-		if err := group.TellSurely(message); err != nil {
-			p.o.Log.Info("not all know that this router goes", "err", err)
+	if message, err := proto.Marshal(&pb.PeerResults{Leaves: &p.options.Duty.Self.Name}); err == nil {
+		if err := group.BroadcastReliably(message); err != nil {
+			p.options.Log.Info("not all know that this router goes", "err", err)
 		}
 	}
 	return group.Stop()
@@ -157,13 +157,13 @@
 
 // first asks for the engine list at the start: a router without one can serve nobody, and duties begin only once
 // the others are known.
-func (p *Peer) first(ctx context.Context) {
-	for wait := firstAgain; ; wait = min(2*wait, 16*firstAgain) {
-		_, err := p.o.Refresh.Ask(ctx)
+func (p *Peer) fetchFirstList(ctx context.Context) {
+	for wait := firstFetchRetryDelay; ; wait = min(2*wait, 16*firstFetchRetryDelay) {
+		_, err := p.options.ListRefresh.Fetch(ctx)
 		if err == nil {
 			return
 		}
-		p.o.Log.Warn("no engine list yet", "err", err)
+		p.options.Log.Warn("no engine list yet", "err", err)
 		select {
 		case <-ctx.Done():
 			return
@@ -173,136 +173,136 @@
 }
 
 // firstAgain is the first wait between tries for the first list; it doubles.
-const firstAgain = 100 * time.Millisecond
+const firstFetchRetryDelay = 100 * time.Millisecond
 
-func (p *Peer) took(a duty.Act) {
+func (p *Peer) recordTask(a duty.Task) {
 	if a.Kind == KindProbe {
-		p.o.Observe.Probed(a.Cause.String())
+		p.options.Observer.ProbeHandled(a.Cause.String())
 	}
-	p.o.Observe.Late(a.Late)
-	if a.TakeOver {
-		p.o.Observe.TookOver(a.Cause.String())
-		p.o.Log.Info("duty taken over", "duty", a.Kind, "subject", a.Subject, "cause", a.Cause.String(), "epoch", a.Epoch.N)
+	p.options.Observer.DutyLate(a.Late)
+	if a.TakenOver {
+		p.options.Observer.DutyTakenOver(a.Cause.String())
+		p.options.Log.Info("duty taken over", "duty", a.Kind, "subject", a.Subject, "cause", a.Cause.String(), "epoch", a.Epoch.Number)
 	}
 }
 
 // act does a duty and tells of it.
-func (p *Peer) act(ctx context.Context, a duty.Act) {
+func (p *Peer) runTask(ctx context.Context, a duty.Task) {
 	var payload []byte
 	var bad error
 	if a.Kind == KindList {
-		payload, bad = p.o.Refresh.Ask(ctx)
+		payload, bad = p.options.ListRefresh.Fetch(ctx)
 	} else {
-		report, err := p.o.Probe(ctx, a.Subject)
+		report, err := p.options.Probe(ctx, a.Subject)
 		outcome := engine.ProbeOutcome(err)
-		p.keep(a.Subject, outcome, report)
-		p.o.Tell(link.Fact{Kind: link.Probed, Address: a.Subject, Outcome: outcome, Report: report})
-		payload, bad = proto.Marshal(&pb.ProbeResult{Outcome: proto.Int32(int32(outcome)), Report: report, Columns: p.o.Columns})
+		p.storeReport(a.Subject, outcome, report)
+		p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: a.Subject, Outcome: outcome, Report: report})
+		payload, bad = proto.Marshal(&pb.ProbeResult{Outcome: proto.Int32(int32(outcome)), Report: report, Columns: p.options.ReportColumns})
 	}
 	p.mu.Lock()
-	result, tell := p.table.Done(p.now(), a, payload)
+	result, tell := p.scheduler.Finish(p.now(), a, payload)
 	group := p.group
 	p.mu.Unlock()
 	if bad != nil {
-		p.o.Log.Info("duty failed", "duty", a.Kind, "subject", a.Subject, "err", bad)
+		p.options.Log.Info("duty failed", "duty", a.Kind, "subject", a.Subject, "err", bad)
 	}
 	if !tell || bad != nil || ctx.Err() != nil {
 		return // those who stand by step in
 	}
 	message, bad := proto.Marshal(&pb.PeerResults{Results: []*pb.PeerResult{{Kind: proto.String(string(result.Kind)), Subject: &result.Subject,
-		Epoch: &result.Epoch.N, Owner: &result.Epoch.Owner, Incarnation: &result.Origin.Incarnation, AgeS: &result.Age, Payload: payload}}})
+		Epoch: &result.Epoch.Number, Owner: &result.Epoch.Owner, Incarnation: &result.Origin.Incarnation, AgeS: &result.Age, Payload: payload}}})
 	if bad == nil {
-		bad = group.Tell(message)
+		bad = group.Broadcast(message)
 	}
 	if bad != nil {
-		p.o.Log.Debug("result not told to all", "err", bad)
+		p.options.Log.Debug("result not told to all", "err", bad)
 	}
 }
 
 // heard takes others' results.
-func (p *Peer) heard(message []byte) {
+func (p *Peer) receiveMessage(message []byte) {
 	all := &pb.PeerResults{}
 	if err := proto.Unmarshal(message, all); err != nil {
-		p.o.Log.Warn("peers: a message that is not understood", "err", err)
+		p.options.Log.Warn("peers: a message that is not understood", "err", err)
 		return
 	}
 	if name := all.GetLeaves(); name != "" {
-		p.left(name)
+		p.memberLeft(name)
 	}
 	for _, r := range all.GetResults() {
 		p.mu.Lock()
-		standing := p.table.Heard(p.now(), duty.Result{Key: duty.Key{Kind: duty.Kind(r.GetKind()), Subject: r.GetSubject()},
-			Epoch: duty.Epoch{N: r.GetEpoch(), Owner: r.GetOwner()}, Origin: duty.Member{Name: r.GetOwner(), Incarnation: r.GetIncarnation()},
+		standing := p.scheduler.ReceiveResult(p.now(), duty.Result{Key: duty.Key{Kind: duty.Kind(r.GetKind()), Subject: r.GetSubject()},
+			Epoch: duty.Epoch{Number: r.GetEpoch(), Owner: r.GetOwner()}, Origin: duty.Member{Name: r.GetOwner(), Incarnation: r.GetIncarnation()},
 			Age: r.GetAgeS(), Payload: r.GetPayload()})
 		p.mu.Unlock()
-		p.o.Observe.Heard(standing.String())
+		p.options.Observer.ResultReceived(standing.String())
 		if standing != duty.Fresh {
 			continue
 		}
 		switch duty.Kind(r.GetKind()) {
 		case KindProbe:
-			p.use(r.GetSubject(), r.GetPayload())
+			p.applyProbeResult(r.GetSubject(), r.GetPayload())
 		case KindList:
-			if err := p.o.Refresh.Take(r.GetPayload()); err != nil {
-				p.o.Log.Warn("another's engine list is not taken", "from", r.GetOwner(), "err", err)
+			if err := p.options.ListRefresh.Apply(r.GetPayload()); err != nil {
+				p.options.Log.Warn("another's engine list is not taken", "from", r.GetOwner(), "err", err)
 			}
 		}
 	}
 }
 
 // use hands another's probe to the planner, or looks for itself where the other failed.
-func (p *Peer) use(address string, payload []byte) {
+func (p *Peer) applyProbeResult(address string, payload []byte) {
 	probe := &pb.ProbeResult{}
-	if err := proto.Unmarshal(payload, probe); err != nil || !slices.Equal(probe.GetColumns(), p.o.Columns) {
+	if err := proto.Unmarshal(payload, probe); err != nil || !slices.Equal(probe.GetColumns(), p.options.ReportColumns) {
 		return // another release, or other settings
 	}
 	if decide.Outcome(probe.GetOutcome()) == decide.Finished {
-		p.keep(address, decide.Finished, probe.GetReport())
-		p.o.Tell(link.Fact{Kind: link.Probed, Address: address, Outcome: decide.Finished, Report: probe.GetReport()})
+		p.storeReport(address, decide.Finished, probe.GetReport())
+		p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: address, Outcome: decide.Finished, Report: probe.GetReport()})
 		return
 	}
-	if !p.own.Allow() {
+	if !p.ownProbes.Allow() {
 		return
 	}
 	select {
-	case p.slots <- struct{}{}:
+	case p.probeSlots <- struct{}{}:
 		go func() {
-			defer func() { <-p.slots }()
-			p.o.Observe.Probed("another's failed")
-			report, err := p.o.Probe(context.Background(), address)
-			p.o.Tell(link.Fact{Kind: link.Probed, Address: address, Outcome: engine.ProbeOutcome(err), Report: report})
+			defer func() { <-p.probeSlots }()
+			p.options.Observer.ProbeHandled("another's failed")
+			report, err := p.options.Probe(context.Background(), address)
+			p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: address, Outcome: engine.ProbeOutcome(err), Report: report})
 		}()
 	default:
 	}
 }
 
-func (p *Peer) keep(address string, o decide.Outcome, report []float64) {
+func (p *Peer) storeReport(address string, o decide.Outcome, report []float64) {
 	if o != decide.Finished {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.known[address]
+	k := p.reports[address]
 	if k == nil {
 		return // no duty any more
 	}
-	k.report, k.at = report, time.Now()
-	close(k.next)
-	k.next = make(chan struct{})
+	k.report, k.receivedAt = report, time.Now()
+	close(k.updated)
+	k.updated = make(chan struct{})
 }
 
 // Probe meets an own need: by a shared report that is fresh enough, by the owner's next if it comes at once,
 // else by a probe within the own budget.
 func (p *Peer) Probe(ctx context.Context, address string) ([]float64, error) {
 	p.mu.Lock()
-	k := p.known[address]
+	k := p.reports[address]
 	var next chan struct{}
 	if k != nil {
-		next = k.next
-		if time.Since(k.at).Seconds() <= p.o.Interval {
+		next = k.updated
+		if time.Since(k.receivedAt).Seconds() <= p.options.ProbeInterval {
 			report := k.report
 			p.mu.Unlock()
-			p.o.Observe.Probed("answered from a shared one")
+			p.options.Observer.ProbeHandled("answered from a shared one")
 			return report, nil
 		}
 	}
@@ -312,22 +312,22 @@
 		p.mu.Lock()
 		report := k.report
 		p.mu.Unlock()
-		p.o.Observe.Probed("joined a shared one")
+		p.options.Observer.ProbeHandled("joined a shared one")
 		return report, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(joinMost):
+	case <-time.After(sharedProbeWait):
 	}
-	if !p.own.Allow() {
-		p.o.Observe.Probed("own need, not met")
+	if !p.ownProbes.Allow() {
+		p.options.Observer.ProbeHandled("own need, not met")
 		return nil, fmt.Errorf("probe %s: own probes are used up, and no shared one came: %w", address, engine.ErrNotAsked)
 	}
-	p.o.Observe.Probed("own need")
-	return p.o.Probe(ctx, address)
+	p.options.Observer.ProbeHandled("own need")
+	return p.options.Probe(ctx, address)
 }
 
 // List takes news of the engines: each that is ready is a duty.
-func (p *Peer) List(l *link.List) {
+func (p *Peer) UpdateEngines(l *link.EngineList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.Kind == decide.ListSnapshot || l.Kind == decide.ListCachedSnapshot {
@@ -347,44 +347,44 @@
 // setDuties makes the duties of the engines that are ready, and of the list.
 func (p *Peer) setDuties() {
 	var all []duty.Duty
-	if r := p.o.Refresh; r != nil {
-		all = append(all, duty.Duty{Key: duty.Key{Kind: KindList, Subject: r.Subject}, Interval: r.Every, Candidates: p.o.Candidates})
+	if r := p.options.ListRefresh; r != nil {
+		all = append(all, duty.Duty{Key: duty.Key{Kind: KindList, Subject: r.Subject}, Interval: r.Interval, Candidates: p.options.Candidates})
 	}
 	addresses := make([]string, 0, len(p.engines))
 	for a := range p.engines { // sorted below
 		addresses = append(addresses, a)
 	}
 	slices.Sort(addresses)
-	fresh := make(map[string]*known, len(addresses))
+	fresh := make(map[string]*sharedReport, len(addresses))
 	for _, a := range addresses {
-		all = append(all, duty.Duty{Key: duty.Key{Kind: KindProbe, Subject: a}, Zone: p.engines[a].Zone, Interval: p.o.Interval, Candidates: p.o.Candidates})
-		if fresh[a] = p.known[a]; fresh[a] == nil {
-			fresh[a] = &known{next: make(chan struct{})}
+		all = append(all, duty.Duty{Key: duty.Key{Kind: KindProbe, Subject: a}, Zone: p.engines[a].Zone, Interval: p.options.ProbeInterval, Candidates: p.options.Candidates})
+		if fresh[a] = p.reports[a]; fresh[a] == nil {
+			fresh[a] = &sharedReport{updated: make(chan struct{})}
 		}
 	}
-	p.known = fresh
-	p.table.SetDuties(p.now(), all)
+	p.reports = fresh
+	p.scheduler.SetDuties(p.now(), all)
 }
 
 func (p *Peer) wake() {
 	select {
-	case p.ring <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Peer) sees(members []duty.Member) {
+func (p *Peer) setMembers(members []duty.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sight = members
-	p.table.Sight(p.now(), members)
+	p.members = members
+	p.scheduler.SetMembers(p.now(), members)
 	p.wake()
 }
 
-func (p *Peer) left(name string) {
+func (p *Peer) memberLeft(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.Left(p.now(), name)
+	p.scheduler.MemberLeft(p.now(), name)
 	p.wake()
 }
 
@@ -392,12 +392,12 @@
 func (p *Peer) Duties() []duty.Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Status(p.now())
+	return p.scheduler.Status(p.now())
 }
 
 // Members are this instance, those in sight, and the names on the roster.
 func (p *Peer) Members() (self duty.Member, sight []duty.Member, roster []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.o.Duty.Self, slices.Clone(p.sight), p.table.Roster()
+	return p.options.Duty.Self, slices.Clone(p.members), p.scheduler.Roster()
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,7 +26,7 @@
 	*Peer
 	mu     sync.Mutex
 	probes map[string]int
-	told   []link.Fact
+	told   []link.Event
 	fails  bool
 	end    context.CancelFunc
 	done   chan error
@@ -34,18 +34,18 @@
 
 type quiet struct{}
 
-func (quiet) Probed(string)   {}
-func (quiet) TookOver(string) {}
-func (quiet) Heard(string)    {}
-func (quiet) Late(float64)    {}
+func (quiet) ProbeHandled(string)   {}
+func (quiet) DutyTakenOver(string)  {}
+func (quiet) ResultReceived(string) {}
+func (quiet) DutyLate(float64)      {}
 
 const key = "00112233445566778899aabbccddeeff"
 
 func start(t *testing.T, name, address, keyHex string, seeds []string, ownRate float64) *one {
 	o := &one{probes: map[string]int{}, done: make(chan error, 1)}
 	self := duty.Member{Name: name, Incarnation: 1, Zone: "a", Weight: 1}
-	p, err := New(Options{Duty: duty.Settings{Self: self, Settle: 0.6, Lease: 5, HandOver: 0.1, Moves: 10}, Interval: 0.3, Candidates: 2,
-		OwnRate: ownRate, Columns: []string{"queue", "x0"}, Member: member.Options{Self: self, Listen: address, Seeds: seeds, KeyHex: keyHex},
+	p, err := New(Options{Duty: duty.Settings{Self: self, SettleTime: 0.6, LeaseTime: 5, HandoverDelay: 0.1, MaxJoins: 10}, ProbeInterval: 0.3, Candidates: 2,
+		OwnProbesPerSecond: ownRate, ReportColumns: []string{"queue", "x0"}, Membership: member.Options{Self: self, Listen: address, Seeds: seeds, KeyHex: keyHex},
 		Probe: func(_ context.Context, address string) ([]float64, error) {
 			o.mu.Lock()
 			defer o.mu.Unlock()
@@ -55,26 +55,26 @@
 			}
 			return []float64{math.NaN(), 0.5}, nil
 		},
-		Tell: func(f link.Fact) {
+		Notify: func(f link.Event) {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			o.told = append(o.told, f)
 		},
-		Log: slog.New(slog.DiscardHandler), Observe: quiet{}})
+		Log: slog.New(slog.DiscardHandler), Observer: quiet{}})
 	require.NoError(t, err)
 	o.Peer = p
 	ctx, end := context.WithCancel(context.Background())
 	o.end = sync.OnceFunc(func() { end(); assert.NoError(t, <-o.done) })
 	go func() { o.done <- p.Run(ctx) }()
 	t.Cleanup(o.end)
-	p.List(list(4))
+	p.UpdateEngines(list(4))
 	return o
 }
 
-func list(n int) *link.List {
-	l := &link.List{Kind: decide.ListSnapshot}
+func list(n int) *link.EngineList {
+	l := &link.EngineList{Kind: decide.ListSnapshot}
 	for i := range n {
-		l.Entries = append(l.Entries, link.Entry{Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "a", Phase: decide.Ready})
+		l.Entries = append(l.Entries, link.EngineEntry{Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "a", Phase: decide.Ready})
 	}
 	return l
 }
@@ -216,7 +216,7 @@
 	all := group(t, 2, 0)
 	address, err := loopback.Address("127.0.0.1")
 	require.NoError(t, err)
-	stranger := start(t, "stranger", address, "ff112233445566778899aabbccddeeff", []string{all[0].o.Member.Listen}, 0)
+	stranger := start(t, "stranger", address, "ff112233445566778899aabbccddeeff", []string{all[0].options.Membership.Listen}, 0)
 	time.Sleep(1500 * time.Millisecond)
 	_, sight, _ := stranger.Members()
 	assert.Empty(t, sight)
@@ -230,9 +230,9 @@
 	require.NoError(t, err)
 	o := start(t, "alone", address, key, nil, 1)
 	for _, m := range []string{"", "garbage", "\x0a\xff\xff\xff\xff\xff", "\x0a\x02\x08\x01"} {
-		o.heard([]byte(m))
+		o.receiveMessage([]byte(m))
 	}
-	o.use("10.0.0.1:1", []byte("garbage"))
+	o.applyProbeResult("10.0.0.1:1", []byte("garbage"))
 	assert.Empty(t, o.heardOf(decide.Finished))
 	for _, bad := range []member.Options{{KeyHex: "12"}, {KeyHex: key, Listen: "nowhere"}, {KeyHex: key, Listen: "127.0.0.1:x"}} {
 		_, err := member.Start(t.Context(), bad)
--- a/internal/planner/churn_test.go
+++ b/internal/planner/churn_test.go
@@ -27,7 +27,7 @@
 func TestLongChurn(t *testing.T) {
 	const most, lives, every = 128, 10, 20 // engines, and how many steps of so many seconds one lives
 	p, b := planner(t, func(s *decide.Settings, o *Options) {
-		o.MaxEngines, o.Mailbox, o.MaxCompletions = most, 1<<20, 1<<20
+		o.MaxEngines, o.MaxQueuedCompletions, o.MaxOpenCompletions = most, 1<<20, 1<<20
 		s.ReportColumns, s.ReservationsAllowed, s.Routers = []string{"x0", "x1"}, true, 3
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	})
@@ -50,12 +50,12 @@
 				if sent++; o.Kind != link.Dispatch {
 					continue
 				}
-				end := link.Fact{Kind: link.Ended, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Read, Took: 0.05, Report: []float64{0.2, 1}}
-				if !o.Reads {
-					p.Tell(link.Fact{Kind: link.Started, Completion: o.Completion, Dispatch: o.Dispatch, Took: 0.05})
-					end.Outcome, end.Done = decide.Finished, true
+				end := link.Event{Kind: link.DispatchEnded, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Read, Elapsed: 0.05, Report: []float64{0.2, 1}}
+				if !o.IsRead {
+					p.Notify(link.Event{Kind: link.DispatchStarted, Completion: o.Completion, Dispatch: o.Dispatch, Elapsed: 0.05})
+					end.Outcome, end.Answered = decide.Finished, true
 				}
-				p.Tell(end)
+				p.Notify(end)
 				p.step()
 			}
 			b.orders, sent = b.orders[:0], 0
@@ -69,7 +69,7 @@
 		return m.HeapAlloc
 	}
 	list := func(step int) {
-		all := []link.Entry{entry(0, "read", decide.Ready), entry(1, "write", decide.Ready)}
+		all := []link.EngineEntry{entry(0, "read", decide.Ready), entry(1, "write", decide.Ready)}
 		for i := max(0, step-lives); i < step; i++ {
 			for k, machine := range []string{"read", "write"} {
 				e := entry(0, machine, decide.Ready)
@@ -77,7 +77,7 @@
 				all = append(all, e)
 			}
 		}
-		p.Tell(fleet(decide.ListSnapshot, all...))
+		p.Notify(fleet(decide.ListSnapshot, all...))
 		p.step()
 	}
 	median := func(d []time.Duration) (p50, p99 time.Duration) {
@@ -100,21 +100,21 @@
 			serve(24)
 		}
 		there := 0
-		for _, k := range p.engines.known {
+		for _, k := range p.engines.records {
 			if k.phase == decide.Ready {
 				there++
 			}
 		}
 		require.Equal(t, 2+2*lives, there, "nobody is left out")
-		require.LessOrEqual(t, len(p.engines.known), most)
-		require.LessOrEqual(t, len(p.engines.zones.all), 2*most+1)
-		require.LessOrEqual(t, len(p.engines.cells.all), 2*most+1)
+		require.LessOrEqual(t, len(p.engines.records), most)
+		require.LessOrEqual(t, len(p.engines.zones.slots), 2*most+1)
+		require.LessOrEqual(t, len(p.engines.cells.slots), 2*most+1)
 		require.Empty(t, p.open)
 		if (step+1)%(steps/9) == 0 {
 			p50, p99 := median(took)
 			curve = append(curve, heap())
-			t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d |", (step+1)*every/60, curve[len(curve)-1]>>10, len(p.engines.known), len(p.engines.zones.all),
-				len(p.engines.cells.all), len(p.timers), p50.Microseconds(), p99.Microseconds())
+			t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d |", (step+1)*every/60, curve[len(curve)-1]>>10, len(p.engines.records), len(p.engines.zones.slots),
+				len(p.engines.cells.slots), len(p.timers), p50.Microseconds(), p99.Microseconds())
 			if late = p50; early == 0 {
 				early = p50
 			}
--- a/internal/planner/cold_test.go
+++ b/internal/planner/cold_test.go
@@ -49,19 +49,19 @@
 			if f.read[i]++; o.Kind != link.Dispatch {
 				continue
 			}
-			end := link.Fact{Kind: link.Ended, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Finished, Took: 0.1, Done: true}
-			if o.Reads {
-				f.sent[o.Engine] = append(f.sent[o.Engine], sending{time.Since(f.begin).Seconds(), f.tokens[o.Completion]})
-				end.Outcome, end.Done, end.Report = decide.Read, false, []float64{0}
-				if o.Engine[:3] == "old" {
+			end := link.Event{Kind: link.DispatchEnded, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Finished, Elapsed: 0.1, Answered: true}
+			if o.IsRead {
+				f.sent[o.Address] = append(f.sent[o.Address], sending{time.Since(f.begin).Seconds(), f.tokens[o.Completion]})
+				end.Outcome, end.Answered, end.Report = decide.Read, false, []float64{0}
+				if o.Address[:3] == "old" {
 					end.Report[0] = 5
 				}
 			}
 			f.later(100*time.Millisecond, func() {
-				if !o.Reads {
-					p.Tell(link.Fact{Kind: link.Started, Completion: o.Completion, Dispatch: o.Dispatch, Took: 0.1})
+				if !o.IsRead {
+					p.Notify(link.Event{Kind: link.DispatchStarted, Completion: o.Completion, Dispatch: o.Dispatch, Elapsed: 0.1})
 				}
-				p.Tell(end)
+				p.Notify(end)
 			})
 		}
 	}
@@ -84,22 +84,22 @@
 						p, b := planner(t, func(s *decide.Settings, o *Options) {
 							s.Seed, s.Routers, s.ColdStartShare, s.WarmUpTime, s.OverloadMultiple, s.OverloadWindow = rng.Uint64(), routers, share, warmUp, multiple, window
 							s.ReportColumns, o.MaxEngines = []string{"queue"}, 64
-							o.Mailbox, o.MaxCompletions = 1<<16, 1<<16
+							o.MaxQueuedCompletions, o.MaxOpenCompletions = 1<<16, 1<<16
 						})
 						f.routers, f.books = append(f.routers, p), append(f.books, b)
 						part[i] = math.Exp(rng.NormFloat64() * 0.8)
 						all += part[i]
 					}
-					list := func(kind decide.ListKind, entries ...link.Entry) {
+					list := func(kind decide.ListKind, entries ...link.EngineEntry) {
 						for _, p := range f.routers {
 							news := fleet(kind, entries...)
-							f.later(time.Duration(rng.IntN(100))*time.Millisecond, func() { p.Tell(news) })
+							f.later(time.Duration(rng.IntN(100))*time.Millisecond, func() { p.Notify(news) })
 						}
 					}
-					host := func(name, machine string, age float64) link.Entry {
-						return link.Entry{Address: name, Zone: "a", Cell: "a1", Machine: machine, Phase: decide.Ready, Start: 1, Age: age}
+					host := func(name, machine string, age float64) link.EngineEntry {
+						return link.EngineEntry{Address: name, Zone: "a", Cell: "a1", MachineKind: machine, Phase: decide.Ready, StartID: 1, Age: age}
 					}
-					var old []link.Entry
+					var old []link.EngineEntry
 					for i := range 12 {
 						old = append(old, host(fmt.Sprintf("old-%d", i), "read", -1), host(fmt.Sprintf("writer-%d", i), "write", -1))
 					}
@@ -108,7 +108,7 @@
 					for step := 0.0; step < ends; step += 0.01 {
 						time.Sleep(10 * time.Millisecond)
 						if math.Abs(step-starts) < 0.004 {
-							var changes []link.Entry
+							var changes []link.EngineEntry
 							for i := range 6 {
 								gone := old[2*i]
 								gone.Phase = decide.Gone
