--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -11,154 +11,154 @@
 	"cherryhub/internal/link"
 )
 
-const longAgo = -1e9 // seconds; the start of an engine of which none is told
+const unknownStartSeconds = -1e9 // seconds; the start of an engine of which none is told
 
 // engines maps what a list names to the small indices of decide, and back. Indices are handed out once and
 // only taken back from engines that are long gone, so a list that names ever new engines, zones or cells stays
 // bounded.
-type engines struct {
-	most     int
-	log      *slog.Logger
-	byName   map[string]int // address to index
-	known    []known
-	zones    names
-	cells    names
-	machines map[string]int
-	roles    []decide.Role
+type engineTable struct {
+	maxEngines   int
+	log          *slog.Logger
+	byAddress    map[string]int // address to index
+	records      []engineRecord
+	zones        nameTable
+	cells        nameTable
+	machineKinds map[string]int
+	roles        []decide.Role
 }
 
-type known struct {
-	address string
-	listed  bool
-	zone    int // index of its name
-	cell    int // as zone
-	machine int
-	role    decide.Role
-	phase   decide.Phase
-	start   int64   // 0 while none was told
-	started float64 // on the planner's clock
-	goneAt  float64 // since when it is gone; +Inf while it is not
+type engineRecord struct {
+	address     string
+	listed      bool
+	zone        int // index of its name
+	cell        int // as zone
+	machineKind int
+	role        decide.Role
+	phase       decide.Phase
+	startID     int64   // 0 while none was told
+	startedAt   float64 // on the planner's clock
+	goneSince   float64 // since when it is gone; +Inf while it is not
 }
 
 // names maps names to indices. A name is held by the engines that have it; one that nobody holds keeps its index
 // for nameRests, as dispatches may be out whose engine had it, and then makes room for another.
-type names struct {
-	most   int
-	byName map[string]int
-	all    []named
+type nameTable struct {
+	maxNames int
+	byName   map[string]int
+	slots    []nameSlot
 }
 
-type named struct {
+type nameSlot struct {
 	name    string
-	holders int
-	freed   float64 // since when nobody holds it
+	refs    int
+	freedAt float64 // since when nobody holds it
 }
 
 // nameRests is longer than a completion lives until its last dispatch, in seconds: what may be repeated where hangs on
 // zones and cells being told apart.
-const nameRests = 600.0
+const nameReuseDelaySeconds = 600.0
 
-func (n *names) hold(now float64, name string) (int, error) {
+func (n *nameTable) acquire(now float64, name string) (int, error) {
 	i, found := n.byName[name]
-	if !found && len(n.all) < n.most {
-		i, found = len(n.all), true
-		n.all = append(n.all, named{name: name})
+	if !found && len(n.slots) < n.maxNames {
+		i, found = len(n.slots), true
+		n.slots = append(n.slots, nameSlot{name: name})
 	}
-	for at := 0; !found && at < len(n.all); at++ {
-		if o := &n.all[at]; o.holders == 0 && now-o.freed > nameRests {
+	for at := 0; !found && at < len(n.slots); at++ {
+		if o := &n.slots[at]; o.refs == 0 && now-o.freedAt > nameReuseDelaySeconds {
 			delete(n.byName, o.name)
 			i, found = at, true
-			*o = named{name: name}
+			*o = nameSlot{name: name}
 		}
 	}
 	if !found {
-		return 0, fmt.Errorf("%q: more than %d names of zones or cells (list.max_engines allows two an engine), and none rested for %v s", name, n.most, nameRests)
+		return 0, fmt.Errorf("%q: more than %d names of zones or cells (list.max_engines allows two an engine), and none rested for %v s", name, n.maxNames, nameReuseDelaySeconds)
 	}
 	n.byName[name] = i
-	n.all[i].holders++
+	n.slots[i].refs++
 	return i, nil
 }
 
-func (n *names) drop(now float64, i int) {
-	n.all[i].holders--
-	n.all[i].freed = now
+func (n *nameTable) release(now float64, i int) {
+	n.slots[i].refs--
+	n.slots[i].freedAt = now
 }
 
 // ownZone is the index of the router's own zone.
-const ownZone = 0
+const ownZoneIndex = 0
 
-func newEngines(most int, machines []Machine, zone string, log *slog.Logger) *engines {
-	t := &engines{most: most, log: log, byName: map[string]int{}, zones: names{most: 2*most + 1, byName: map[string]int{}},
-		cells: names{most: 2*most + 1, byName: map[string]int{}}, machines: map[string]int{}}
-	t.zones.hold(0, zone) //nolint:errcheck // the first one has room, is ownZone, and is never dropped
+func newEngineTable(most int, machines []MachineKind, zone string, log *slog.Logger) *engineTable {
+	t := &engineTable{maxEngines: most, log: log, byAddress: map[string]int{}, zones: nameTable{maxNames: 2*most + 1, byName: map[string]int{}},
+		cells: nameTable{maxNames: 2*most + 1, byName: map[string]int{}}, machineKinds: map[string]int{}}
+	t.zones.acquire(0, zone) //nolint:errcheck // the first one has room, is ownZone, and is never dropped
 	for i, m := range machines {
-		t.machines[m.Name] = i
+		t.machineKinds[m.Name] = i
 		t.roles = append(t.roles, m.Role)
 	}
 	return t
 }
 
 // facts are a list's entries as decide takes them.
-func (t *engines) facts(now float64, l *link.List) []decide.EngineEntry {
+func (t *engineTable) entries(now float64, l *link.EngineList) []decide.EngineEntry {
 	facts := make([]decide.EngineEntry, 0, len(l.Entries))
 	if l.Kind == decide.ListSnapshot || l.Kind == decide.ListCachedSnapshot {
 		listed := make(map[string]bool, len(l.Entries))
 		for _, e := range l.Entries {
 			listed[e.Address] = true
 		}
-		for i := range t.known { // first, so that who comes may have the index of who left
-			if !listed[t.known[i].address] {
-				t.gone(now, i)
+		for i := range t.records { // first, so that who comes may have the index of who left
+			if !listed[t.records[i].address] {
+				t.markGone(now, i)
 			}
 		}
 	}
 	for _, e := range l.Entries {
 		if e.Phase == decide.Gone { // nothing else need be told with it
-			if i, found := t.byName[e.Address]; found {
-				facts = append(facts, t.gone(now, i))
+			if i, found := t.byAddress[e.Address]; found {
+				facts = append(facts, t.markGone(now, i))
 			}
 			continue
 		}
-		i, err := t.index(now, e.Address)
+		i, err := t.indexOf(now, e.Address)
 		if err != nil {
 			t.log.Error("engine left out", "engine", e.Address, "err", err)
 			continue
 		}
-		k := &t.known[i]
-		if err := t.place(now, k, &e); err != nil {
+		k := &t.records[i]
+		if err := t.setLocation(now, k, &e); err != nil {
 			t.log.Error("engine left out", "engine", e.Address, "err", err)
 			if k.listed {
-				facts = append(facts, t.gone(now, i))
+				facts = append(facts, t.markGone(now, i))
 			}
 			continue
 		}
-		k.starts(now, &e)
-		machine, told := t.machines[e.Machine]
+		k.updateStart(now, &e)
+		machine, told := t.machineKinds[e.MachineKind]
 		if !told { // decide takes it for a mixed one with a middling memory
-			t.log.Warn("engine of a machine kind that is not in the settings", "engine", e.Address, "machine", e.Machine)
+			t.log.Warn("engine of a machine kind that is not in the settings", "engine", e.Address, "machine", e.MachineKind)
 			machine = len(t.roles)
 		}
-		k.listed, k.phase, k.goneAt, k.machine, k.role = true, e.Phase, math.Inf(1), machine, decide.Mixed
+		k.listed, k.phase, k.goneSince, k.machineKind, k.role = true, e.Phase, math.Inf(1), machine, decide.Mixed
 		if told {
 			k.role = t.roles[machine]
 		}
-		facts = append(facts, t.fact(i))
+		facts = append(facts, t.entry(i))
 	}
 	return facts
 }
 
 // gone books that an engine has gone; it holds its names until its index is another's.
-func (t *engines) gone(now float64, i int) decide.EngineEntry {
-	k := &t.known[i]
+func (t *engineTable) markGone(now float64, i int) decide.EngineEntry {
+	k := &t.records[i]
 	if k.phase != decide.Gone {
-		k.phase, k.goneAt = decide.Gone, now
+		k.phase, k.goneSince = decide.Gone, now
 	}
-	return t.fact(i)
+	return t.entry(i)
 }
 
-func (t *engines) fact(i int) decide.EngineEntry {
-	k := &t.known[i]
-	return decide.EngineEntry{Index: i, Hash: xxhash.Sum64String(k.address), Zone: k.zone, MachineKind: k.machine, Cell: k.cell, Phase: k.phase, StartedAt: k.started}
+func (t *engineTable) entry(i int) decide.EngineEntry {
+	k := &t.records[i]
+	return decide.EngineEntry{Index: i, Hash: xxhash.Sum64String(k.address), Zone: k.zone, MachineKind: k.machineKind, Cell: k.cell, Phase: k.phase, StartedAt: k.startedAt}
 }
 
 // starts finds when an engine started. A restart shows as another start. Within one start the age is read once:
@@ -166,76 +166,76 @@
 // the start out, what was told before stays, unless the engine was gone meanwhile. Where a restart was seen and no
 // age is told, it is as young as it can be: taken for long ago it would be pushed over while cold. That harms an
 // engine that the list had only lost from sight, by a cold one's share of work for as long as engines warm up.
-func (k *known) starts(now float64, e *link.Entry) {
-	again := k.listed && (e.Start != k.start && e.Start != 0 && k.start != 0 ||
-		e.Start == 0 && k.phase == decide.Gone)
-	if k.listed && !again && (e.Start == 0 || e.Start == k.start) {
+func (k *engineRecord) updateStart(now float64, e *link.EngineEntry) {
+	again := k.listed && (e.StartID != k.startID && e.StartID != 0 && k.startID != 0 ||
+		e.StartID == 0 && k.phase == decide.Gone)
+	if k.listed && !again && (e.StartID == 0 || e.StartID == k.startID) {
 		return
 	}
-	switch k.start = e.Start; {
+	switch k.startID = e.StartID; {
 	case e.Age >= 0:
-		k.started = now - e.Age
+		k.startedAt = now - e.Age
 	case again:
-		k.started = now
+		k.startedAt = now
 	default:
-		k.started = longAgo
+		k.startedAt = unknownStartSeconds
 	}
 }
 
 // place has an engine hold the names of where it is.
-func (t *engines) place(now float64, k *known, e *link.Entry) error {
+func (t *engineTable) setLocation(now float64, k *engineRecord, e *link.EngineEntry) error {
 	name := e.Zone + "\x00" + e.Cell // a cell is of its zone
-	if k.listed && t.cells.all[k.cell].name == name {
+	if k.listed && t.cells.slots[k.cell].name == name {
 		return nil
 	}
-	zone, err := t.zones.hold(now, e.Zone)
+	zone, err := t.zones.acquire(now, e.Zone)
 	if err != nil {
 		return err
 	}
-	cell, err := t.cells.hold(now, name)
+	cell, err := t.cells.acquire(now, name)
 	if err != nil {
-		t.zones.drop(now, zone)
+		t.zones.release(now, zone)
 		return err
 	}
-	t.leave(now, k)
+	t.releaseLocation(now, k)
 	k.zone, k.cell = zone, cell
 	return nil
 }
 
 // leave gives up the names that an engine holds, if it was ever listed.
-func (t *engines) leave(now float64, k *known) {
+func (t *engineTable) releaseLocation(now float64, k *engineRecord) {
 	if k.listed {
-		t.zones.drop(now, k.zone)
-		t.cells.drop(now, k.cell)
+		t.zones.release(now, k.zone)
+		t.cells.release(now, k.cell)
 	}
 }
 
 // index is an engine's. Where all are taken, a new one gets that of the one gone for longest: decide takes another
 // address for another engine at once, and facts name engines by their address, so nothing of the old one clings to it.
-func (t *engines) index(now float64, address string) (int, error) {
-	if i, found := t.byName[address]; found {
+func (t *engineTable) indexOf(now float64, address string) (int, error) {
+	if i, found := t.byAddress[address]; found {
 		return i, nil
 	}
-	if len(t.known) < t.most {
-		t.known = append(t.known, known{address: address, goneAt: now})
-		t.byName[address] = len(t.known) - 1
-		return len(t.known) - 1, nil
+	if len(t.records) < t.maxEngines {
+		t.records = append(t.records, engineRecord{address: address, goneSince: now})
+		t.byAddress[address] = len(t.records) - 1
+		return len(t.records) - 1, nil
 	}
 	longest := 0
-	for i := range t.known {
-		if t.known[i].goneAt < t.known[longest].goneAt {
+	for i := range t.records {
+		if t.records[i].goneSince < t.records[longest].goneSince {
 			longest = i
 		}
 	}
-	k := &t.known[longest]
-	if math.IsInf(k.goneAt, 1) {
-		return 0, fmt.Errorf("more than %d engines (list.max_engines)", t.most)
+	k := &t.records[longest]
+	if math.IsInf(k.goneSince, 1) {
+		return 0, fmt.Errorf("more than %d engines (list.max_engines)", t.maxEngines)
 	}
-	delete(t.byName, k.address)
-	t.leave(now, k)
-	t.byName[address] = longest
-	*k = known{address: address, goneAt: now}
+	delete(t.byAddress, k.address)
+	t.releaseLocation(now, k)
+	t.byAddress[address] = longest
+	*k = engineRecord{address: address, goneSince: now}
 	return longest, nil
 }
 
-func (t *engines) name(i int) string { return t.known[i].address }
+func (t *engineTable) addressOf(i int) string { return t.records[i].address }
--- a/internal/planner/mailbox.go
+++ b/internal/planner/mailbox.go
@@ -19,58 +19,58 @@
 // a burst within a healthy planner's few milliseconds passed the limit: then completions are refused that could be
 // served.
 type mailbox struct {
-	mu     sync.Mutex
-	facts  []link.Fact
-	probed map[string]int            // where an engine's report waits, by address
-	list   atomic.Pointer[link.List] // news that waits, nil for none; changed under the lock
-	offers int                       // that wait
-	open   int                       // completions taken, and not yet closed by the planner
-	most   int                       // offers that may wait
-	mostIn int                       // completions that may be open
-	ring   chan struct{}
+	mu           sync.Mutex
+	events       []link.Event
+	reportIndex  map[string]int                  // where an engine's report waits, by address
+	pendingList  atomic.Pointer[link.EngineList] // news that waits, nil for none; changed under the lock
+	queuedOffers int                             // that wait
+	open         int                             // completions taken, and not yet closed by the planner
+	maxOffers    int                             // offers that may wait
+	maxOpen      int                             // completions that may be open
+	wakeup       chan struct{}
 }
 
 func newMailbox(most, mostIn int) *mailbox {
-	return &mailbox{most: most, mostIn: mostIn, probed: map[string]int{}, ring: make(chan struct{}, 1)}
+	return &mailbox{maxOffers: most, maxOpen: mostIn, reportIndex: map[string]int{}, wakeup: make(chan struct{}, 1)}
 }
 
-func (m *mailbox) offer(f link.Fact) bool {
+func (m *mailbox) offer(f link.Event) bool {
 	m.mu.Lock()
-	full := m.offers >= m.most || m.open >= m.mostIn
+	full := m.queuedOffers >= m.maxOffers || m.open >= m.maxOpen
 	if !full {
-		m.offers++
+		m.queuedOffers++
 		m.open++
-		m.facts = append(m.facts, f)
+		m.events = append(m.events, f)
 	}
 	m.mu.Unlock()
-	m.wake()
+	m.signal()
 	return !full
 }
 
-func (m *mailbox) tell(f link.Fact) {
+func (m *mailbox) notify(f link.Event) {
 	m.mu.Lock()
-	switch at, waits := m.probed[f.Address]; {
-	case f.Kind == link.Listed:
-		m.list.Store(merged(m.list.Load(), f.List))
-	case f.Kind == link.Probed && waits:
-		m.facts[at] = f
+	switch at, waits := m.reportIndex[f.Address]; {
+	case f.Kind == link.EnginesUpdated:
+		m.pendingList.Store(mergeLists(m.pendingList.Load(), f.EngineList))
+	case f.Kind == link.ProbeEnded && waits:
+		m.events[at] = f
 	default:
-		if f.Kind == link.Probed {
-			m.probed[f.Address] = len(m.facts)
+		if f.Kind == link.ProbeEnded {
+			m.reportIndex[f.Address] = len(m.events)
 		}
-		m.facts = append(m.facts, f)
+		m.events = append(m.events, f)
 	}
 	m.mu.Unlock()
-	m.wake()
+	m.signal()
 }
 
 // merged is two lists as one: the later word on an engine counts. An engine that was gone in between is told as
 // just started where its start is not told, since nothing else would show that it was gone.
-func merged(before, after *link.List) *link.List {
+func mergeLists(before, after *link.EngineList) *link.EngineList {
 	if before == nil {
 		return after
 	}
-	at, all := map[string]int{}, &link.List{Kind: after.Kind}
+	at, all := map[string]int{}, &link.EngineList{Kind: after.Kind}
 	if after.Kind == decide.ListDelta {
 		all.Kind = before.Kind
 		all.Entries = slices.Clone(before.Entries)
@@ -80,7 +80,7 @@
 	}
 	for _, e := range after.Entries {
 		i, there := at[e.Address]
-		if there && before.Entries[i].Phase == decide.Gone && e.Phase != decide.Gone && e.Start == 0 && e.Age < 0 {
+		if there && before.Entries[i].Phase == decide.Gone && e.Phase != decide.Gone && e.StartID == 0 && e.Age < 0 {
 			e.Age = 0
 		}
 		if there && after.Kind == decide.ListDelta {
@@ -92,46 +92,46 @@
 	return all
 }
 
-func (m *mailbox) wake() {
+func (m *mailbox) signal() {
 	select {
-	case m.ring <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // take empties the box into a batch, giving the last batch's memory back for the next facts.
-func (m *mailbox) take(used []link.Fact) []link.Fact {
+func (m *mailbox) drain(used []link.Event) []link.Event {
 	clear(used)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	batch := m.facts
-	m.facts, m.offers = used[:0], 0
-	clear(m.probed)
+	batch := m.events
+	m.events, m.queuedOffers = used[:0], 0
+	clear(m.reportIndex)
 	return batch
 }
 
 // news is what the list told since it was last asked, nil for nothing.
-func (m *mailbox) news() *link.List {
-	if m.list.Load() == nil { // as before most facts
+func (m *mailbox) takeList() *link.EngineList {
+	if m.pendingList.Load() == nil { // as before most facts
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.list.Swap(nil)
+	return m.pendingList.Swap(nil)
 }
 
-func (m *mailbox) closed(n int) {
+func (m *mailbox) completionsClosed(n int) {
 	m.mu.Lock()
 	m.open -= n
 	m.mu.Unlock()
 }
 
 // sizes are the facts that wait and the completions that are open.
-func (m *mailbox) sizes() (waiting, open int) {
+func (m *mailbox) counts() (waiting, open int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	waiting = len(m.facts)
-	if m.list.Load() != nil {
+	waiting = len(m.events)
+	if m.pendingList.Load() != nil {
 		waiting++
 	}
 	return waiting, m.open
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -20,54 +20,54 @@
 
 // Machine is a kind of machine by the name that the engine list gives it, in the order of
 // decide.Settings.Roles.
-type Machine struct {
+type MachineKind struct {
 	Name string
 	Role decide.Role
 }
 
 // Options are what a planner is told besides decide's settings.
 type Options struct {
-	Machines       []Machine
-	Zone           string // the router's own
-	MaxEngines     int
-	Mailbox        int // completions that may wait to be read
-	MaxCompletions int // that may be open
-	Log            *slog.Logger
-	Delay          func(seconds float64) // is called with each fact's wait, nil for none
+	MachineKinds         []MachineKind
+	Zone                 string // the router's own
+	MaxEngines           int
+	MaxQueuedCompletions int // completions that may wait to be read
+	MaxOpenCompletions   int // that may be open
+	Log                  *slog.Logger
+	ObserveDelay         func(seconds float64) // is called with each fact's wait, nil for none
 }
 
 // Planner owns a decide.Router.
 type Planner struct {
-	box     *mailbox
-	edge    link.Edge
-	log     *slog.Logger
-	delay   func(float64)
-	router  *decide.Router
-	engines *engines
-	start   time.Time
-	open    map[uint64]*open
-	timers  timers
-	stale   int // timers of completions that are over
-	tick    float64
-	busy    atomic.Int64 // nanoseconds spent in decide
-	faults  atomic.Int64
+	mailbox      *mailbox
+	edge         link.Edge
+	log          *slog.Logger
+	observeDelay func(float64)
+	router       *decide.Router
+	engines      *engineTable
+	start        time.Time
+	open         map[uint64]*openCompletion
+	timers       timers
+	staleTimers  int // timers of completions that are over
+	tick         float64
+	decideNanos  atomic.Int64 // nanoseconds spent in decide
+	panics       atomic.Int64
 }
 
 // open is a completion that is not over.
-type open struct {
-	id     uint64
-	c      *decide.Completion
-	over   bool
-	sent   int // dispatches
-	timers int // that wait
+type openCompletion struct {
+	id            uint64
+	completion    *decide.Completion
+	closed        bool
+	dispatches    int // dispatches
+	pendingTimers int // that wait
 }
 
 // New makes a planner. Its edge gets the orders; Run must be called once. The zones of the settings are numbered by
 // whoever read them; decide is told of zones by the planner's own numbers, its own router's zone too.
 func New(s decide.Settings, o Options, edge link.Edge) (*Planner, error) {
-	s.Zone = ownZone
-	p := &Planner{box: newMailbox(o.Mailbox, o.MaxCompletions), edge: edge, log: o.Log, delay: o.Delay,
-		engines: newEngines(o.MaxEngines, o.Machines, o.Zone, o.Log), start: time.Now(), open: map[uint64]*open{},
+	s.Zone = ownZoneIndex
+	p := &Planner{mailbox: newMailbox(o.MaxQueuedCompletions, o.MaxOpenCompletions), edge: edge, log: o.Log, observeDelay: o.ObserveDelay,
+		engines: newEngineTable(o.MaxEngines, o.MachineKinds, o.Zone, o.Log), start: time.Now(), open: map[uint64]*openCompletion{},
 		tick: s.Tick}
 	r, err := decide.New(s, (*actions)(p))
 	if err != nil {
@@ -78,28 +78,28 @@
 }
 
 // Offer is of link.Planner.
-func (p *Planner) Offer(f link.Fact) bool {
-	f.At = time.Now()
-	return p.box.offer(f)
+func (p *Planner) Offer(f link.Event) bool {
+	f.QueuedAt = time.Now()
+	return p.mailbox.offer(f)
 }
 
 // Tell is of link.Planner.
-func (p *Planner) Tell(f link.Fact) {
-	f.At = time.Now()
-	p.box.tell(f)
+func (p *Planner) Notify(f link.Event) {
+	f.QueuedAt = time.Now()
+	p.mailbox.notify(f)
 }
 
 // Figures are what a planner counts.
-type Figures struct {
-	Waiting, Open int           // facts in the mailbox, completions not over
-	Busy          time.Duration // spent in decide, in all
-	Faults        int64         // panics in decide
+type Stats struct {
+	QueuedEvents, OpenCompletions int           // facts in the mailbox, completions not over
+	DecideTime                    time.Duration // spent in decide, in all
+	Panics                        int64         // panics in decide
 }
 
 // Figures may be called at any time from anywhere.
-func (p *Planner) Figures() Figures {
-	waiting, open := p.box.sizes()
-	return Figures{waiting, open, time.Duration(p.busy.Load()), p.faults.Load()}
+func (p *Planner) Stats() Stats {
+	waiting, open := p.mailbox.counts()
+	return Stats{waiting, open, time.Duration(p.decideNanos.Load()), p.panics.Load()}
 }
 
 func (p *Planner) now() float64 { return time.Since(p.start).Seconds() }
@@ -108,18 +108,18 @@
 func (p *Planner) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var batch []link.Fact
+	var batch []link.Event
 	for ctx.Err() == nil {
-		batch = p.box.take(batch)
+		batch = p.mailbox.drain(batch)
 		began := time.Now()
 		for i := range batch {
-			if p.delay != nil {
-				p.delay(began.Sub(batch[i].At).Seconds())
+			if p.observeDelay != nil {
+				p.observeDelay(began.Sub(batch[i].QueuedAt).Seconds())
 			}
-			p.guard(&batch[i])
+			p.process(&batch[i])
 		}
-		p.fire()
-		p.busy.Add(int64(time.Since(began)))
+		p.runTimers()
+		p.decideNanos.Add(int64(time.Since(began)))
 		if len(batch) > 0 {
 			continue
 		}
@@ -131,7 +131,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.box.ring:
+		case <-p.mailbox.wakeup:
 		case <-timer.C:
 		}
 	}
@@ -139,46 +139,46 @@
 
 // guard hands a fact to decide. A panic there costs the completion it was about, not the router: guards
 // against faults of ours only, and harms if decide's books were left half written; the count says so.
-func (p *Planner) guard(f *link.Fact) {
-	p.news()
-	defer p.survive(f.Completion)
+func (p *Planner) process(f *link.Event) {
+	p.updateEngines()
+	defer p.recoverPanic(f.Completion)
 	p.router.SetTime(p.now())
 	p.handle(f)
 }
 
 // news hands decide what is new of the engines, before any fact or timer that could have it send something.
-func (p *Planner) news() {
-	l := p.box.news()
+func (p *Planner) updateEngines() {
+	l := p.mailbox.takeList()
 	if l == nil {
 		return
 	}
-	defer p.survive(0) // of no completion
+	defer p.recoverPanic(0) // of no completion
 	now := p.now()
 	p.router.SetTime(now)
-	p.router.UpdateEngines(l.Kind, p.engines.facts(now, l))
+	p.router.UpdateEngines(l.Kind, p.engines.entries(now, l))
 }
 
-func (p *Planner) survive(completion uint64) {
+func (p *Planner) recoverPanic(completion uint64) {
 	trouble := recover()
 	if trouble == nil {
 		return
 	}
-	p.faults.Add(1)
+	p.panics.Add(1)
 	p.log.Error("planner: panic in decide", "completion", completion, "panic", fmt.Sprint(trouble), "stack", string(debug.Stack()))
 	if o := p.open[completion]; o != nil {
-		p.edge.Order(link.Order{Kind: link.Release, Completion: completion})
-		p.edge.Order(link.Order{Kind: link.Abort, Completion: completion})
-		p.drop(o)
+		p.edge.Execute(link.Command{Kind: link.Release, Completion: completion})
+		p.edge.Execute(link.Command{Kind: link.Abort, Completion: completion})
+		p.close(o)
 	}
 }
 
-func (p *Planner) handle(f *link.Fact) {
+func (p *Planner) handle(f *link.Event) {
 	switch f.Kind {
-	case link.Take:
-		p.take(f)
+	case link.CompletionArrived:
+		p.route(f)
 		return
-	case link.Probed:
-		if at, known := p.engines.byName[f.Address]; known { // else it has left the list since it was asked
+	case link.ProbeEnded:
+		if at, known := p.engines.byAddress[f.Address]; known { // else it has left the list since it was asked
 			p.router.ProbeEnded(at, f.Outcome, f.Report)
 		}
 		return
@@ -188,77 +188,77 @@
 		return
 	}
 	switch f.Kind {
-	case link.Started:
-		o.c.DispatchStarted(f.Dispatch, f.Took)
-	case link.Placed:
-		o.c.ReservationAnswered(f.Dispatch, f.Held)
-	case link.Ended:
-		o.c.DispatchEnded(f.Dispatch, f.Outcome, f.Took, f.Done, f.Found, f.Report)
-	case link.Left:
-		o.c.ClientLeft()
+	case link.DispatchStarted:
+		o.completion.DispatchStarted(f.Dispatch, f.Elapsed)
+	case link.ReservationAnswered:
+		o.completion.ReservationAnswered(f.Dispatch, f.Reserved)
+	case link.DispatchEnded:
+		o.completion.DispatchEnded(f.Dispatch, f.Outcome, f.Elapsed, f.Answered, f.CachedTokens, f.Report)
+	case link.ClientLeft:
+		o.completion.ClientLeft()
 	}
-	p.settle(o)
+	p.closeIfDone(o)
 }
 
 // take hands a completion to decide, which acts before the handle is returned: the record is there first.
-func (p *Planner) take(f *link.Fact) {
-	o := &open{id: f.Completion}
+func (p *Planner) route(f *link.Event) {
+	o := &openCompletion{id: f.Completion}
 	p.open[f.Completion] = o
 	prompt := *f.Prompt
 	prompt.TimeLeft = time.Until(f.Deadline).Seconds()
-	o.c = p.router.Route(f.Completion, prompt)
-	p.settle(o)
+	o.completion = p.router.Route(f.Completion, prompt)
+	p.closeIfDone(o)
 }
 
-func (p *Planner) settle(o *open) {
-	if !o.over && o.c.Closed() {
-		p.drop(o)
+func (p *Planner) closeIfDone(o *openCompletion) {
+	if !o.closed && o.completion.Closed() {
+		p.close(o)
 	}
 }
 
-func (p *Planner) drop(o *open) {
-	o.over = true
-	p.stale += o.timers
+func (p *Planner) close(o *openCompletion) {
+	o.closed = true
+	p.staleTimers += o.pendingTimers
 	delete(p.open, o.id)
-	p.box.closed(1)
+	p.mailbox.completionsClosed(1)
 }
 
 // fire calls what is due. Timers of completions that are over stay in the heap until then, or until they are
 // more than half of it: so it never holds more than twice what is live.
-func (p *Planner) fire() {
-	p.news()
-	if p.stale > 1024 && p.stale > len(p.timers)/2 {
+func (p *Planner) runTimers() {
+	p.updateEngines()
+	if p.staleTimers > 1024 && p.staleTimers > len(p.timers)/2 {
 		live := p.timers[:0]
 		for _, t := range p.timers {
-			if t.of == nil || !t.of.over {
+			if t.completion == nil || !t.completion.closed {
 				live = append(live, t)
 			}
 		}
 		clear(p.timers[len(live):])
-		p.timers, p.stale = live, 0
+		p.timers, p.staleTimers = live, 0
 		heap.Init(&p.timers)
 	}
 	for now := p.now(); len(p.timers) > 0 && p.timers[0].at <= now; {
 		t := heap.Pop(&p.timers).(timer)
-		if t.of != nil && t.of.over {
-			p.stale--
+		if t.completion != nil && t.completion.closed {
+			p.staleTimers--
 			continue
 		}
-		p.due(t)
+		p.runTimer(t)
 	}
 }
 
-func (p *Planner) due(t timer) {
-	p.news()
+func (p *Planner) runTimer(t timer) {
+	p.updateEngines()
 	p.router.SetTime(p.now())
-	if t.of == nil {
+	if t.completion == nil {
 		p.router.TimerFired()
 		return
 	}
-	defer p.survive(t.of.id)
-	t.of.timers--
-	t.of.c.TimerFired()
-	p.settle(t.of)
+	defer p.recoverPanic(t.completion.id)
+	t.completion.pendingTimers--
+	t.completion.completion.TimerFired()
+	p.closeIfDone(t.completion)
 }
 
 // actions is the planner as decide.Actions sees it.
@@ -267,35 +267,35 @@
 // Dispatch is of decide.Actions, as are the methods below.
 func (a *actions) Dispatch(completion uint64, engine int, timeout float64) {
 	o := a.open[completion]
-	a.edge.Order(link.Order{Kind: link.Dispatch, Completion: completion, Dispatch: o.sent, Engine: a.engines.name(engine),
-		Reads: a.engines.known[engine].role == decide.Reader, Timeout: timeout})
-	o.sent++
+	a.edge.Execute(link.Command{Kind: link.Dispatch, Completion: completion, Dispatch: o.dispatches, Address: a.engines.addressOf(engine),
+		IsRead: a.engines.records[engine].role == decide.Reader, Timeout: timeout})
+	o.dispatches++
 }
 
 func (a *actions) Reserve(completion uint64, engine int) {
-	a.edge.Order(link.Order{Kind: link.HoldPlace, Completion: completion, Dispatch: a.open[completion].sent - 1,
-		Engine: a.engines.name(engine)})
+	a.edge.Execute(link.Command{Kind: link.Reserve, Completion: completion, Dispatch: a.open[completion].dispatches - 1,
+		Address: a.engines.addressOf(engine)})
 }
 
 func (a *actions) Release(completion uint64) {
-	a.edge.Order(link.Order{Kind: link.Release, Completion: completion})
+	a.edge.Execute(link.Command{Kind: link.Release, Completion: completion})
 }
 
 func (a *actions) RateLimit(completion uint64, comeBack float64) {
-	a.edge.Order(link.Order{Kind: link.RateLimit, Completion: completion, ComeBack: comeBack})
+	a.edge.Execute(link.Command{Kind: link.RateLimit, Completion: completion, RetryAfter: comeBack})
 }
 
 func (a *actions) Abort(completion uint64) {
-	a.edge.Order(link.Order{Kind: link.Abort, Completion: completion})
+	a.edge.Execute(link.Command{Kind: link.Abort, Completion: completion})
 }
 
 func (a *actions) Cancel(completion uint64, dispatch int) {
-	a.edge.Order(link.Order{Kind: link.Cancel, Completion: completion, Dispatch: dispatch})
+	a.edge.Execute(link.Command{Kind: link.Cancel, Completion: completion, Dispatch: dispatch})
 }
 
 func (a *actions) SetTimer(completion uint64, after float64) {
 	o := a.open[completion]
-	o.timers++
+	o.pendingTimers++
 	heap.Push(&a.timers, timer{(*Planner)(a).now() + math.Max(a.tick, after), o})
 }
 
@@ -304,7 +304,7 @@
 }
 
 func (a *actions) Probe(engine int) {
-	a.edge.Order(link.Order{Kind: link.Probe, Engine: a.engines.name(engine)})
+	a.edge.Execute(link.Command{Kind: link.Probe, Address: a.engines.addressOf(engine)})
 }
 
 // WatchEngines asks for nothing: internal/fleet keeps the list by itself.
@@ -314,8 +314,8 @@
 
 // timer is a call of TimerFired: of a completion, or of the router where of is nil.
 type timer struct {
-	at float64
-	of *open
+	at         float64
+	completion *openCompletion
 }
 
 type timers []timer
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -39,7 +39,7 @@
 }
 
 // Hold asks a writer for a place for the completion. An error: it is not known whether it is held.
-func (c *Client) Hold(ctx context.Context, name, id string, _ float64, _ time.Duration) (bool, error) {
+func (c *Client) Reserve(ctx context.Context, name, id string, _ float64, _ time.Duration) (bool, error) {
 	status, _, _, err := c.small(ctx, name, "POST", rooms+id, outgoing{begins: true})
 	switch {
 	case err != nil:
--- a/internal/platform/backend/stream.go
+++ b/internal/platform/backend/stream.go
@@ -114,7 +114,7 @@
 var blank = []byte("\n\n")
 
 // More tells whether a whole event more has come already. Load reports ahead of it are taken out.
-func (s *stream) More() bool {
+func (s *stream) HasBufferedEvent() bool {
 	for s.end == 0 {
 		rest := s.buf[s.read:]
 		n := bytes.Index(rest, blank)
@@ -140,7 +140,7 @@
 
 // await reads until the next event has come whole, and looks at it once.
 func (s *stream) await() {
-	for s.err == nil && !s.More() {
+	for s.err == nil && !s.HasBufferedEvent() {
 		s.fill()
 	}
 	if s.err == nil && !s.seen {
--- a/internal/platform/front/closing_test.go
+++ b/internal/platform/front/closing_test.go
@@ -103,7 +103,7 @@
 	offered, left atomic.Int64
 }
 
-func (p *shedding) Offer(f link.Fact) bool {
+func (p *shedding) Offer(f link.Event) bool {
 	p.offered.Add(1)
 	p.mu.Lock()
 	holds := p.holds
@@ -112,7 +112,7 @@
 	}
 	p.mu.Unlock()
 	if !holds {
-		p.e.Order(link.Order{Kind: link.RateLimit, Completion: f.Completion})
+		p.e.Execute(link.Command{Kind: link.RateLimit, Completion: f.Completion})
 	}
 	return true
 }
@@ -124,12 +124,12 @@
 	p.holds, p.held = false, nil
 	p.mu.Unlock()
 	for _, id := range held {
-		p.e.Order(link.Order{Kind: link.RateLimit, Completion: id})
+		p.e.Execute(link.Command{Kind: link.RateLimit, Completion: id})
 	}
 }
 
-func (p *shedding) Tell(f link.Fact) {
-	if f.Kind == link.Left {
+func (p *shedding) Notify(f link.Event) {
+	if f.Kind == link.ClientLeft {
 		p.left.Add(1)
 	}
 }
@@ -139,13 +139,13 @@
 
 type quiet struct{}
 
-func (quiet) Took(int)                                       {}
-func (quiet) Answered(int, edge.Answer, time.Duration)       {}
-func (quiet) FirstToken(int, time.Duration)                  {}
-func (quiet) Dispatched(bool, decide.Outcome, time.Duration) {}
-func (quiet) Refused(int)                                    {}
-func (quiet) LetGo(time.Duration)                            {}
-func (quiet) Released(string)                                {}
+func (quiet) CompletionAccepted(int)                             {}
+func (quiet) CompletionAnswered(int, edge.Answer, time.Duration) {}
+func (quiet) FirstToken(int, time.Duration)                      {}
+func (quiet) DispatchEnded(bool, decide.Outcome, time.Duration)  {}
+func (quiet) Refused(int)                                        {}
+func (quiet) StateReleased(time.Duration)                        {}
+func (quiet) ReleaseStarted(string)                              {}
 
 // rig is a server on a real socket before a planner that sheds.
 type rig struct {
@@ -161,11 +161,11 @@
 	require.NoError(t, err)
 	r := &rig{t: t, planner: &shedding{}, ln: &hookedListener{Listener: ln, errors: faults, hooks: h}, served: make(chan error, 1)}
 	log := slog.New(slog.DiscardHandler)
-	e := edge.New(edge.Options{Engines: noEngines{}, OneName: true, LetGo: time.Second, Log: log, Observe: quiet{}, Probe: func(context.Context, string) ([]float64, error) {
+	e := edge.New(edge.Options{Engines: noEngines{}, ReleaseByCompletion: true, HoldLimit: time.Second, Log: log, Observer: quiet{}, Probe: func(context.Context, string) ([]float64, error) {
 		return nil, engine.ErrNotAsked
 	}})
 	r.planner.e = e
-	e.Plan(r.planner)
+	e.SetPlanner(r.planner)
 	r.s = New(Options{Listener: r.ln, Edge: e, Workloads: []string{"chat"}, MaxConns: 64, MaxBodies: 1 << 20, Margin: 10 * time.Millisecond, StreamMost: time.Minute, Log: log})
 	r.s.Ready()
 	go func() { r.served <- r.s.Serve() }()
--- a/internal/platform/front/conn.go
+++ b/internal/platform/front/conn.go
@@ -219,7 +219,7 @@
 		}
 		watched <- left
 	}()
-	_, taken := c.s.o.Edge.Take(ctx, r, c)
+	_, taken := c.s.o.Edge.Handle(ctx, r, c)
 	close(over)
 	c.conn.SetReadDeadline(longAgo) //nolint:errcheck // ends the watch
 	if <-watched {
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -265,8 +265,8 @@
 		s.ids.end(time.Now(), w.id)
 		s.mu.Unlock()
 	})
-	c.take(&edge.Request{ID: s.o.Edge.NextID(), Name: w.id, Key: w.key, Target: h.Target, Prompt: w.prompt, Arrived: arrived, Timeout: w.timeout,
-		Margin: min(s.o.Margin, w.timeout/4), Whole: s.o.StreamMost, Body: func(bool, []byte) []byte { return body }, Over: over})
+	c.take(&edge.Request{ID: s.o.Edge.NextID(), ExternalID: w.id, IdempotencyKey: w.key, Target: h.Target, Prompt: w.prompt, ArrivedAt: arrived, FirstTokenTimeout: w.timeout,
+		AnswerMargin: min(s.o.Margin, w.timeout/4), TotalTimeout: s.o.StreamMost, BuildBody: func(bool, []byte) []byte { return body }, OnDone: over})
 }
 
 // Relay is of edge.Client, as are the methods below: the events go on as they came, and a stream that broke ends
@@ -283,7 +283,7 @@
 		switch {
 		case err == nil:
 			events = append(events, event.Raw...)
-			if stream.More() && len(events) < flushMost {
+			if stream.HasBufferedEvent() && len(events) < flushMost {
 				continue
 			}
 			out = strconv.AppendInt(out, int64(len(events)), 16)
@@ -293,7 +293,7 @@
 			out = append(out, "0\r\n\r\n"...)
 		case ctx.Err() != nil:
 			c.last = true
-			return edge.Gone
+			return edge.ClientLeft
 		default:
 			c.s.o.Log.Info("answer broke", "err", err)
 			c.last = true
@@ -301,7 +301,7 @@
 		}
 		first := !c.told
 		if c.write(out) != nil {
-			return edge.Gone
+			return edge.ClientLeft
 		}
 		if err != nil {
 			return edge.Finished
@@ -328,7 +328,7 @@
 }
 
 // Fault is of edge.Client.
-func (c *client) Fault(status int, body []byte) {
+func (c *client) EngineError(status int, body []byte) {
 	c.refuse(&refusal{status, string(body), 0, false})
 }
 
--- a/internal/platform/service/figures.go
+++ b/internal/platform/service/figures.go
@@ -24,13 +24,13 @@
 }
 
 // Took is of edge.Observer, as are the methods below.
-func (f *figures) Took(int) { f.took.Add(1) }
+func (f *figures) CompletionAccepted(int) { f.took.Add(1) }
 
-func (f *figures) Answered(_ int, how edge.Answer, _ time.Duration) { f.answers[how].Add(1) }
+func (f *figures) CompletionAnswered(_ int, how edge.Answer, _ time.Duration) { f.answers[how].Add(1) }
 
 func (f *figures) FirstToken(int, time.Duration) {}
 
-func (f *figures) Dispatched(reads bool, o decide.Outcome, _ time.Duration) {
+func (f *figures) DispatchEnded(reads bool, o decide.Outcome, _ time.Duration) {
 	stage := 1
 	if reads {
 		stage = 0
@@ -40,18 +40,18 @@
 
 func (f *figures) Refused(int) {}
 
-func (f *figures) Released(reason string) {
+func (f *figures) ReleaseStarted(reason string) {
 	f.releases.Add(1)
 	switch reason {
-	case edge.ReasonLimitWriting:
+	case edge.ReleaseReasonHoldLimitWriting:
 		f.behind.Add(1)
 		f.atLimit.Add(1)
-	case edge.ReasonLimit:
+	case edge.ReleaseReasonHoldLimit:
 		f.atLimit.Add(1)
 	}
 }
 
-func (f *figures) LetGo(held time.Duration) {
+func (f *figures) StateReleased(held time.Duration) {
 	for {
 		most := f.heldMost.Load()
 		if int64(held) <= most || f.heldMost.CompareAndSwap(most, int64(held)) {
@@ -69,13 +69,13 @@
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	p := r.planner.Figures()
+	p := r.planner.Stats()
 	_, runs := r.edge.Active()
 	again, faulty, failed := r.front.Counts()
 	r.log.Info("figures", "again", again, "status_4xx", faulty, "status_5xx", failed, "took", f.took.Load(), "finished_limited_aborted_left", counts(f.answers[:]),
 		"reads", counts(f.outcomes[0][:]), "writes", counts(f.outcomes[1][:]), "releases", f.releases.Load(),
 		"released_at_limit", f.atLimit.Load(), "released_while_writing", f.behind.Load(),
 		"held_longest_ms", time.Duration(f.heldMost.Load()).Milliseconds(),
-		"open", p.Open, "runs", runs, "idle", r.backend.Idle(), "conns", r.front.Conns(), "goroutines", runtime.NumGoroutine(),
-		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "faults", p.Faults)
+		"open", p.OpenCompletions, "runs", runs, "idle", r.backend.Idle(), "conns", r.front.Conns(), "goroutines", runtime.NumGoroutine(),
+		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "faults", p.Panics)
 }
--- a/internal/platform/service/helper_test.go
+++ b/internal/platform/service/helper_test.go
@@ -168,6 +168,6 @@
 	r := s.r // the last look may come after the test's end
 	require.Eventually(s.t, func() bool {
 		_, runs := r.edge.Active()
-		return runs == 0 && s.w.Held() == 0 && r.planner.Figures().Open == 0
+		return runs == 0 && s.w.Held() == 0 && r.planner.Stats().OpenCompletions == 0
 	}, 5*time.Second, 5*time.Millisecond, "dispatches out, or states held")
 }
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -82,19 +82,19 @@
 	engines := free - clients
 	r.backend = backend.New(backend.Options{Columns: s.Decide.ReportColumns, Probes: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
 		IdleConn: s.ConnIdle, MaxConns: engines})
-	r.edge = edge.New(edge.Options{Margin: margin, LetGo: s.LetGo + holdSlack, Engines: r.backend, OneName: true, Log: log, Observe: r.figures})
+	r.edge = edge.New(edge.Options{AnswerMargin: margin, HoldLimit: s.LetGo + holdSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.figures})
 	s.Decide.ReservationsUnconfirmed = true // its answer may leave open whether a place is held
-	var machines []planner.Machine
+	var machines []planner.MachineKind
 	for i, name := range s.Machines {
-		machines = append(machines, planner.Machine{Name: name, Role: s.Decide.Roles[i]})
+		machines = append(machines, planner.MachineKind{Name: name, Role: s.Decide.Roles[i]})
 	}
-	r.planner, err = planner.New(s.Decide, planner.Options{Machines: machines, Zone: s.Zones[s.Decide.Zone], MaxEngines: enginesMost,
-		Mailbox: clients, MaxCompletions: engines, Log: log}, r.edge)
+	r.planner, err = planner.New(s.Decide, planner.Options{MachineKinds: machines, Zone: s.Zones[s.Decide.Zone], MaxEngines: enginesMost,
+		MaxQueuedCompletions: clients, MaxOpenCompletions: engines, Log: log}, r.edge)
 	if err != nil {
 		ln.Close() //nolint:errcheck // the start's own error is told
 		return nil, err
 	}
-	r.edge.Plan(r.planner)
+	r.edge.SetPlanner(r.planner)
 	comeBack := min(comeBackMost, time.Duration(s.Decide.MaxRetryAfter*float64(time.Second)))
 	r.front = front.New(front.Options{Listener: ln, Edge: r.edge, Workloads: s.Workloads, Tenants: s.Tenants, MaxConns: clients,
 		MaxBodies: c.Memory * bodyPart / 100, ComeBack: comeBack, Margin: margin, StreamMost: streamMost, Log: log})
@@ -144,16 +144,16 @@
 // hand hands a list to those who need it: addresses first, so that an engine is reached as soon as it is chosen.
 func (r *Router) hand(l *discovery.List, kind decide.ListKind) {
 	ages := r.births.list(r.clock(), kind != decide.ListDelta)
-	news := &link.List{Kind: kind}
+	news := &link.EngineList{Kind: kind}
 	var engines []backend.Engine
 	var gone []string
 	for _, h := range l.Hosts {
 		p, _ := h.Phase()
-		e := link.Entry{Address: h.Name, Zone: h.Zone, Cell: strconv.Itoa(h.Cell), Machine: h.Machine, Phase: p, Start: h.Born, Age: -1}
+		e := link.EngineEntry{Address: h.Name, Zone: h.Zone, Cell: strconv.Itoa(h.Cell), MachineKind: h.Machine, Phase: p, StartID: h.Born, Age: -1}
 		if h.Born > 0 {
 			e.Age = ages.age(h.Name, h.Born).Seconds()
 		} else {
-			e.Start = 1 // long ago is a start as any other
+			e.StartID = 1 // long ago is a start as any other
 		}
 		news.Entries = append(news.Entries, e)
 		r.log.Debug("engine", "engine", h.Name, "machine", h.Machine, "zone", h.Zone, "cell", h.Cell, "health", h.Health, "age", e.Age)
@@ -166,7 +166,7 @@
 	}
 	r.log.Info("list", "seq", l.Version, "whole", l.Whole, "entries", len(l.Hosts))
 	r.backend.Listed(kind != decide.ListDelta, engines, gone)
-	r.planner.Tell(link.Fact{Kind: link.Listed, List: news})
+	r.planner.Notify(link.Event{Kind: link.EnginesUpdated, EngineList: news})
 }
 
 func (r *Router) tidy(ctx context.Context) {
--- a/internal/platform/service/size_test.go
+++ b/internal/platform/service/size_test.go
@@ -36,7 +36,7 @@
 	}
 	tell := func(round int) {
 		s.r.hand(list(round), decide.ListSnapshot)
-		require.Eventually(t, func() bool { return s.r.planner.Figures().Waiting == 0 }, 5*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return s.r.planner.Stats().QueuedEvents == 0 }, 5*time.Second, time.Millisecond)
 		time.Sleep(50 * time.Millisecond) // until the planner has it in hand
 	}
 	before := heap()
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -66,7 +66,7 @@
 			case done <- most:
 				return
 			case <-time.After(time.Millisecond):
-				f, _ := g.door.Figures(0)
+				f, _ := g.listener.Stats(0)
 				most = max(most, f.Connections)
 			}
 		}
@@ -75,9 +75,9 @@
 		Patience: 3 * time.Second, Known: keys, KnownFrom: froms(10, clients), Before: 500 * time.Millisecond, Pause: 300 * time.Millisecond})
 	sum := r.Sum()
 	times, failed := r.KnownTimes()
-	f, _ := g.door.Figures(0)
+	f, _ := g.listener.Stats(0)
 	t.Logf("flood %+v, waits p50 %v p99 %v µs; known: %d entries, %d failed, p50 %v p99 %v most %v µs; ended %v refused %v", *sum, sum.Waits.ValueAtQuantile(50),
-		sum.Waits.ValueAtQuantile(99), len(r.Known), failed, times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), f.Ended, f.Refused)
+		sum.Waits.ValueAtQuantile(99), len(r.Known), failed, times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), f.Evicted, f.Refused)
 	assert.LessOrEqual(t, <-done, connections)
 	assert.GreaterOrEqual(t, sum.Tried, 50*connections, "the flood was one")
 	assert.Zero(t, failed)
@@ -96,8 +96,8 @@
 // The flood's checker finds fault where admission is off: the same known clients without any reserve.
 func TestWithoutAdmissionAllAreLetIn(t *testing.T) {
 	g := start(t, func(r *pb.Router, _ *pb.Fleet) { r.Admission = &pb.Admission{Off: proto.Bool(true)} })
-	assert.Nil(t, g.door)
-	assert.False(t, g.admission().On)
+	assert.Nil(t, g.listener)
+	assert.False(t, g.admissionStatus().On)
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	r := crowd.Run(ctx, crowd.Options{Target: g.Address(), Model: "m", From: froms(9, 2), Flood: 20, Manners: []crowd.Manner{crowd.Silent},
@@ -178,7 +178,7 @@
 		buf := make([]byte, 64<<10)
 		require.Eventually(t, func() bool {
 			conn.Read(buf) //nolint:errcheck // what counts is that its completion ends
-			f, _ := g.door.Figures(0)
+			f, _ := g.listener.Stats(0)
 			return f.Completions == 0 && g.answers("left") > 0
 		}, 8*time.Second, 200*time.Millisecond, "it holds an engine no longer")
 	})
@@ -228,7 +228,7 @@
 	assert.Error(t, err)
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.Less(t, sent, 64<<20)
-	require.Eventually(t, func() bool { f, _ := g.door.Figures(0); return f.Completions == 0 }, 2*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { f, _ := g.listener.Stats(0); return f.Completions == 0 }, 2*time.Second, 10*time.Millisecond)
 	g.end()
 }
 
@@ -277,7 +277,7 @@
 		return limited != ""
 	}, 10*time.Second, time.Millisecond)
 	told, at := wait, time.Now()
-	early := func() uint64 { f, _ := g.door.Figures(0); return f.Refused[admit.Early] }
+	early := func() uint64 { f, _ := g.listener.Stats(0); return f.Refused[admit.ReasonEarlyRetry] }
 	before := early()
 	status, text := try(limited)
 	assert.Equal(t, 429, status)
@@ -291,8 +291,8 @@
 	assert.NotContains(t, text, "not before its time")
 	close(stop)
 	busy.Wait()
-	figures, _ := g.door.Figures(0)
-	assert.Zero(t, figures.Refused[admit.Rate], "no connection was refused: every 429 was a completion's")
+	figures, _ := g.listener.Stats(0)
+	assert.Zero(t, figures.Refused[admit.ReasonConnectionRate], "no connection was refused: every 429 was a completion's")
 	g.end()
 }
 
@@ -325,8 +325,8 @@
 		text, _, _ := g.talk(20*time.Second, fmt.Sprintf("%sAuthorization: Bearer secret\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body))
 		stream <- text
 	}()
-	common := func() (int, int) { f, _ := g.door.Figures(0); return f.Common, f.CommonMost }
-	holders := func() string { return fmt.Sprint(g.admission().Holders) }
+	common := func() (int, int) { f, _ := g.listener.Stats(0); return f.Common, f.MaxCommon }
+	holders := func() string { return fmt.Sprint(g.admissionStatus().Holders) }
 	require.Eventually(t, func() bool { return strings.Contains(holders(), "one true") }, 2*time.Second, 10*time.Millisecond)
 
 	put("max_connections: 60 no_such_field: 1\n")
@@ -395,7 +395,7 @@
 	assert.Zero(t, failed)
 	assert.Len(t, r.Known, 200)
 	assert.Less(t, times.Max(), int64(2_000_000), "µs")
-	f, _ := g.door.Figures(0)
-	assert.Zero(t, f.Refused[admit.Rate]+f.Refused[admit.Share]+f.Refused[admit.Full])
+	f, _ := g.listener.Stats(0)
+	assert.Zero(t, f.Refused[admit.ReasonConnectionRate]+f.Refused[admit.ReasonAddressLimit]+f.Refused[admit.ReasonPoolFull])
 	g.end()
 }
--- a/internal/router/churn_test.go
+++ b/internal/router/churn_test.go
@@ -199,9 +199,9 @@
 	files, goroutines := held(c.t)
 	info, err := c.log.Stat()
 	require.NoError(c.t, err)
-	f := c.stays.Planner.Figures()
+	f := c.stays.Planner.Stats()
 	_, releasing := c.stays.Edge.Active()
-	return sample{m.HeapAlloc, files, goroutines, info.Size(), c.calls.Load(), f.Waiting, f.Open, releasing}
+	return sample{m.HeapAlloc, files, goroutines, info.Size(), c.calls.Load(), f.QueuedEvents, f.OpenCompletions, releasing}
 }
 
 // TestChurn: engines (with new addresses, zones and cells), routers that talk, clients, sessions and known keys come
@@ -315,7 +315,7 @@
 		t.Logf("| %d | %d | %d | %d | %d | %d | %d |", i, s.calls, s.heap>>10, s.files, s.goroutines, s.log>>10, s.open)
 	}
 	t.Logf("%d calls, %d finished, %d others; decide took %.1f µs a call at the router that stayed", c.calls.Load(), c.done.Load(), c.failed.Load(),
-		c.stays.Planner.Figures().Busy.Seconds()*1e6/float64(c.calls.Load()))
+		c.stays.Planner.Stats().DecideTime.Seconds()*1e6/float64(c.calls.Load()))
 	assert.Greater(t, c.done.Load(), c.calls.Load()/2)
 	assert.Less(t, last.heap, first.heap+8<<20, "what is kept of those who left is bounded")
 	assert.Less(t, float64(last.log-first.log)/float64(last.calls-first.calls), 400.0, "bytes of log a call")
--- a/internal/router/limit_test.go
+++ b/internal/router/limit_test.go
@@ -104,8 +104,8 @@
 		} else if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &whole); err != nil {
 			return err
 		}
-		f, _ := one.door.Figures(0)
-		fmt.Println("done", f.Refused[admit.NoDescriptors])
+		f, _ := one.listener.Stats(0)
+		fmt.Println("done", f.Refused[admit.ReasonNoDescriptors])
 	}
 	return one.Stop()
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -41,17 +41,17 @@
 	Planner *planner.Planner
 	Metrics *telemetry.Metrics
 
-	settings *pb.Router
-	address  net.Addr
-	admin    *http.Server
-	client   *engine.Client
-	log      *slog.Logger
-	end      context.CancelFunc
-	parts    sync.WaitGroup
-	fault    chan error
-	peer     *peer.Peer // nil where this router talks to none
-	door     *door.Door // nil where everybody is let in
-	divided  admit.Descriptors
+	settings    *pb.Router
+	address     net.Addr
+	admin       *http.Server
+	client      *engine.Client
+	log         *slog.Logger
+	cancel      context.CancelFunc
+	running     sync.WaitGroup
+	errs        chan error
+	peer        *peer.Peer     // nil where this router talks to none
+	listener    *door.Listener // nil where everybody is let in
+	descriptors admit.DescriptorBudget
 }
 
 // Start starts a router; its settings must have been checked. It serves until Stop.
@@ -63,12 +63,12 @@
 			f() //nolint:errcheck // the start's own error is told
 		}
 	}()
-	limits, err := letIn(r)
+	limits, err := loadAdmission(r)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
 	co := config.Engine(r)
-	co.MaxConns = limits.divided.Engines
+	co.MaxConns = limits.descriptors.Engines
 	client, err := engine.NewClient(co)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
@@ -85,22 +85,22 @@
 	}
 	metrics := telemetry.NewMetrics(names)
 	eo := config.Edge(r, limits.settings)
-	eo.Listener, eo.Engines, eo.Log, eo.Observe = ln, edge.VLLM(client), log, metrics
-	one := &Router{Metrics: metrics, settings: r, address: ln.Addr(), client: client, log: log, fault: make(chan error, 3), divided: limits.divided}
-	if one.door, err = limits.door(r, ln, log); err != nil {
+	eo.Listener, eo.Engines, eo.Log, eo.Observer = ln, edge.VLLMEngines(client), log, metrics
+	one := &Router{Metrics: metrics, settings: r, address: ln.Addr(), client: client, log: log, errs: make(chan error, 3), descriptors: limits.descriptors}
+	if one.listener, err = limits.newListener(r, ln, log); err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
-	if eo.Door = one.door; one.door != nil {
-		undo = append(undo, one.door.End)
+	if eo.AdmissionListener = one.listener; one.listener != nil {
+		undo = append(undo, one.listener.Shutdown)
 	}
 	l := r.GetList()
 	follower := fleet.New(fleet.Options{URL: l.GetUrl(), File: l.GetFile(), Poll: config.Seconds(l.GetPollS()), Ask: l.GetAsk(),
-		Retry: config.Seconds(l.GetRetryS()), MaxEngines: int(l.GetMaxEngines()), SourceAddress: r.GetSourceAddress(), Tell: one.listed, Log: log})
+		Retry: config.Seconds(l.GetRetryS()), MaxEngines: int(l.GetMaxEngines()), SourceAddress: r.GetSourceAddress(), Tell: one.updateEngines, Log: log})
 	if o := config.Peer(r); o != nil {
-		o.Probe, o.Log, o.Observe = client.Probe, log, metrics
-		o.Tell = func(f link.Fact) { one.Planner.Tell(f) }
+		o.Probe, o.Log, o.Observer = client.Probe, log, metrics
+		o.Notify = func(f link.Event) { one.Planner.Notify(f) }
 		if l.GetAsk() {
-			o.Refresh = &peer.Refresh{Subject: l.GetUrl(), Every: l.GetPollS(), Ask: follower.Ask, Take: follower.Take}
+			o.ListRefresh = &peer.ListRefresh{Subject: l.GetUrl(), Interval: l.GetPollS(), Fetch: follower.Ask, Apply: follower.Take}
 		}
 		if one.peer, err = peer.New(*o); err != nil {
 			return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
@@ -109,16 +109,16 @@
 	}
 	e := edge.New(eo)
 	po := config.Planner(r)
-	po.Log, po.Delay = log, metrics.Delay
-	if one.door != nil {
-		po.MaxCompletions = min(po.MaxCompletions, limits.divided.Completions)
-		metrics.WatchDoor(one.door)
+	po.Log, po.ObserveDelay = log, metrics.Delay
+	if one.listener != nil {
+		po.MaxOpenCompletions = min(po.MaxOpenCompletions, limits.descriptors.MaxCompletions)
+		metrics.WatchDoor(one.listener)
 	}
 	p, err := planner.New(config.Decide(r), po, e)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
-	e.Plan(p)
+	e.SetPlanner(p)
 	metrics.Watch(p, e)
 	one.Edge, one.Planner = e, p
 	if err := one.serveAdmin(); err != nil {
@@ -126,24 +126,24 @@
 	}
 	undo = nil
 	ctx, end := context.WithCancel(context.Background())
-	one.end = end
-	one.parts.Go(func() { p.Run(ctx) })
+	one.cancel = end
+	one.running.Go(func() { p.Run(ctx) })
 	if one.peer == nil || !l.GetAsk() { // else asking is a duty
-		one.parts.Go(func() { follower.Run(ctx) })
+		one.running.Go(func() { follower.Run(ctx) })
 	}
 	if one.peer != nil {
-		one.parts.Go(func() {
+		one.running.Go(func() {
 			if err := one.peer.Run(ctx); err != nil {
-				one.fault <- err
+				one.errs <- err
 			}
 		})
 	}
-	if file := r.GetAdmissionFile(); file != "" && one.door != nil {
-		one.parts.Go(func() { one.followAdmission(ctx, file) })
+	if file := r.GetAdmissionFile(); file != "" && one.listener != nil {
+		one.running.Go(func() { one.watchAdmissionFile(ctx, file) })
 	}
 	go func() {
 		if err := e.Serve(); err != nil && ctx.Err() == nil {
-			one.fault <- err
+			one.errs <- err
 		}
 	}()
 	log.Info("router serves", "address", ln.Addr().String(), "admin", r.GetAdminListen())
@@ -151,10 +151,10 @@
 }
 
 // listed hands news of the engines on.
-func (r *Router) listed(f link.Fact) {
-	r.Planner.Tell(f)
+func (r *Router) updateEngines(f link.Event) {
+	r.Planner.Notify(f)
 	if r.peer != nil {
-		r.peer.List(f.List)
+		r.peer.UpdateEngines(f.EngineList)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case err = <-one.fault:
+	case err = <-one.errs:
 	}
 	return errors.Join(err, one.Stop())
 }
@@ -181,18 +181,18 @@
 func (r *Router) Address() string { return r.address.String() }
 
 // Fault tells of a part that ended by itself.
-func (r *Router) Fault() <-chan error { return r.fault }
+func (r *Router) Errors() <-chan error { return r.errs }
 
 // Stop takes nothing new, lets what was taken end for the settings' time, aborts the rest and ends all parts.
 func (r *Router) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), config.Seconds(r.settings.GetTiming().GetStopS()))
 	defer cancel()
 	err := r.Edge.Stop(ctx)
-	r.end()
-	r.parts.Wait()
+	r.cancel()
+	r.running.Wait()
 	r.client.Close()
-	if r.door != nil {
-		err = errors.Join(err, r.door.End())
+	if r.listener != nil {
+		err = errors.Join(err, r.listener.Shutdown())
 	}
 	if r.admin != nil {
 		err = errors.Join(err, r.admin.Close())
@@ -214,25 +214,25 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(r.Metrics.Registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
 		completions, dispatches := r.Edge.Active()
-		f := r.Planner.Figures()
-		r.tell(w, map[string]any{"name": r.settings.GetName(), "address": r.Address(),
-			"completions": completions, "dispatches": dispatches, "mailbox": f.Waiting, "decide_seconds": f.Busy.Seconds(), "faults": f.Faults})
+		f := r.Planner.Stats()
+		r.writeJSON(w, map[string]any{"name": r.settings.GetName(), "address": r.Address(),
+			"completions": completions, "dispatches": dispatches, "mailbox": f.QueuedEvents, "decide_seconds": f.DecideTime.Seconds(), "faults": f.Panics})
 	})
-	mux.HandleFunc("GET /peers", func(w http.ResponseWriter, _ *http.Request) { r.tell(w, r.peers()) })
-	mux.HandleFunc("GET /duties", func(w http.ResponseWriter, _ *http.Request) { r.tell(w, r.duties()) })
-	mux.HandleFunc("GET /admission", func(w http.ResponseWriter, _ *http.Request) { r.tell(w, r.admission()) })
+	mux.HandleFunc("GET /peers", func(w http.ResponseWriter, _ *http.Request) { r.writeJSON(w, r.peerStatuses()) })
+	mux.HandleFunc("GET /duties", func(w http.ResponseWriter, _ *http.Request) { r.writeJSON(w, r.dutyStatuses()) })
+	mux.HandleFunc("GET /admission", func(w http.ResponseWriter, _ *http.Request) { r.writeJSON(w, r.admissionStatus()) })
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	r.admin = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: 30 * time.Second}
 	go func() {
 		if err := r.admin.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			r.fault <- fmt.Errorf("admin: %w", err)
+			r.errs <- fmt.Errorf("admin: %w", err)
 		}
 	}()
 	return nil
 }
 
-func (r *Router) tell(w http.ResponseWriter, what any) {
+func (r *Router) writeJSON(w http.ResponseWriter, what any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(what) //nolint:errcheck // the client left
 }
@@ -244,22 +244,22 @@
 	Incarnation uint64  `json:"incarnation"`
 	Weight      float64 `json:"weight"`
 	Self        bool    `json:"self"`
-	InSight     bool    `json:"in_sight"`
+	Alive       bool    `json:"in_sight"`
 	OnRoster    bool    `json:"on_roster"`
 }
 
 // DutyStatus is what /duties tells of a duty. Seconds are -1 where it was never done.
 type DutyStatus struct {
-	Kind       string   `json:"kind"`
-	Subject    string   `json:"subject"`
-	Owner      string   `json:"owner"`
-	Epoch      uint64   `json:"epoch"`
-	Since      float64  `json:"done_s_ago"`
-	Late       float64  `json:"late_s"`
-	Candidates []string `json:"candidates"`
+	Kind             string   `json:"kind"`
+	Subject          string   `json:"subject"`
+	Owner            string   `json:"owner"`
+	Epoch            uint64   `json:"epoch"`
+	SecondsSinceDone float64  `json:"done_s_ago"`
+	SecondsLate      float64  `json:"late_s"`
+	Candidates       []string `json:"candidates"`
 }
 
-func (r *Router) peers() []PeerStatus {
+func (r *Router) peerStatuses() []PeerStatus {
 	all := []PeerStatus{}
 	if r.peer == nil {
 		return all
@@ -281,7 +281,7 @@
 	return all
 }
 
-func (r *Router) duties() []DutyStatus {
+func (r *Router) dutyStatuses() []DutyStatus {
 	all := []DutyStatus{}
 	if r.peer == nil {
 		return all
@@ -289,7 +289,7 @@
 	for _, d := range r.peer.Duties() {
 		s := DutyStatus{string(d.Kind), d.Subject, d.Owner, d.Epoch, -1, -1, d.Candidates}
 		if !math.IsInf(d.Since, 1) {
-			s.Since, s.Late = d.Since, d.Late
+			s.SecondsSinceDone, s.SecondsLate = d.Since, d.Late
 		}
 		all = append(all, s)
 	}
--- a/internal/router/tls_test.go
+++ b/internal/router/tls_test.go
@@ -141,7 +141,7 @@
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		require.NoError(t, err)
 		assert.Equal(t, 200, resp.StatusCode)
-		assert.Contains(t, fmt.Sprint(g.admission().Holders), "partner true 1")
+		assert.Contains(t, fmt.Sprint(g.admissionStatus().Holders), "partner true 1")
 
 		other, err := dial(&tls.Config{})
 		require.NoError(t, err)
@@ -153,7 +153,7 @@
 		assert.NotEmpty(t, resp.Header.Get("Retry-After"))
 	})
 	t.Run("half a handshake", func(t *testing.T) {
-		require.Eventually(t, func() bool { f, _ := g.door.Figures(0); return f.Anteroom == 0 && f.Common <= 1 }, 3*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { f, _ := g.listener.Stats(0); return f.Provisional == 0 && f.Common <= 1 }, 3*time.Second, 10*time.Millisecond)
 		conn, err := net.Dial("tcp", g.Address())
 		require.NoError(t, err)
 		defer conn.Close()
@@ -198,8 +198,8 @@
 		a.issue("second.example", certFile, keyFile)
 		require.Eventually(t, func() bool { return served() == "second.example" }, 3*time.Second, 50*time.Millisecond)
 	})
-	f, _ := g.door.Figures(0)
-	assert.Positive(t, f.Refused[admit.NotKnown])
+	f, _ := g.listener.Stats(0)
+	assert.Positive(t, f.Refused[admit.ReasonNotIdentified])
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	assert.Equal(t, "finished", streamTo(ctx, g, `"y"`, 4))
--- a/internal/telemetry/admission.go
+++ b/internal/telemetry/admission.go
@@ -8,7 +8,7 @@
 
 // Door is what is asked of a door.
 type Door interface {
-	Figures(top int) (admit.Figures, []admit.Holder)
+	Stats(top int) (admit.Stats, []admit.Holder)
 }
 
 // doorFigures collects a door's figures when they are asked for.
@@ -40,15 +40,15 @@
 
 // Collect is of prometheus.Collector.
 func (d *doorFigures) Collect(to chan<- prometheus.Metric) {
-	f, _ := d.door.Figures(0)
-	for r := admit.Reason(1); int(r) < admit.Reasons; r++ {
+	f, _ := d.door.Stats(0)
+	for r := admit.Reason(1); int(r) < admit.NumReasons; r++ {
 		to <- prometheus.MustNewConstMetric(d.refused, prometheus.CounterValue, float64(f.Refused[r]), r.String())
-		to <- prometheus.MustNewConstMetric(d.ended, prometheus.CounterValue, float64(f.Ended[r]), r.String())
+		to <- prometheus.MustNewConstMetric(d.ended, prometheus.CounterValue, float64(f.Evicted[r]), r.String())
 	}
-	to <- prometheus.MustNewConstMetric(d.let, prometheus.CounterValue, float64(f.Let))
-	for _, room := range f.Rooms() {
+	to <- prometheus.MustNewConstMetric(d.let, prometheus.CounterValue, float64(f.Accepted))
+	for _, room := range f.Pools() {
 		to <- prometheus.MustNewConstMetric(d.used, prometheus.GaugeValue, float64(room.Used), room.Name)
-		to <- prometheus.MustNewConstMetric(d.most, prometheus.GaugeValue, float64(room.Most), room.Name)
+		to <- prometheus.MustNewConstMetric(d.most, prometheus.GaugeValue, float64(room.Max), room.Name)
 	}
 	to <- prometheus.MustNewConstMetric(d.addrs, prometheus.GaugeValue, float64(f.Addresses))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -93,7 +93,7 @@
 		m.answerTime = append(m.answerTime, answerTime.WithLabelValues(w))
 		m.ttft = append(m.ttft, ttft.WithLabelValues(w))
 		var by []prometheus.Counter
-		for a := edge.Finished; a <= edge.Gone; a++ {
+		for a := edge.Finished; a <= edge.ClientLeft; a++ {
 			by = append(by, answered.WithLabelValues(w, a.String()))
 		}
 		m.answered = append(m.answered, by)
@@ -112,10 +112,10 @@
 	gauge := func(name, help string, value func() float64) {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "cherryhub", Name: name, Help: help}, value))
 	}
-	gauge("mailbox_facts", "Facts that wait for the planner.", func() float64 { return float64(p.Figures().Waiting) })
-	gauge("completions_open", "Completions that the planner has open.", func() float64 { return float64(p.Figures().Open) })
-	gauge("decide_busy_seconds", "Time spent in decide, in all.", func() float64 { return p.Figures().Busy.Seconds() })
-	gauge("decide_faults", "Panics in decide, in all.", func() float64 { return float64(p.Figures().Faults) })
+	gauge("mailbox_facts", "Facts that wait for the planner.", func() float64 { return float64(p.Stats().QueuedEvents) })
+	gauge("completions_open", "Completions that the planner has open.", func() float64 { return float64(p.Stats().OpenCompletions) })
+	gauge("decide_busy_seconds", "Time spent in decide, in all.", func() float64 { return p.Stats().DecideTime.Seconds() })
+	gauge("decide_faults", "Panics in decide, in all.", func() float64 { return float64(p.Stats().Panics) })
 	gauge("dispatches_running", "Dispatches, probes and releases that run.", func() float64 {
 		_, running := e.Active()
 		return float64(running)
@@ -126,16 +126,16 @@
 func (m *Metrics) Delay(seconds float64) { m.delay.Observe(seconds) }
 
 // Took is of edge.Observer, as are the methods below.
-func (m *Metrics) Took(work int) { m.taken[work].Inc() }
+func (m *Metrics) CompletionAccepted(work int) { m.taken[work].Inc() }
 
-func (m *Metrics) Answered(work int, how edge.Answer, took time.Duration) {
+func (m *Metrics) CompletionAnswered(work int, how edge.Answer, took time.Duration) {
 	m.answered[work][how].Inc()
 	m.answerTime[work].Observe(took.Seconds())
 }
 
 func (m *Metrics) FirstToken(work int, took time.Duration) { m.ttft[work].Observe(took.Seconds()) }
 
-func (m *Metrics) Dispatched(reads bool, o decide.Outcome, took time.Duration) {
+func (m *Metrics) DispatchEnded(reads bool, o decide.Outcome, took time.Duration) {
 	stage := 0
 	if reads {
 		stage = 1
@@ -144,12 +144,12 @@
 	m.dispatch[stage].Observe(took.Seconds())
 }
 
-func (m *Metrics) Refused(status int)       { m.refused.WithLabelValues(strconv.Itoa(status)).Inc() }
-func (m *Metrics) Released(reason string)   { m.released.WithLabelValues(reason).Inc() }
-func (m *Metrics) LetGo(held time.Duration) { m.held.Observe(held.Seconds()) }
+func (m *Metrics) Refused(status int)               { m.refused.WithLabelValues(strconv.Itoa(status)).Inc() }
+func (m *Metrics) ReleaseStarted(reason string)     { m.released.WithLabelValues(reason).Inc() }
+func (m *Metrics) StateReleased(held time.Duration) { m.held.Observe(held.Seconds()) }
 
 // Probed is of peer.Observer, as are those below.
-func (m *Metrics) Probed(reason string)  { m.probed.WithLabelValues(reason).Inc() }
-func (m *Metrics) TookOver(cause string) { m.tookOver.WithLabelValues(cause).Inc() }
-func (m *Metrics) Heard(standing string) { m.heard.WithLabelValues(standing).Inc() }
-func (m *Metrics) Late(seconds float64)  { m.late.Observe(seconds) }
+func (m *Metrics) ProbeHandled(reason string)     { m.probed.WithLabelValues(reason).Inc() }
+func (m *Metrics) DutyTakenOver(cause string)     { m.tookOver.WithLabelValues(cause).Inc() }
+func (m *Metrics) ResultReceived(standing string) { m.heard.WithLabelValues(standing).Inc() }
+func (m *Metrics) DutyLate(seconds float64)       { m.late.Observe(seconds) }
