--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,8 +1,8 @@
-// Package decide holds every decision of a router; its interface (settings, facts, outcomes, actions) is
-// api.go. A caller makes a Router with New, sets the time with SetTime before each call, hands it lists (UpdateEngines),
-// probes' results (ProbeEnded) and completions (Route). Route returns a handle; what happens to the completion
-// later is a call on it (DispatchStarted, ReservationAnswered, DispatchEnded, ClientLeft, TimerFired) until Closed. The module acts through Actions
-// alone.
+// Package decide makes every decision of a router. Its interface (settings, engine entries, outcomes, actions) is in
+// api.go. A caller creates a Router with New, sets the time with SetTime before each call, and passes it engine lists
+// (UpdateEngines), results of probes (ProbeEnded) and completions (Route). Route returns a handle; what happens to
+// the completion later is a call on the handle (DispatchStarted, ReservationAnswered, DispatchEnded, ClientLeft,
+// TimerFired) until it is Closed. The package acts through Actions only.
 package decide
 
 import (
@@ -14,213 +14,240 @@
 )
 
 const (
-	work, held  = 0, 1   // the two loads of an engine, in tokens: what is to be read there, what memory is held
-	localMost   = 250.0  // tokens; an uncached remainder up to this is read at the writer, in about one step
-	roomy       = 0.5    // share of memory; a writer known to hold less reads for jammed readers too
-	tieBreak    = 0.02   // share of a burden by which chance decides, so that routers don't all pick alike
-	triedTokens = 250e3  // tokens; more than any engine's burden, for one that has failed the completion
-	dispatches  = 3      // a completion, where the settings don't say
-	remoteMost  = 1000.0 // tokens; no remainder costs a writer more, since a reader reads it; the home has none
-	elsewhere   = 1e-6   // the weight of a home out of the zone, or in a cell that lacks readers or writers
-	unsure      = 0.5    // share of the price of distance that counts where a router can't see a jam near it
-	thrift      = 4.0    // times; an uncached token's weight against one that waits: it holds up all behind it
-	overhead    = 400.0  // tokens; what a dispatch costs besides reading: a hop, a step, a fetch
-	crowdTokens = 1200.0 // tokens; cost of an engine with half its memory held, about one short read
-	crowdRoom   = 1.05   // memory shares; keeps the cost of a full engine finite
-	closeTokens = 400e3  // tokens a unit of price; scores this much apart times the price are close
-	closeLeast  = 300.0  // tokens; and so much is close besides
-	reportFades = 1.0    // seconds; a report's weight falls to 1/e in this time, a few refreshes
-	surveyFades = 8.0    // seconds; and its weight in the average of its pool
-	reportMost  = 50.0   // times an engine's memory; no report of what waits there counts for more
-	sampleLeast = 1200.0 // tokens out an engine at which own work is half a sample of the others'
-	memoryGuess = 150e3  // tokens; for machine kinds whose memory is not told
-	keepsFor    = 120.0  // seconds; a claim on kept text this old is dropped, sessions have ended by then
-	claimsMost  = 8192   // entries; of an engine's table: nearly all are stale, and the older half goes
-	roomLeast   = 0.1    // share of memory; kept text has so much even in an engine that looks full
-	proofLeast  = 600.0  // tokens; a claim smaller than this proves nothing about the engine's others
-	failGain    = 0.3    // weight of one outcome in an engine's failures: three in a row make it ill
-	failFades   = 4.0    // seconds; failures are forgotten to 1/e in this time: the trial traffic back
-	failTokens  = 2500.0 // tokens; what a failed dispatch costs, about its time and the wait of the next
-	failMost    = 0.95   // share; an engine is never worse than this, so that all ill means all equal
-	ill         = 0.5    // share of failures above which an engine is logged and left by what waits
-	slowGain    = 0.15   // weight of one measured time in an engine's slowness
-	slowFades   = 8.0    // seconds; slowness is forgotten to 1/e in this time
-	rarely      = 2.0    // times longer that both last where own work is no sample: outcomes are as much rarer
-	paceLeast   = 0.02   // weight of one time in a pool's pace, about the last fifty
-	readsSlower = 3.0    // times; long reads at writers, until the first time is measured
-	pacesGuess  = 8.0    // times; the guess of a pace weighs as so many measured ones
-	paceGuess   = 4e-5   // seconds a token until the first time is measured
-	lateGuess   = 4.0    // times the expected time that counts as late until it is measured
-	lateShare   = 0.03   // share of dispatches that are to be late
-	lateGain    = 0.2    // log steps by which the late figure moves
-	lateLeast   = 1.5    // times; the late figure stays above, since times vary by half at any load
-	ratioMost   = 4.0    // times; a measured time counts as no longer in the pace: a jam is not the pace
-	ratioLeast  = 0.1    // times; and as no shorter in an engine's slowness
-	lateFloor   = 0.25   // seconds; nothing is late before, a lost packet and a full step take as long
-	rateTime    = 4.0    // seconds over which rates are measured
-	fullMost    = 0.95   // share of a writer's memory; past it growing answers push others out
-	fullPool    = 0.85   // share of all writers' memory; and only when they are this full together
-	readMost    = 0.4    // latency targets; a longer read, and write, is rate-limited: times vary by half
-	idleMost    = 0.05   // latency targets; an engine at which less waits reads a longer one all the same
-	wholeMost   = 0.7    // latency targets; up to so much: times vary by half
-	nearMost    = 0.08   // latency targets; what would take longer near goes wherever it is served
-	eagerLeast  = 0.7    // share of the bounds that a completion worth nothing may use
-	shareBurst  = 2.0    // seconds of its share that a tenant may send at once, and what chance adds to that
-	comeBack    = 0.5    // seconds; the first come-back time, about the wait that a full bound holds
-	probeAge    = 0.3    // seconds; an engine that would be picked is probed when its report is older
-	probeWait   = 0.05   // seconds that a completion waits for probes: many round trips
-	coldPart    = 0.5    // share of a window's cold budget for half of it: chance and heavy work move it by half
-	coldLots    = 0.6    // share of that which is given by lots: its chance comes on top of the work's
-	coldLeast   = 1.0    // dispatches a second, all routers: an engine's typical rate is held to be no less
-	watchAgain  = 1.0    // seconds between tries to get the list where it must be asked
-	answerGuess = 0.4    // share of the most it may produce that an answer without a hint is taken for
-	answerMost  = 4000.0 // tokens; no answer is taken for longer, as clients state far more than they get
+	prefillLoad, memoryLoad     = 0, 1   // indices of an engine's two loads, in tokens: to be read there, held in its memory
+	maxLocalPrefillTokens       = 250.0  // uncached tokens up to which a writer reads a prompt itself, in about one step
+	writerReadsMemoryShare      = 0.5    // of its memory; a writer known to hold less also reads for overloaded readers
+	tieBreakJitterShare         = 0.02   // random part of a score, so that routers don't all pick the same engine
+	failedEnginePenaltyTokens   = 250e3  // for an engine that has failed the completion: above any other score
+	defaultMaxDispatches        = 3      // per completion
+	maxWriterPrefillCostTokens  = 1000.0 // cap, as a reader reads what is uncached; added for all writers but the affinity writer
+	remoteAffinityWeight        = 1e-6   // of an affinity reader in another zone, or in a cell that lacks readers or writers
+	unobservedDistanceShare     = 0.5    // of the distance price, where a router cannot see congestion near it
+	uncachedTokenWeight         = 4.0    // of a token to be read against one that waits: it delays all that comes after it
+	dispatchOverheadTokens      = 400.0  // cost of a dispatch besides reading: a hop, a step, a fetch
+	memoryPressureTokens        = 1200.0 // cost of an engine with half its memory held: about one short read
+	memoryPressureLimitShare    = 1.05   // of memory; above 1 to keep the cost of a full engine finite
+	distanceTokensPerPrice      = 400e3  // a distant engine has to score better by this times the price
+	minDistanceTokens           = 300.0  // and by this in addition
+	reportDecaySeconds          = 1.0    // a report's weight falls to 1/e in this time, a few refreshes
+	poolReportDecaySeconds      = 8.0    // the same for its weight in the average of its pool
+	maxReportedMemoryMultiple   = 50.0   // of an engine's memory; reported waiting tokens count up to this
+	halfSampleTokens            = 1200.0 // out per engine; own work that large counts as half a sample of the other routers'
+	defaultMemoryTokens         = 150e3  // for machine kinds whose memory is not configured
+	prefixTTLSeconds            = 120.0  // until a cached prefix expires: sessions have ended by then
+	maxPrefixEntries            = 8192   // per engine; nearly all are stale, so the older half is dropped
+	minPrefixMemoryShare        = 0.1    // memory assumed for cached prefixes even in an engine that looks full
+	minPrefixCheckTokens        = 600.0  // a smaller prefix that is missing proves nothing about the engine's others
+	failureGain                 = 0.3    // weight of one outcome in the failure share: three failures in a row are unhealthy
+	failureDecaySeconds         = 4.0    // the failure share falls to 1/e in this time, which brings back trial traffic
+	failureCostTokens           = 2500.0 // of a failed dispatch: about its time and the wait of the next
+	maxFailureShare             = 0.95   // that a score counts, so that engines that all fail rank alike
+	unhealthyFailureShare       = 0.5    // above it an engine is logged as unhealthy, and waiting completions move away
+	slownessGain                = 0.15   // weight of one measured time in an engine's slowness
+	slownessDecaySeconds        = 8.0    // slowness falls to 1/e in this time
+	unsampledDecayExtension     = 2.0    // added decay times of both where own work is no sample: outcomes are that much rarer
+	minPaceGain                 = 0.02   // weight of one time in a stage's pace: about the last fifty count
+	initialWriterReadPaceFactor = 3.0    // for long reads at writers, until the first one is measured
+	initialPaceSamples          = 8.0    // measured times that the initial pace weighs as much as
+	initialPaceSecondsPerToken  = 4e-5   // until the first time is measured
+	initialLateFactor           = 4.0    // multiple of the expected time that counts as late, until it is measured
+	lateDispatchShare           = 0.03   // of dispatches that are meant to count as late
+	lateFactorLogStep           = 0.2    // by which the late factor moves
+	minLateFactor               = 1.5    // as times vary by half at any load
+	maxPaceRatio                = 4.0    // a longer time counts as this multiple in the pace, as queueing is not pace
+	minSlownessRatio            = 0.1    // a shorter time counts as this multiple in an engine's slowness
+	minLateSeconds              = 0.25   // nothing is late earlier: a lost packet and a full step take as long
+	rateTimeConstantSeconds     = 4.0    // over which rates and averages are measured
+	maxWriterMemoryShare        = 0.95   // beyond it growing outputs evict others
+	maxAllWritersMemoryShare    = 0.85   // the limit above applies only when all writers together are this full
+	maxReadTargetShare          = 0.4    // of the latency target; a longer read and write is rate-limited, as times vary by half
+	maxIdleWaitTargetShare      = 0.05   // of the latency target; an engine with a shorter wait may read longer
+	maxIdleReadTargetShare      = 0.7    // of the latency target; and for this long, as times vary by half
+	maxNearReadTargetShare      = 0.08   // of the latency target; what would take longer nearby may go to any engine
+	minLimitShare               = 0.7    // share of the limits that a completion without value may use
+	tenantBurstSeconds          = 2.0    // of its share that a tenant may send at once, plus random variation
+	defaultRetryAfterSeconds    = 0.5    // about the wait that a fully used limit implies
+	maxReportAgeSeconds         = 0.3    // an engine is probed before it is picked if its report is older
+	probeWaitSeconds            = 0.05   // that a completion waits for probes: many round trips
+	coldHalfWindowBudgetShare   = 0.5    // of a window's cold budget, for half a window: chance and heavy work move it by half
+	coldRandomShare             = 0.6    // of the fractional budget that is given at random: its variance adds to that of the work
+	minColdRatePerSecond        = 1.0    // dispatches of all routers; an engine's typical rate counts as no less
+	listRetrySeconds            = 1.0    // between requests for the engine list, where it is sent on request
+	defaultOutputShare          = 0.4    // of the maximum output that is expected of a completion without a hint
+	maxEstimatedOutputTokens    = 4000.0 // no output is expected to be longer, as clients state far more than they get
 )
 
-// claim is text that an engine is held to keep, and what it had read when that was claimed.
-type claim struct{ tokens, at, mark float64 }
+// cachedPrefix is a prefix that an engine is assumed to have cached, when that was recorded, and the engine's
+// insertedTokens at that time.
+type cachedPrefix struct{ tokens, at, insertedBefore float64 }
 
-// engine is the one record of an engine. Its work is tokens to be read there, its memory is tokens too.
+// engine is the router's only record of an engine. Loads and memory are in tokens.
 type engine struct {
-	id, zone, cell   int
-	mark             uint64 // the same at every router
-	phase            Phase
-	role             Role
-	pool             *pool
-	memory, started  float64
-	load             [2]load
-	kept             [2]map[uint64]claim // claimed lately, and before that
-	keptAt           float64             // when the lately claimed began
-	written          float64             // tokens it came to keep for this router, in all
-	fails, failsAt   float64             // share of failures, and when it was that
-	slow, slowAt     float64             // log of its time against its pool's, and when
-	heard, reportAt  float64             // when it last did what it was asked, and when it last reported
-	coldLeft, coldAt float64             // dispatches left in this half window of a cold engine, and its begin
-	asking           []*Completion       // for the result of its probe
-}
-
-// load is what this router has out at an engine, what the engine reported, and what was out then.
-type load struct{ out, report, then float64 }
+	id, zone, cell                   int
+	hash                             uint64 // the same at every router
+	phase                            Phase
+	role                             Role
+	pool                             *pool
+	memory, startedAt                float64
+	load                             [2]load
+	prefixes                         [2]map[uint64]cachedPrefix // recorded lately, and before that; by session or shared prefix
+	prefixesSince                    float64                    // start of the younger generation
+	insertedTokens                   float64                    // all that came into its prefix cache for this router
+	failureShare, failureShareAt     float64                    // share of failures, and as of when
+	logSlowness, logSlownessAt       float64                    // log of its time against its stage's, and as of when
+	succeededAt, reportedAt          float64                    // when it last did what was requested, and when it last reported
+	coldBudgetLeft, coldHalfWindowAt float64                    // dispatches left in a cold engine's half window, and its start
+	awaitingProbe                    []*Completion              // completions that wait for the result of its probe
+}
+
+// load is the load that this router has out at an engine, the load that the engine last reported, and what was out
+// then.
+type load struct{ out, reported, outAtReport float64 }
 
 // pool is what the engines of a role have in common.
 type pool struct {
-	size     float64    // engines ready
-	out      [2]mean    // tokens out, all engines
-	reported [3]float64 // loads by the engines, and 1, summed by their reports' age
-	rate     meter      // reads and answers (failures come too fast to tell what an engine can do)
-	read     float64    // mean tokens that one of them reads there
-	served   float64    // how many that is the mean of
+	readyEngines   float64
+	out            [2]smoothedValue // tokens at all its engines
+	reported       [3]float64       // loads and 1, summed over the engines by the age of their reports
+	successRate    rateMeter        // reads and first tokens (failures come too fast to tell what an engine can do)
+	meanReadTokens float64          // that a dispatch reads there
+	meanReadCount  float64          // dispatches in that mean
 }
 
-// serves books a read or a first token, and what was read for it. The first counts whole: one of hundreds of
-// routers sees ten in a minute. What waits at a writer is mostly read already, at a reader nothing is.
-func (p *pool) serves(now, tokens float64) {
-	p.rate.add(now, 1)
-	p.served++
-	p.read += math.Max(paceLeast, 1/p.served) * (tokens - p.read)
+// recordRead records a read or a first token, and the tokens read for it. The first one counts in full: one of
+// hundreds of routers sees ten in a minute. What waits at a writer has mostly been read already, what waits at a
+// reader has not.
+func (p *pool) recordRead(now, tokens float64) {
+	p.successRate.add(now, 1)
+	p.meanReadCount++
+	p.meanReadTokens += math.Max(minPaceGain, 1/p.meanReadCount) * (tokens - p.meanReadTokens)
 }
 
-type mean struct{ value, mean, at float64 }
+// smoothedValue is a value and its average over rateTimeConstantSeconds.
+type smoothedValue struct{ value, average, updatedAt float64 }
 
-func (m *mean) add(now, n float64) {
-	m.mean += (1 - math.Exp((m.at-now)/rateTime)) * (m.value - m.mean)
-	m.value, m.at = m.value+n, now
+// add changes the value by n.
+func (v *smoothedValue) add(now, n float64) {
+	v.average += (1 - math.Exp((v.updatedAt-now)/rateTimeConstantSeconds)) * (v.value - v.average)
+	v.value, v.updatedAt = v.value+n, now
 }
 
-// stage is what is measured of reads, of writes, or of long reads at writers: the seconds a token of expected
-// cost, how many were measured, and the times the expected time that only lateShare take longer than.
-type stage struct{ pace, paces, late float64 }
+// stage is what is measured of reads, of writes, or of long reads at writers: the seconds per token of expected cost,
+// how many times were measured, and the multiple of the expected time that only lateDispatchShare of them exceed.
+type stage struct{ secondsPerToken, samples, lateFactor float64 }
 
-type meter struct{ value, at float64 }
+// rateMeter measures events per second over rateTimeConstantSeconds.
+type rateMeter struct{ perSecond, updatedAt float64 }
 
-func (m *meter) now(now float64) float64 { return m.value * math.Exp((m.at-now)/rateTime) }
+// rateAt returns the rate at the given time.
+func (m *rateMeter) rateAt(now float64) float64 {
+	return m.perSecond * math.Exp((m.updatedAt-now)/rateTimeConstantSeconds)
+}
 
-func (m *meter) add(now, n float64) { m.value, m.at = m.now(now)+n/rateTime, now }
+// add counts n events.
+func (m *rateMeter) add(now, n float64) {
+	m.perSecond, m.updatedAt = m.rateAt(now)+n/rateTimeConstantSeconds, now
+}
 
-type tenant struct{ rate, bucket, at float64 }
+// tenant is a tenant's token bucket: one token for each completion.
+type tenant struct{ rate, tokens, refilledAt float64 }
 
-// chanceOver is how many may come by chance, in a short time, where n are to be expected.
-func chanceOver(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+// maxArrivals is how many completions may arrive by chance in a short time in which this many are expected.
+func maxArrivals(expected float64) float64 { return expected + 2*math.Sqrt(expected) + 2 }
 
+// Router makes the decisions of one router.
 type Router struct {
-	do               Actions
-	now, tick        float64
-	rng, nonce       uint64
-	others, greatest float64 // how many other routers share the subset; the greatest value of the workloads
-	routers          float64 // in all
-	works            []Workload
-	columns          [4]int // where a report has queue, util, x0, x1
-	roles            []Role // by machine kind, as is memory
-	memory           []float64
-	zone, most       int     // most: dispatches a completion
-	back, over       float64 // first come-back time; what is left of value beyond a share
-	like             float64 // how many like this one the others are together, by what engines report
-
-	reads, places, cancels, probes bool // what is allowed: that writers read, ...
-
-	far, farZone, away float64 // tokens that a reader out of the cell, of the zone, and a far writer must gain
-
-	warm, share, window, budget float64 // of the cold rule: budget is dispatches a window at a rate of 1
-
-	engines []*engine
-	subset  []*engine    // that completions may go to
-	cells   [][2]float64 // engines ready in a cell that read, and that write: mixed ones do both
-	pools   [3]pool      // by role
-	stages  [3]stage
-	tenants []tenant
-	shares  float64 // completions a second that all tenants' shares allow at a router, on average
-	taken   meter
-}
-
-// New makes a router from its settings.
-func New(s Settings, do Actions) (*Router, error) {
+	actions                    Actions
+	now, tick                  float64
+	rngState, nonce            uint64
+	otherRouters, maxValue     float64 // other routers that share the subset; greatest value of a workload
+	routers                    float64 // that share the fleet
+	workloads                  []Workload
+	reportColumns              [4]int // positions of queue, util, x0, x1 in a report
+	roles                      []Role // by machine kind, as is memory
+	memory                     []float64
+	zone, maxDispatches        int     // maxDispatches: per completion
+	retryAfter, overShareValue float64 // seconds; factor on the value beyond a tenant's share
+	equivalentRouters          float64 // the others' load as a multiple of this one's, by the engines' reports
+
+	writerReadsAllowed, reservationsAllowed, cancelAllowed, probesAllowed bool
+
+	// Tokens by which a reader in another cell, one in another zone and a writer in another zone have to score better.
+	crossCellTokens, crossZoneReadTokens, crossZoneWriteTokens float64
+
+	// Limits of engines that warm up. coldBudgetPerRate is the dispatches per window at one dispatch per second.
+	warmUpTime, coldStartShare, overloadWindow, coldBudgetPerRate float64
+
+	engines     []*engine
+	subset      []*engine    // engines that completions may go to
+	readyInCell [][2]float64 // ready engines of a cell that read, and that write; mixed ones do both
+	pools       [3]pool      // by role
+	stages      [3]stage
+	tenants     []tenant
+	tenantsRate float64 // completions per second that the shares of all tenants allow at an average router
+	arrivals    rateMeter
+}
+
+// New creates a router from its settings.
+func New(s Settings, actions Actions) (*Router, error) {
 	if len(s.Workloads) == 0 || len(s.Roles) == 0 {
 		return nil, errors.New("settings: no workloads, or no roles of the machine kinds")
 	}
-	guess := stage{paceGuess, pacesGuess, lateGuess}
-	r := &Router{do: do, rng: s.Seed&math.MaxUint32 | 1<<32, nonce: s.Seed, over: s.OverShareValue, tick: s.Tick,
-		others: math.Max(0, float64(s.Routers-1)), routers: float64(s.Routers), works: s.Workloads, roles: s.Roles, memory: s.Memory,
-		zone: s.Zone,
-		most: cmp.Or(s.MaxDispatches, dispatches), back: math.Min(s.MaxRetryAfter, comeBack),
-		reads: s.WriterReadsAllowed, places: s.ReservationsAllowed && !s.ReservationsUnconfirmed, cancels: s.CancelAllowed, probes: s.ProbesAllowed && len(s.ReportColumns) > 0,
-		far: closeLeast + closeTokens*s.CrossCellPrice, away: closeLeast + 2*closeTokens*s.CrossZonePrice,
-		farZone: closeTokens * s.CrossZonePrice, warm: s.WarmUpTime, share: s.ColdStartShare, window: s.OverloadWindow,
-		budget: s.OverloadMultiple * s.OverloadWindow,
-		stages: [3]stage{guess, guess, {paceGuess * readsSlower, pacesGuess, lateGuess}}}
-	r.like = r.others
+	initial := stage{initialPaceSecondsPerToken, initialPaceSamples, initialLateFactor}
+	r := &Router{
+		actions: actions, rngState: s.Seed&math.MaxUint32 | 1<<32, nonce: s.Seed, overShareValue: s.OverShareValue, tick: s.Tick,
+		otherRouters: math.Max(0, float64(s.Routers-1)), routers: float64(s.Routers), workloads: s.Workloads, roles: s.Roles,
+		memory: s.Memory, zone: s.Zone,
+		maxDispatches:        cmp.Or(s.MaxDispatches, defaultMaxDispatches),
+		retryAfter:           math.Min(s.MaxRetryAfter, defaultRetryAfterSeconds),
+		writerReadsAllowed:   s.WriterReadsAllowed,
+		reservationsAllowed:  s.ReservationsAllowed && !s.ReservationsUnconfirmed,
+		cancelAllowed:        s.CancelAllowed,
+		probesAllowed:        s.ProbesAllowed && len(s.ReportColumns) > 0,
+		crossCellTokens:      minDistanceTokens + distanceTokensPerPrice*s.CrossCellPrice,
+		crossZoneWriteTokens: minDistanceTokens + 2*distanceTokensPerPrice*s.CrossZonePrice,
+		crossZoneReadTokens:  distanceTokensPerPrice * s.CrossZonePrice,
+		warmUpTime:           s.WarmUpTime, coldStartShare: s.ColdStartShare, overloadWindow: s.OverloadWindow,
+		coldBudgetPerRate: s.OverloadMultiple * s.OverloadWindow,
+		stages: [3]stage{initial, initial,
+			{initialPaceSecondsPerToken * initialWriterReadPaceFactor, initialPaceSamples, initialLateFactor}},
+	}
+	r.equivalentRouters = r.otherRouters
 	for _, w := range s.Workloads {
-		r.greatest = math.Max(r.greatest, w.Value)
+		r.maxValue = math.Max(r.maxValue, w.Value)
 	}
 	for i, name := range [...]string{"queue", "util", "x0", "x1"} {
-		r.columns[i] = slices.Index(s.ReportColumns, name)
+		r.reportColumns[i] = slices.Index(s.ReportColumns, name)
 	}
 	for _, t := range s.Tenants {
-		rate := t.Rate / (r.others + 1)
-		r.tenants = append(r.tenants, tenant{rate: rate, bucket: chanceOver(rate * shareBurst)})
-		r.shares += rate
+		rate := t.Rate / (r.otherRouters + 1)
+		r.tenants = append(r.tenants, tenant{rate: rate, tokens: maxArrivals(rate * tenantBurstSeconds)})
+		r.tenantsRate += rate
 	}
 	if s.ListOnRequest {
-		r.do.WatchEngines()
+		r.actions.WatchEngines()
 	}
 	return r, nil
 }
 
-// SetTime sets the time of the calls that follow, in seconds from the instance's start.
+// SetTime sets the time of the calls that follow, in seconds since the instance started.
 func (r *Router) SetTime(now float64) { r.now = now }
 
-// chance is a multiply-with-carry generator; it returns a number from 0 up to 1.
-func (r *Router) chance() float64 {
-	r.rng = (r.rng&math.MaxUint32)*4294957665 + r.rng>>32
-	return float64(uint32(r.rng)) / (1 << 32)
+// random returns a number from 0 up to 1, by a multiply-with-carry generator.
+func (r *Router) random() float64 {
+	r.rngState = (r.rngState&math.MaxUint32)*4294957665 + r.rngState>>32
+	return float64(uint32(r.rngState)) / (1 << 32)
 }
 
-func (r *Router) TimerFired() { r.do.WatchEngines() }
+// TimerFired is called for SetRouterTimer: it requests the engine list again.
+func (r *Router) TimerFired() { r.actions.WatchEngines() }
 
-// UpdateEngines takes news of the engines. Another mark, role, place or start time is another engine, whatever its
-// index: it starts with an empty record, and what is still out at the one before ends on that one's.
-func (r *Router) UpdateEngines(kind ListKind, facts []EngineEntry) {
+// UpdateEngines applies an engine list. An entry with another hash, role, location or start time is another engine,
+// even under the same index: it starts with an empty record, and what is still out at the previous engine ends on the
+// previous record.
+func (r *Router) UpdateEngines(kind ListKind, entries []EngineEntry) {
 	if kind == ListFailed {
-		r.do.SetRouterTimer(watchAgain * (0.5 + r.chance())) // only those who ask hear of it
+		r.actions.SetRouterTimer(listRetrySeconds * (0.5 + r.random())) // reported only where the list is sent on request
 		return
 	}
 	for _, e := range r.engines {
@@ -228,839 +255,882 @@
 			e.phase = Gone
 		}
 	}
-	for _, f := range facts {
-		if f.Index < 0 || f.Cell < 0 || f.MachineKind < 0 {
-			r.do.Log(fmt.Sprintf("engine %d, cell %d, kind %d: wanted from 0, left out", f.Index, f.Cell, f.MachineKind))
+	for _, entry := range entries {
+		if entry.Index < 0 || entry.Cell < 0 || entry.MachineKind < 0 {
+			r.actions.Log(fmt.Sprintf("engine list entry ignored: engine %d, cell %d or machine kind %d is negative",
+				entry.Index, entry.Cell, entry.MachineKind))
 			continue
 		}
-		for len(r.engines) <= f.Index {
+		for len(r.engines) <= entry.Index {
 			r.engines = append(r.engines, r.newEngine(EngineEntry{Index: len(r.engines)}))
 		}
-		e := r.newEngine(f)
-		if was := r.engines[f.Index]; was.is(e) {
-			e = was
+		e := r.newEngine(entry)
+		if previous := r.engines[entry.Index]; previous.isSameInstance(e) {
+			e = previous
 		} else {
-			was.phase, r.engines[f.Index] = Gone, e
+			previous.phase, r.engines[entry.Index] = Gone, e
 		}
-		e.phase = f.Phase
+		e.phase = entry.Phase
 	}
-	r.drawSubset()
+	r.selectSubset()
 	for i := range r.pools {
-		r.pools[i].size = 0
+		r.pools[i].readyEngines = 0
 	}
 	for _, e := range r.subset {
-		e.pool.size += part(e.phase == Ready)
+		e.pool.readyEngines += boolToFloat(e.phase == Ready)
 	}
-	clear(r.cells)
+	clear(r.readyInCell)
 	for _, e := range r.engines {
-		if r.now-e.heard > keepsFor { // all claims have lapsed
-			e.kept = [2]map[uint64]claim{}
+		if r.now-e.succeededAt > prefixTTLSeconds { // all have expired
+			e.prefixes = [2]map[uint64]cachedPrefix{}
 		}
-		for len(r.cells) <= e.cell {
-			r.cells = append(r.cells, [2]float64{})
+		for len(r.readyInCell) <= e.cell {
+			r.readyInCell = append(r.readyInCell, [2]float64{})
 		}
 		if e.phase == Ready {
-			r.cells[e.cell][0] += part(e.role != Writer)
-			r.cells[e.cell][1] += part(e.role != Reader)
+			r.readyInCell[e.cell][0] += boolToFloat(e.role != Writer)
+			r.readyInCell[e.cell][1] += boolToFloat(e.role != Reader)
 		}
 	}
 }
 
-// newEngine is the record of an engine of which nothing is known but the list's word.
-func (r *Router) newEngine(f EngineEntry) *engine {
-	e := &engine{id: f.Index, zone: f.Zone, cell: f.Cell, mark: f.Hash, role: Mixed, memory: memoryGuess,
-		started: f.StartedAt, keptAt: r.now, reportAt: math.Inf(-1), coldAt: math.Inf(-1)}
-	if f.MachineKind < len(r.roles) {
-		e.role = r.roles[f.MachineKind]
+// newEngine returns the record of an engine of which only its list entry is known.
+func (r *Router) newEngine(entry EngineEntry) *engine {
+	e := &engine{id: entry.Index, zone: entry.Zone, cell: entry.Cell, hash: entry.Hash, role: Mixed, memory: defaultMemoryTokens,
+		startedAt: entry.StartedAt, prefixesSince: r.now, reportedAt: math.Inf(-1), coldHalfWindowAt: math.Inf(-1)}
+	if entry.MachineKind < len(r.roles) {
+		e.role = r.roles[entry.MachineKind]
 	}
-	if f.MachineKind < len(r.memory) && r.memory[f.MachineKind] > 0 {
-		e.memory = r.memory[f.MachineKind]
+	if entry.MachineKind < len(r.memory) && r.memory[entry.MachineKind] > 0 {
+		e.memory = r.memory[entry.MachineKind]
 	}
 	e.pool = &r.pools[e.role]
 	return e
 }
 
-// is tells whether two records are of one life of one engine.
-func (e *engine) is(o *engine) bool {
-	return e.mark == o.mark && e.started == o.started && e.role == o.role && e.memory == o.memory &&
-		e.zone == o.zone && e.cell == o.cell
+// isSameInstance reports whether two records are of the same run of the same engine.
+func (e *engine) isSameInstance(other *engine) bool {
+	return e.hash == other.hash && e.startedAt == other.startedAt && e.role == other.role && e.memory == other.memory &&
+		e.zone == other.zone && e.cell == other.cell
 }
 
-// enough tells how far those that read in a cell are enough for its writers: 1 or more if they are.
-func (r *Router) enough(cell int) float64 {
-	mixed, here := r.pools[Mixed].size, r.cells[cell]
-	return here[0] * (r.pools[Writer].size + mixed) / (here[1] * (r.pools[Reader].size + mixed))
+// relativeReadersPerWriter is the number of engines that read for each that writes in a cell, relative to the fleet:
+// at 1 or more the cell's readers suffice for its writers.
+func (r *Router) relativeReadersPerWriter(cell int) float64 {
+	mixed, inCell := r.pools[Mixed].readyEngines, r.readyInCell[cell]
+	return inCell[0] * (r.pools[Writer].readyEngines + mixed) / (inCell[1] * (r.pools[Reader].readyEngines + mixed))
 }
 
-// ProbeEnded takes what a probe found. A failed probe counts as a failure.
+// ProbeEnded records the result of a probe. A failed probe counts as a failure of the engine.
 func (r *Router) ProbeEnded(id int, o Outcome, report []float64) {
 	if id < 0 || id >= len(r.engines) {
 		return // never listed
 	}
 	e := r.engines[id]
-	if r.reported(e, report); o != Finished && o != Full {
-		r.judge(e, 1)
+	if r.recordReport(e, report); o != Finished && o != Full {
+		r.recordHealth(e, 1)
 	}
-	asking := e.asking
-	e.asking = nil
-	for _, c := range asking {
-		if c.pending--; c.pending == 0 {
+	waiting := e.awaitingProbe
+	e.awaitingProbe = nil
+	for _, c := range waiting {
+		if c.pendingProbes--; c.pendingProbes == 0 {
 			c.advance()
 		}
 	}
 }
 
-// reported books a load report in tokens: what waits to be read and what is held. What no engine can hold is
-// cut down: one figure past all measure would otherwise stand in every average of its pool for good.
-func (r *Router) reported(e *engine, report []float64) {
+// recordReport records a load report in tokens: what waits to be read and what is held. Values beyond what an engine
+// can hold are cut off: a single absurd value would otherwise stay in every average of its pool for good.
+func (r *Router) recordReport(e *engine, report []float64) {
 	if len(report) == 0 {
 		return
 	}
 	value := [4]float64{} // queue, util, x0, x1
-	for i, at := range r.columns {
-		if value[i] = math.NaN(); at >= 0 && at < len(report) && !math.IsInf(report[at], 0) {
-			value[i] = math.Max(0, report[at])
+	for i, column := range r.reportColumns {
+		if value[i] = math.NaN(); column >= 0 && column < len(report) && !math.IsInf(report[column], 0) {
+			value[i] = math.Max(0, report[column])
 		}
 	}
-	read, full := value[3]*1000, value[2]
-	if math.IsNaN(read) {
-		read = value[0] * math.Max(localMost, e.pool.read)
+	prefill, memoryShare := value[3]*1000, value[2]
+	if math.IsNaN(prefill) {
+		prefill = value[0] * math.Max(maxLocalPrefillTokens, e.pool.meanReadTokens)
 	}
-	if e.role != Reader && value[1] > full || math.IsNaN(full) {
-		full = value[1] // of slots
+	if e.role != Reader && value[1] > memoryShare || math.IsNaN(memoryShare) {
+		memoryShare = value[1] // share of slots used
 	}
-	for i, now := range [...]float64{math.Min(read, reportMost*e.memory), math.Min(full, 1) * e.memory} {
-		if math.IsNaN(now) { // not told
-			now = r.all(e, i)
+	for i, tokens := range [...]float64{math.Min(prefill, maxReportedMemoryMultiple*e.memory), math.Min(memoryShare, 1) * e.memory} {
+		if math.IsNaN(tokens) { // not reported
+			tokens = r.totalLoad(e, i)
 		}
-		e.load[i].report, e.load[i].then = now, e.load[i].out
+		e.load[i].reported, e.load[i].outAtReport = tokens, e.load[i].out
 	}
-	e.reportAt = r.now
+	e.reportedAt = r.now
 }
 
-// sample is how far this router's work at a pool stands for the others'.
-func (p *pool) sample() float64 {
-	return p.out[held].mean / (p.out[held].mean + sampleLeast*math.Max(1, p.size))
+// sampleWeight is how far this router's work at a pool is a sample of the other routers' work, from 0 to 1.
+func (p *pool) sampleWeight() float64 {
+	return p.out[memoryLoad].average / (p.out[memoryLoad].average + halfSampleTokens*math.Max(1, p.readyEngines))
 }
 
-// all is what all routers together have on an engine. This router's work there stands for the others' as far
-// as it is a sample; else they have what engines of the pool have on average, by reports and by this router's
-// work there in the last seconds; a cold one has only what it had time for, else nobody would pick it.
-// A report of the engine is blended in by its age.
-func (r *Router) all(e *engine, i int) float64 {
-	l, p, alike := &e.load[i], e.pool, e.pool.sample()*part(e.heard > 0)
-	average := r.warmth(e) * (r.like*p.out[i].mean/math.Max(1, p.size) + p.reported[i]) / (1 + p.reported[2])
-	guess := l.out + alike*r.like*l.out + (1-alike)*average
-	trust := math.Exp((e.reportAt - r.now) / reportFades)
-	return trust*math.Max(l.out, l.report+(l.out-l.then)*(1+alike*r.like)) + (1-trust)*guess
+// totalLoad estimates the load that all routers together have on an engine. This router's load there stands for the
+// others' as far as it is a sample. For the rest they are assumed to have the average of the pool's engines, by
+// reports and by this router's work there in the last seconds; a cold engine is assumed to have only what it had time
+// for, or nobody would pick it. A report of the engine itself is blended in by its age.
+func (r *Router) totalLoad(e *engine, i int) float64 {
+	l, p, weight := &e.load[i], e.pool, e.pool.sampleWeight()*boolToFloat(e.succeededAt > 0)
+	average := r.warmUpProgress(e) * (r.equivalentRouters*p.out[i].average/math.Max(1, p.readyEngines) + p.reported[i]) / (1 + p.reported[2])
+	estimate := l.out + weight*r.equivalentRouters*l.out + (1-weight)*average
+	trust := math.Exp((e.reportedAt - r.now) / reportDecaySeconds)
+	return trust*math.Max(l.out, l.reported+(l.out-l.outAtReport)*(1+weight*r.equivalentRouters)) + (1-trust)*estimate
 }
 
-// survey sums up what the engines of each pool reported last, and finds how many routers like this one there
-// would have to be beside it for what they report to hold: one that gets several times the mean would else
-// take all others for as busy. It harms where reports count what is kept as held: then they are thought too
-// many.
-func (r *Router) survey() {
+// updatePoolReports sums up the last reports of each pool's engines, and estimates how many routers like this one the
+// others would have to be to explain them: a router that gets several times the mean would otherwise assume that all
+// others are as busy. Where reports count cached memory as held, the estimate is too high.
+func (r *Router) updatePoolReports() {
 	for i := range r.pools {
 		r.pools[i].reported = [3]float64{}
 	}
 	for _, e := range r.subset {
-		w := math.Exp((e.reportAt-r.now)/surveyFades) * part(e.phase == Ready)
-		for i, n := range [...]float64{e.load[work].report, e.load[held].report, 1} {
+		w := math.Exp((e.reportedAt-r.now)/poolReportDecaySeconds) * boolToFloat(e.phase == Ready)
+		for i, n := range [...]float64{e.load[prefillLoad].reported, e.load[memoryLoad].reported, 1} {
 			e.pool.reported[i] += w * n
 		}
 	}
-	own, all, told := 0.0, 0.0, 0.0
+	own, total, weight := 0.0, 0.0, 0.0
 	for i := range r.pools {
 		if p := &r.pools[i]; p.reported[2] > 0 {
-			own += p.out[held].mean
-			all += p.size * p.reported[held] / p.reported[2]
-			told += p.reported[2]
+			own += p.out[memoryLoad].average
+			total += p.readyEngines * p.reported[memoryLoad] / p.reported[2]
+			weight += p.reported[2]
 		}
 	}
-	r.like = (r.others + told*math.Min(r.others, math.Max(0, all/math.Max(1, own)-1))) / (1 + told)
+	r.equivalentRouters = (r.otherRouters + weight*math.Min(r.otherRouters, math.Max(0, total/math.Max(1, own)-1))) / (1 + weight)
 }
 
-// cost is the expected cost of sending so many uncached tokens to an engine, in tokens: what is to be read,
-// there and before it, and how full the engine is.
+// cost is the expected cost in tokens of sending uncached tokens to an engine: what is to be read, these tokens and
+// those before them, and how full the engine is.
 func (r *Router) cost(e *engine, uncached float64) float64 {
-	full := math.Min(1, r.all(e, held)/e.memory)
-	return thrift*uncached + r.all(e, work) + overhead + crowdTokens*full/(crowdRoom-full)
+	heldShare := math.Min(1, r.totalLoad(e, memoryLoad)/e.memory)
+	return uncachedTokenWeight*uncached + r.totalLoad(e, prefillLoad) + dispatchOverheadTokens +
+		memoryPressureTokens*heldShare/(memoryPressureLimitShare-heldShare)
 }
 
-// judge books an outcome, 1 for a failure, in the engine's health. It guards against whatever makes an engine
-// fail; it harms when completions are at fault: then all look ill, and none is preferred.
-func (r *Router) judge(e *engine, failed float64) {
-	was := e.fails > ill
+// recordHealth records an outcome, 1 for a failure, in the engine's failure share. It guards against anything that
+// makes an engine fail. Where completions are at fault, all engines look unhealthy, and none is preferred.
+func (r *Router) recordHealth(e *engine, failed float64) {
+	wasUnhealthy := e.failureShare > unhealthyFailureShare
 	if failed == 0 {
-		e.heard = r.now
+		e.succeededAt = r.now
 	}
-	e.fails = r.fails(e) + failGain*(failed-r.fails(e))
-	e.failsAt = r.now
-	if isIll := e.fails > ill; isIll != was {
-		r.do.Log(fmt.Sprintf("engine %d ill %v: failures %.2f", e.id, isIll, e.fails))
+	e.failureShare = r.currentFailureShare(e) + failureGain*(failed-r.currentFailureShare(e))
+	e.failureShareAt = r.now
+	if isUnhealthy := e.failureShare > unhealthyFailureShare; isUnhealthy != wasUnhealthy {
+		r.actions.Log(fmt.Sprintf("engine %d unhealthy %v: failure share %.2f", e.id, isUnhealthy, e.failureShare))
 	}
 }
 
-func (r *Router) fails(e *engine) float64 {
-	if e.fails == 0 { // as most are
+// currentFailureShare is an engine's failure share, decayed until now.
+func (r *Router) currentFailureShare(e *engine) float64 {
+	if e.failureShare == 0 { // the common case
 		return 0
 	}
-	return e.fails * r.recall(e, e.failsAt, failFades)
+	return e.failureShare * r.healthDecay(e, e.failureShareAt, failureDecaySeconds)
 }
 
-// recall is what is left of a figure of health: the less this router sees of the work, the longer it counts.
-func (r *Router) recall(e *engine, at, fades float64) float64 {
-	return math.Exp((at - r.now) / fades / (1 + rarely*(1-e.pool.sample())))
+// healthDecay is the part of a health measurement that still counts: the less this router sees of the work, the
+// longer it lasts.
+func (r *Router) healthDecay(e *engine, at, timeConstant float64) float64 {
+	return math.Exp((at - r.now) / timeConstant / (1 + unsampledDecayExtension*(1-e.pool.sampleWeight())))
 }
 
-// burden is the cost with the engine's health: slowness against its peers stretches it, failures make it be
-// paid again. Being a price and no gate, it needs no cap on how many are shunned: all ill are all equal.
-func (r *Router) burden(e *engine, uncached float64) float64 {
-	slow, failing := 1.0, math.Min(failMost, r.fails(e))
-	if e.slow > 0 {
-		slow = math.Exp(e.slow * r.recall(e, e.slowAt, slowFades))
+// score is the cost adjusted for the engine's health: slowness relative to its pool multiplies it, and failures make
+// it due again. As a price that excludes no engine, it needs no limit on how many are avoided: if all are unhealthy,
+// all rank alike.
+func (r *Router) score(e *engine, uncached float64) float64 {
+	slowness, failing := 1.0, math.Min(maxFailureShare, r.currentFailureShare(e))
+	if e.logSlowness > 0 {
+		slowness = math.Exp(e.logSlowness * r.healthDecay(e, e.logSlownessAt, slownessDecaySeconds))
 	}
-	return (r.cost(e, uncached)*slow + failing*failTokens) / (1 - failing)
+	return (r.cost(e, uncached)*slowness + failing*failureCostTokens) / (1 - failing)
 }
 
-// keeps is how many of the prompt's tokens an engine is held to keep. A claim ages by time and by what has
-// been read since, which pushes older text out of the memory that is left.
-func (r *Router) keeps(e *engine, p *Prompt) float64 {
-	most, room := 0.0, -1.0 // room: what is left of its memory, found where there is a claim
+// cachedTokens estimates how many of the prompt's tokens an engine has cached. An entry expires with time, and with
+// what has been read since, which evicts older prefixes from the memory that is left.
+func (r *Router) cachedTokens(e *engine, p *Prompt) float64 {
+	cached, freeMemory := 0.0, -1.0 // freeMemory: computed once an entry is found
 	for i, key := range [...]uint64{p.Session, p.SharedPrefix} {
-		c, found := e.kept[0][key]
+		prefix, found := e.prefixes[0][key]
 		if !found {
-			c, found = e.kept[1][key]
+			prefix, found = e.prefixes[1][key]
 		}
-		if key == 0 || !found || r.now-c.at > keepsFor {
+		if key == 0 || !found || r.now-prefix.at > prefixTTLSeconds {
 			continue
 		}
-		if room < 0 {
-			room = math.Max(roomLeast*e.memory, e.memory-r.all(e, held))
+		if freeMemory < 0 {
+			freeMemory = math.Max(minPrefixMemoryShare*e.memory, e.memory-r.totalLoad(e, memoryLoad))
 		}
-		if (e.written-c.mark)*(1+r.others*e.pool.sample()) > room {
+		if (e.insertedTokens-prefix.insertedBefore)*(1+r.otherRouters*e.pool.sampleWeight()) > freeMemory {
 			continue
 		}
 		if i == 1 {
-			c.tokens = math.Min(c.tokens, p.SharedPrefixTokens)
+			prefix.tokens = math.Min(prefix.tokens, p.SharedPrefixTokens)
 		}
-		most = math.Max(most, math.Min(c.tokens, p.Tokens))
+		cached = math.Max(cached, math.Min(prefix.tokens, p.Tokens))
 	}
-	return most
+	return cached
 }
 
-// learn books that an engine has the prompt now. Less than half found of what it was held to keep empties its
-// table (below 0: not told). That guards against wrong tables; it harms when one text was pushed out.
-func (r *Router) learn(e *engine, p *Prompt, claimed, found float64) {
+// recordPrefix records that an engine now has the prompt cached. found is how many tokens it found cached, below 0 if
+// unknown. If that is less than half of the expected tokens, all entries of the engine are dropped. This guards
+// against wrong entries; it also drops correct ones when a single prefix was evicted.
+func (r *Router) recordPrefix(e *engine, p *Prompt, expected, found float64) {
 	switch {
-	case found >= 0 && claimed >= proofLeast && found < claimed/2:
-		r.do.Log(fmt.Sprintf("engine %d: drops its claims, %.0f of %.0f found", e.id, found, claimed))
-		e.kept, e.keptAt = [2]map[uint64]claim{{}, nil}, r.now
-	case e.kept[0] == nil || len(e.kept[0]) >= claimsMost/2-1 || r.now-e.keptAt > keepsFor:
-		e.kept, e.keptAt = [2]map[uint64]claim{{}, e.kept[0]}, r.now
+	case found >= 0 && expected >= minPrefixCheckTokens && found < expected/2:
+		r.actions.Log(fmt.Sprintf("engine %d: cached prefixes dropped, %.0f of %.0f expected tokens found", e.id, found, expected))
+		e.prefixes, e.prefixesSince = [2]map[uint64]cachedPrefix{{}, nil}, r.now
+	case e.prefixes[0] == nil || len(e.prefixes[0]) >= maxPrefixEntries/2-1 || r.now-e.prefixesSince > prefixTTLSeconds:
+		e.prefixes, e.prefixesSince = [2]map[uint64]cachedPrefix{{}, e.prefixes[0]}, r.now
 	}
-	e.written += p.Tokens - math.Max(found, 0)
+	e.insertedTokens += p.Tokens - math.Max(found, 0)
 	for i, key := range [...]uint64{p.Session, p.SharedPrefix} {
 		if key != 0 {
-			e.kept[0][key] = claim{[...]float64{p.Tokens, p.SharedPrefixTokens}[i], r.now, e.written}
+			e.prefixes[0][key] = cachedPrefix{[...]float64{p.Tokens, p.SharedPrefixTokens}[i], r.now, e.insertedTokens}
 		}
 	}
 }
 
-// warmth is the part of its warm-up that an engine has behind it, 1 for a warm one.
-func (r *Router) warmth(e *engine) float64 {
-	if age := (r.now - e.started) / r.warm; age < 1 {
-		return math.Max(0, age)
+// warmUpProgress is the part of its warm-up that an engine has completed, 1 for a warm engine.
+func (r *Router) warmUpProgress(e *engine) float64 {
+	if progress := (r.now - e.startedAt) / r.warmUpTime; progress < 1 {
+		return math.Max(0, progress)
 	}
 	return 1
 }
 
-// cold tells whether the cold budget bars a completion from a started engine. In each half window the engine
-// takes this router's part of the multiple times its share of the typical rate, in dispatches of mean work. A
-// part of a dispatch, all that one of hundreds of routers has, is a lot that each completion draws: by time
-// it would lapse wherever none comes just then. It guards the rule, as chance adds no more than 2 roots to
-// what all lots allow; it harms where the rest of the fleet is full.
-func (c *Completion) cold(e *engine) bool {
-	r := c.r
-	age := r.warmth(e)
-	if age == 1 || r.window <= 0 {
+// exceedsColdBudget reports whether the cold budget keeps a completion from an engine that warms up. In each half
+// window the engine takes this router's part of OverloadMultiple times its share of the typical rate, in dispatches
+// of mean work. A fraction of a dispatch, which is all that one of hundreds of routers has, is given at random to the
+// completions: given by time, it would lapse wherever no completion arrives just then. This keeps to the overload
+// limit, as chance adds no more than two square roots to what all routers are allowed. It costs capacity where the
+// rest of the fleet is full.
+func (c *Completion) exceedsColdBudget(e *engine) bool {
+	r := c.router
+	progress := r.warmUpProgress(e)
+	if progress == 1 || r.overloadWindow <= 0 {
 		return false
 	}
-	size := math.Max(1, e.pool.size)
-	rate := math.Max(coldLeast/(r.others+1), e.pool.rate.now(r.now)/size)
-	allowed := coldPart * r.budget * (r.share + (1-r.share)*age) * rate
-	if r.now >= e.coldAt+r.window/2 {
-		e.coldAt, e.coldLeft = r.now, math.Floor(allowed)
+	engines := math.Max(1, e.pool.readyEngines)
+	rate := math.Max(minColdRatePerSecond/(r.otherRouters+1), e.pool.successRate.rateAt(r.now)/engines)
+	allowed := coldHalfWindowBudgetShare * r.coldBudgetPerRate * (r.coldStartShare + (1-r.coldStartShare)*progress) * rate
+	if r.now >= e.coldHalfWindowAt+r.overloadWindow/2 {
+		e.coldHalfWindowAt, e.coldBudgetLeft = r.now, math.Floor(allowed)
 	}
-	draws := math.Max(rate*size, r.taken.now(r.now)-1/rateTime) * r.window / 2 // all taken, served there or not
-	lots := coldLots * (allowed - math.Floor(allowed)) / draws
-	return e.coldLeft < 1 && draw(c.id+r.nonce, e.mark) >= lots/c.weight(e)
+	// All arrivals, whether this pool serves them or not.
+	candidates := math.Max(rate*engines, r.arrivals.rateAt(r.now)-1/rateTimeConstantSeconds) * r.overloadWindow / 2
+	chance := coldRandomShare * (allowed - math.Floor(allowed)) / candidates
+	return e.coldBudgetLeft < 1 && hashFraction(c.id+r.nonce, e.hash) >= chance/c.dispatchWeight(e)
 }
 
-// weight is the work of a dispatch to an engine in dispatches of mean work: what is read there in mean reads.
-func (c *Completion) weight(e *engine) float64 {
-	return math.Max(1, c.lacks(e)*part(c.state == nil)/math.Max(localMost, e.pool.read))
+// dispatchWeight is the work of a dispatch to an engine, in dispatches of mean work: the tokens read there in mean
+// reads.
+func (c *Completion) dispatchWeight(e *engine) float64 {
+	return math.Max(1, c.uncachedTokens(e)*boolToFloat(c.stateReader == nil)/math.Max(maxLocalPrefillTokens, e.pool.meanReadTokens))
 }
 
-// canRead tells whether an engine may read for the fleet: not a writer, unless half its memory is known to be
-// free. It guards against readers jammed or lost; it harms the streams of the engine that reads.
-func (r *Router) canRead(e *engine) bool {
-	return e.role != Writer || r.reads && r.all(e, held) < roomy*e.pool.sample()*e.memory
+// mayRead reports whether an engine may read for the fleet: a writer may only if half its memory is known to be free.
+// This guards against overloaded or lost readers, at the cost of the streams of the writer that reads.
+func (r *Router) mayRead(e *engine) bool {
+	return e.role != Writer || r.writerReadsAllowed && r.totalLoad(e, memoryLoad) < writerReadsMemoryShare*e.pool.sampleWeight()*e.memory
 }
 
-// choose picks the engine with the least burden for a stage: a reader or not. cost tells what an engine would
-// have to read and how far away it is, in tokens; what has failed this completion comes last.
-func (c *Completion) choose(reads bool, cost func(*engine) (uncached, far float64)) *engine {
+// bestEngine returns the engine with the lowest score for a read or a write. cost returns what an engine would have
+// to read, and the price of its distance, both in tokens. Engines that have failed this completion come last.
+func (c *Completion) bestEngine(reads bool, cost func(*engine) (uncached, distance float64)) *engine {
 	var best *engine
-	r, least := c.r, math.Inf(1)
+	r, lowest := c.router, math.Inf(1)
 	for _, e := range r.subset {
-		if e.phase != Ready || !reads && e.role == Reader || reads && !r.canRead(e) || !c.maySend(e) || c.cold(e) {
+		if e.phase != Ready || !reads && e.role == Reader || reads && !r.mayRead(e) || !c.mayDispatch(e) || c.exceedsColdBudget(e) {
 			continue
 		}
-		uncached, far := cost(e)
-		burden := (r.burden(e, uncached) + far) * (1 + tieBreak*r.chance())
+		uncached, distance := cost(e)
+		score := (r.score(e, uncached) + distance) * (1 + tieBreakJitterShare*r.random())
 		if reads && e.role != Reader {
-			burden *= r.stages[2].pace / r.stages[0].pace
+			score *= r.stages[2].secondsPerToken / r.stages[0].secondsPerToken
 		}
-		if c.tried(e) {
-			burden += triedTokens
+		if c.hasFailedAt(e) {
+			score += failedEnginePenaltyTokens
 		}
-		if burden < least {
-			best, least = e, burden
+		if score < lowest {
+			best, lowest = e, score
 		}
 	}
 	return best
 }
 
+// dispatch is one attempt at an engine: a read, or a write.
 type dispatch struct {
-	e, booked                 *engine // booked: the writer, while the prompt is read
-	at, late                  float64 // when it was sent, and when it counts as late
-	tokens, held              float64 // uncached tokens that are to be read there, tokens of its memory
-	claimed, cost             float64 // tokens it was held to keep, expected cost in tokens
-	stage                     int     // 0 a read, 1 a write, 2 a long read at a writer
-	own                       bool    // reads by itself, at a reader or not
-	out, overdue, ran, broken bool    // ran: may have run
+	engine, nextWriter               *engine // nextWriter: gets the state once the prompt is read
+	sentAt, lateAt                   float64 // lateAt: when it counts as late
+	prefillTokens, memoryTokens      float64 // uncached tokens to be read there, tokens of its memory
+	expectedCachedTokens, costTokens float64 // prompt tokens assumed cached there, expected cost
+	stage                            int     // 0 a read, 1 a write, 2 a long read at a writer
+	readsPrompt                      bool    // at a reader or not, instead of fetching a state
+	out, overdue, mayHaveRun, broken bool
 }
 
-// Completion is the handle of a completion that was taken.
+// Completion is the handle of a completion that is being routed.
 type Completion struct {
-	r                *Router
-	id               uint64
-	p                Prompt
-	w                *Workload
-	eager, answer    float64 // the part of every bound that it may use, by its value; expected tokens
-	deadline, wakeAt float64
-	writer           *engine // where the answer is to be written
-	state            *engine // where the read state waits
-	home, ownHome    *engine // of its text among readers, of its session among writers
-	pending, asked   int     // probes that are out, rounds of them
-	sent             []*dispatch
-	out              *dispatch // the one that is out
-
-	holds, began, answered bool // holds a state or a place
-	anywhere               bool // it goes wherever it is served, at no price of distance
+	router                         *Router
+	id                             uint64
+	prompt                         Prompt
+	workload                       *Workload
+	limitShare, outputTokens       float64 // share of each limit that it may use, by its value; expected output
+	deadline, timerAt              float64
+	writer                         *engine // where the output is to be written
+	stateReader                    *engine // holds the state of the prompt
+	affinityReader, affinityWriter *engine // for its prefix among readers, for its session among writers
+	pendingProbes, probeRounds     int     // probes out, rounds of probes so far
+	dispatches                     []*dispatch
+	inFlight                       *dispatch // the dispatch that is out
+
+	needsRelease, started, answered bool // needsRelease: a state or a reservation is held
+	ignoresDistance                 bool // it goes to any engine, at no price of distance
 }
 
+// Route starts to route a completion and returns its handle. The id names it in Actions.
 func (r *Router) Route(id uint64, p Prompt) *Completion {
-	c := &Completion{r: r, id: id, p: p, w: &r.works[p.Workload], deadline: r.now + p.TimeLeft, wakeAt: math.Inf(1),
-		answer: math.Min(answerMost, p.MaxOutputTokens*answerGuess), eager: eagerLeast + (1-eagerLeast)*r.rankOf(&p)}
-	if p.OutputTimeHint > 0 && c.w.InterTokenTarget > 0 {
-		c.answer = math.Min(math.Min(answerMost, p.MaxOutputTokens), p.OutputTimeHint/c.w.InterTokenTarget)
+	c := &Completion{router: r, id: id, prompt: p, workload: &r.workloads[p.Workload], deadline: r.now + p.TimeLeft,
+		timerAt:      math.Inf(1),
+		outputTokens: math.Min(maxEstimatedOutputTokens, p.MaxOutputTokens*defaultOutputShare),
+		limitShare:   minLimitShare + (1-minLimitShare)*r.relativeValue(&p)}
+	if p.OutputTimeHint > 0 && c.workload.InterTokenTarget > 0 {
+		c.outputTokens = math.Min(math.Min(maxEstimatedOutputTokens, p.MaxOutputTokens), p.OutputTimeHint/c.workload.InterTokenTarget)
 	}
 	if p.Resumed {
-		// Its value is mostly earned, so no bound but its time holds it back. It guards against streams lost
-		// where a router or an engine stops; it harms others while many come back at once, by a read each.
-		c.eager = math.Inf(1)
+		// Most of its value is already earned, so only its time limits it. This guards against streams lost where a
+		// router or an engine stops. While many resume at once, each costs the other completions a read.
+		c.limitShare = math.Inf(1)
 	}
-	if reads := &r.pools[Reader]; reads.served == 0 { // what waits there is like this one, until one is measured
-		reads.read = p.Tokens - p.SharedPrefixTokens
+	// Until a read is measured, what waits at readers is assumed to be like this completion.
+	if reads := &r.pools[Reader]; reads.meanReadCount == 0 {
+		reads.meanReadTokens = p.Tokens - p.SharedPrefixTokens
 	}
 	c.advance()
 	return c
 }
 
-// rankOf is a completion's value for its work against the greatest, less beyond its tenant's share. Where a
-// router gets more than all shares allow the mean router, the shares grow alike: it can't tell whether all
-// get so much or only it, and of the first no tenant is more to blame than another. It guards against a
-// tenant that sends far more than its share; it harms where a router's clients are nearly all of one tenant.
-func (r *Router) rankOf(p *Prompt) float64 {
-	rank := r.works[p.Workload].Value / math.Max(r.greatest, 1e-9)
-	r.taken.add(r.now, 1)
+// relativeValue is a completion's value for its work against the greatest, reduced beyond its tenant's share. Where a
+// router gets more than all shares allow an average router, all shares grow alike: it cannot tell whether all routers
+// get as much or only this one, and in the first case no tenant is more at fault than another. It guards against a
+// tenant that sends far more than its share. It is unfair where a router's clients nearly all belong to one tenant.
+func (r *Router) relativeValue(p *Prompt) float64 {
+	value := r.workloads[p.Workload].Value / math.Max(r.maxValue, 1e-9)
+	r.arrivals.add(r.now, 1)
 	if p.Tenant < len(r.tenants) {
 		t := &r.tenants[p.Tenant]
-		rate := t.rate * math.Max(1, r.taken.now(r.now)/math.Max(r.shares, 1e-9))
-		t.bucket = math.Min(chanceOver(rate*shareBurst), t.bucket+(r.now-t.at)*rate)
-		t.at = r.now
-		if t.bucket < 1 {
-			return rank * r.over
+		rate := t.rate * math.Max(1, r.arrivals.rateAt(r.now)/math.Max(r.tenantsRate, 1e-9))
+		t.tokens = math.Min(maxArrivals(rate*tenantBurstSeconds), t.tokens+(r.now-t.refilledAt)*rate)
+		t.refilledAt = r.now
+		if t.tokens < 1 {
+			return value * r.overShareValue
 		}
-		t.bucket--
+		t.tokens--
 	}
-	return rank
+	return value
 }
 
-// tried tells whether an engine is to be left. An answer that broke on its way is asked for again where its
-// text is now kept, unless the engine is ill: elsewhere all would be read anew.
-func (c *Completion) tried(e *engine) bool {
-	left := func(d *dispatch) bool { return d.e == e && !(d.broken && c.r.fails(e) <= ill) }
-	return c.state != e && slices.ContainsFunc(c.sent, left)
+// hasFailedAt reports whether an engine has failed the completion and should be avoided. A stream that broke is
+// requested again where its text is now cached, unless that engine is unhealthy: elsewhere everything would be read
+// again.
+func (c *Completion) hasFailedAt(e *engine) bool {
+	failed := func(d *dispatch) bool {
+		return d.engine == e && !(d.broken && c.router.currentFailureShare(e) <= unhealthyFailureShare)
+	}
+	return c.stateReader != e && slices.ContainsFunc(c.dispatches, failed)
 }
 
-// maySend keeps the rule that no effect happens twice, readers included: nothing may have run or be out, or
-// the engine drops repeats of what may have run and still remembers it.
-func (c *Completion) maySend(e *engine) bool {
-	return c.w.Idempotency == Idempotent || c.every(func(d *dispatch) bool {
-		same := c.w.DedupScope == DedupAll || c.w.DedupScope == DedupZone && d.e.zone == e.zone ||
-			c.w.DedupScope == DedupCell && d.e.cell == e.cell
-		return c.w.Idempotency == Tokened && same && c.r.now+2*c.r.tick < d.at+c.w.DedupWindow
+// mayDispatch enforces that no completion takes effect twice, reads included: no dispatch may be out or have run,
+// unless the engine drops repeats of it and its deduplication window is still open.
+func (c *Completion) mayDispatch(e *engine) bool {
+	return c.workload.Idempotency == Idempotent || c.allPossiblyRun(func(d *dispatch) bool {
+		inScope := c.workload.DedupScope == DedupAll || c.workload.DedupScope == DedupZone && d.engine.zone == e.zone ||
+			c.workload.DedupScope == DedupCell && d.engine.cell == e.cell
+		return c.workload.Idempotency == Tokened && inScope && c.router.now+2*c.router.tick < d.sentAt+c.workload.DedupWindow
 	})
 }
 
-func (c *Completion) harmless() bool {
-	return c.w.Idempotency == Idempotent || c.w.Idempotency == Tokened && c.w.DedupScope == DedupAll ||
-		c.every(func(*dispatch) bool { return false })
+// isSafeToRetry reports whether the client may send the completion again without it taking effect twice.
+func (c *Completion) isSafeToRetry() bool {
+	return c.workload.Idempotency == Idempotent || c.workload.Idempotency == Tokened && c.workload.DedupScope == DedupAll ||
+		c.allPossiblyRun(func(*dispatch) bool { return false })
 }
 
-func (c *Completion) every(kind func(*dispatch) bool) bool {
-	return !slices.ContainsFunc(c.sent, func(d *dispatch) bool {
-		return (d.out || d.stage > 0 && d.ran) && !kind(d)
+// allPossiblyRun reports whether a condition holds for every dispatch that is out or, at a writer, may have run.
+func (c *Completion) allPossiblyRun(condition func(*dispatch) bool) bool {
+	return !slices.ContainsFunc(c.dispatches, func(d *dispatch) bool {
+		return (d.out || d.stage > 0 && d.mayHaveRun) && !condition(d)
 	})
 }
 
-// advance makes the next dispatch: a state that waits goes to a writer; else, on the ordinary path, the
-// writer is picked first, a small remainder is read there, and a reader reads a larger one.
+// advance sends the next dispatch. A held state goes to a writer. Otherwise, on the ordinary path, the writer is
+// picked first; it reads a small uncached remainder itself, and a reader reads a larger one.
 func (c *Completion) advance() {
-	r := c.r
-	if c.answered || c.began || c.out != nil {
+	r := c.router
+	if c.answered || c.started || c.inFlight != nil {
 		return
 	}
-	if c.state != nil {
-		c.write()
+	if c.stateReader != nil {
+		c.sendWrite()
 		return
 	}
-	r.survey()
-	c.settle()
-	// Distance has a price, a part of a completion's value; being late costs most of it. It guards against
-	// traffic that shifts to one zone; where all are full it harms, by moves. No part of the price is left
-	// then: where little is known of the engines, all routers would follow the least of it.
-	var near, beside *engine
-	for c.anywhere = false; ; c.anywhere = true {
-		reader := c.pick()
-		if c.asks(reader) {
+	r.updatePoolReports()
+	c.setAffinity()
+	// Distance has a price, a share of a completion's value; being late costs most of the value. The price guards
+	// against traffic that shifts to one zone. Where all are full, ignoring it causes moves. It is then ignored in
+	// full: where little is known of the engines, all routers would follow the smallest remainder of it.
+	var nearReader, nearWriter *engine
+	for c.ignoresDistance = false; ; c.ignoresDistance = true {
+		reader := c.pickEngines()
+		if c.probeIfStale(reader) {
 			return
 		}
-		if !c.anywhere {
-			if d, _ := c.fits(reader, true); d == nil {
-				near, beside = reader, c.writer
+		if !c.ignoresDistance {
+			if d, _ := c.fittingDispatch(reader, true); d == nil {
+				nearReader, nearWriter = reader, c.writer
 				continue
 			}
-		} else if near != nil && c.expected(near) <= c.expected(reader) { // no faster there
-			reader, c.writer = near, beside
+		} else if nearReader != nil && c.expectedTime(nearReader) <= c.expectedTime(reader) { // not faster far away
+			reader, c.writer = nearReader, nearWriter
 		}
 		c.send(reader)
 		return
 	}
 }
 
-// expected is the time that a dispatch to an engine is expected to take.
-func (c *Completion) expected(e *engine) float64 {
+// expectedTime is how long a dispatch to an engine is expected to take, in seconds.
+func (c *Completion) expectedTime(e *engine) float64 {
 	if e == nil {
 		return math.Inf(1)
 	}
-	_, took := c.dispatchTo(e)
-	return took
+	_, expected := c.newDispatch(e)
+	return expected
 }
 
-// pick picks the writer, and the engine that is to read for it: the writer itself for a small remainder.
-func (c *Completion) pick() *engine {
-	r := c.r
+// pickEngines picks the writer, and returns the engine that is to read for it: the writer itself for a small uncached
+// remainder.
+func (c *Completion) pickEngines() *engine {
+	r := c.router
 	var reader *engine
-	if c.writer = c.choose(false, c.toWrite); c.writer != nil && !c.crowded() {
-		reader = c.choose(true, c.toRead)
-		if w := c.writer; reader != nil && reader != w && reader.role != Reader && c.lacks(w) > localMost {
+	if c.writer = c.bestEngine(false, c.writeCost); c.writer != nil && !c.writersFull() {
+		reader = c.bestEngine(true, c.readCost)
+		if w := c.writer; reader != nil && reader != w && reader.role != Reader && c.uncachedTokens(w) > maxLocalPrefillTokens {
 			c.writer = reader // it would write there, too; a reader near it may be better still
-			if near := c.choose(true, c.toRead); near != nil && near.role == Reader {
-				reader = near
+			if nearReader := c.bestEngine(true, c.readCost); nearReader != nil && nearReader.role == Reader {
+				reader = nearReader
 			} else {
 				c.writer = w
 			}
 		}
-		if (r.reads || c.writer.role == Mixed) && (reader == nil || c.lacks(c.writer) <= localMost) {
+		if (r.writerReadsAllowed || c.writer.role == Mixed) && (reader == nil || c.uncachedTokens(c.writer) <= maxLocalPrefillTokens) {
 			reader = c.writer
 		}
 	}
-	if c.anywhere && reader != nil && reader.role == Reader { // far from here, but not from each other
-		c.writer = cmp.Or(c.choose(false, func(e *engine) (uncached, far float64) {
-			uncached, far = c.toWrite(e)
-			return uncached, far + unsure*unsure*r.far*part(e.cell != reader.cell)
+	if c.ignoresDistance && reader != nil && reader.role == Reader { // both may be far from this router, but not from each other
+		c.writer = cmp.Or(c.bestEngine(false, func(e *engine) (uncached, distance float64) {
+			uncached, distance = c.writeCost(e)
+			return uncached, distance + unobservedDistanceShare*unobservedDistanceShare*r.crossCellTokens*boolToFloat(e.cell != reader.cell)
 		}), c.writer)
 	}
 	return reader
 }
 
-func (c *Completion) toWrite(e *engine) (uncached, far float64) {
-	return math.Min(remoteMost, c.lacks(e)), c.r.away*part(e.zone != c.r.zone && !c.anywhere) +
-		(1-e.pool.sample())*remoteMost*part(e != c.ownHome)
+// writeCost is the cost of a write at an engine, for bestEngine.
+func (c *Completion) writeCost(e *engine) (uncached, distance float64) {
+	return math.Min(maxWriterPrefillCostTokens, c.uncachedTokens(e)),
+		c.router.crossZoneWriteTokens*boolToFloat(e.zone != c.router.zone && !c.ignoresDistance) +
+			(1-e.pool.sampleWeight())*maxWriterPrefillCostTokens*boolToFloat(e != c.affinityWriter)
 }
 
-func (c *Completion) toRead(e *engine) (uncached, far float64) {
-	if w, alike := c.writer, e.pool.sample(); w != nil && e.role == Reader && !c.anywhere {
-		far = c.r.far*part(e.cell != w.cell) + c.r.farZone*part(e.zone != w.zone)
-		far *= alike + unsure*(1-alike)*part(e != c.home || w != c.ownHome)
+// readCost is the cost of a read at an engine for the picked writer, for bestEngine.
+func (c *Completion) readCost(e *engine) (uncached, distance float64) {
+	if w, weight := c.writer, e.pool.sampleWeight(); w != nil && e.role == Reader && !c.ignoresDistance {
+		distance = c.router.crossCellTokens*boolToFloat(e.cell != w.cell) + c.router.crossZoneReadTokens*boolToFloat(e.zone != w.zone)
+		distance *= weight + unobservedDistanceShare*(1-weight)*boolToFloat(e != c.affinityReader || w != c.affinityWriter)
 	}
-	return c.lacks(e), far
+	return c.uncachedTokens(e), distance
 }
 
-// asks probes the writer and the reader that are picked, if allowed, when their reports are old: once for
-// those near, once for those anywhere. Results decide whether the pick stands. That guards against picks on
-// few observations; it harms with slow probes.
-func (c *Completion) asks(reader *engine) bool {
-	r, rounds := c.r, 1
-	if c.anywhere {
+// probeIfStale probes the picked writer and reader, if allowed, when their reports are old: once for near engines,
+// once for any. It reports whether results are pending; they decide whether the pick stands. This guards against
+// picks from few observations. Slow probes cost time.
+func (c *Completion) probeIfStale(reader *engine) bool {
+	r, rounds := c.router, 1
+	if c.ignoresDistance {
 		rounds = 2
 	}
-	if !r.probes || c.asked >= rounds || r.now+2*probeWait > c.deadline {
-		return c.pending > 0
+	if !r.probesAllowed || c.probeRounds >= rounds || r.now+2*probeWaitSeconds > c.deadline {
+		return c.pendingProbes > 0
 	}
-	c.asked = rounds
+	c.probeRounds = rounds
 	for _, e := range [...]*engine{c.writer, reader} {
-		if e != nil && r.now-e.reportAt > probeAge && !slices.Contains(e.asking, c) {
-			if e.asking == nil {
-				r.do.Probe(e.id)
+		if e != nil && r.now-e.reportedAt > maxReportAgeSeconds && !slices.Contains(e.awaitingProbe, c) {
+			if e.awaitingProbe == nil {
+				r.actions.Probe(e.id)
 			}
-			e.asking = append(e.asking, c)
-			c.pending++
+			e.awaitingProbe = append(e.awaitingProbe, c)
+			c.pendingProbes++
 		}
 	}
-	if c.pending > 0 {
-		c.wakeAt = r.now + probeWait
-		r.do.SetTimer(c.id, probeWait)
+	if c.pendingProbes > 0 {
+		c.timerAt = r.now + probeWaitSeconds
+		r.actions.SetTimer(c.id, probeWaitSeconds)
 	}
-	return c.pending > 0
+	return c.pendingProbes > 0
 }
 
-// draw is an engine's lot for a text or session, the same at every router, from 0 up to 1.
-func draw(key, mark uint64) float64 {
-	h := (key ^ mark*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
+// hashFraction hashes a key and a candidate, an engine or a cell, to a number from 0 up to 1, the same at every
+// router.
+func hashFraction(key, candidate uint64) float64 {
+	h := (key ^ candidate*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>31) * 0x94d049bb133111eb
 	return (float64((h^h>>29)>>11) + 0.5) / (1 << 53)
 }
 
-// homeOf is the engine, a reader or not, that all routers agree on for a key: weighted rendezvous hashing.
-func (r *Router) homeOf(key uint64, reads bool, weight func(*engine) float64) *engine {
-	var home *engine
-	least := math.Inf(1)
+// affinityEngine returns the engine, among readers or among all others, that all routers agree on for a key, by
+// weighted rendezvous hashing.
+func (r *Router) affinityEngine(key uint64, reads bool, weight func(*engine) float64) *engine {
+	var best *engine
+	lowest := math.Inf(1)
 	for _, e := range r.subset {
 		if key == 0 || e.phase != Ready || (e.role == Reader) != reads {
 			continue
 		}
-		if lot := -math.Log(draw(key, e.mark)) / weight(e); lot < least { // none without a weight
-			home, least = e, lot
+		if score := -math.Log(hashFraction(key, e.hash)) / weight(e); score < lowest { // weight 0 excludes an engine
+			best, lowest = e, score
 		}
 	}
-	return home
+	return best
 }
 
-// settle finds the completion's homes: the reader that all routers of the zone would have read this text, and
-// the writer that they would have write this session, in one cell as far as its writers and readers match.
-// Each further home of a text would read it anew, so it has one where probes tell a jam there, which sends
-// some elsewhere; else one in each writer's cell, as no jam would be seen. It stands in for the table of kept
-// prefixes where a router sees little of the work; it harms when cells differ in more than their numbers.
-func (c *Completion) settle() {
-	r, text := c.r, cmp.Or(c.p.SharedPrefix, c.p.Session)
-	writer := func(in func(e *engine) float64) *engine {
-		return r.homeOf(c.p.Session, false, func(e *engine) float64 { return part(e.zone == r.zone) * in(e) })
-	}
-	there := func(at *engine) func(*engine) float64 {
-		return func(e *engine) float64 { return part(e.cell == at.cell) }
-	}
-	c.home, c.ownHome = nil, nil
-	if r.probes {
-		c.home = r.homeOf(text, true, func(e *engine) float64 {
-			return elsewhere + part(e.zone == r.zone && r.cells[e.cell][1] > 0)
+// setAffinity finds the completion's affinity engines: the reader that all routers of the zone would have read this
+// prefix, and the writer that they would have write this session, in one cell as far as its writers and readers match
+// in number. Each additional affinity reader of a prefix would read it again, so there is a single one where probes
+// reveal congestion at it, which diverts some completions; otherwise there is one in the cell of each writer, as
+// congestion would not be seen. Affinity stands in for the table of cached prefixes where a router sees little of the
+// work. It places work badly where cells differ in more than their numbers.
+func (c *Completion) setAffinity() {
+	r, prefix := c.router, cmp.Or(c.prompt.SharedPrefix, c.prompt.Session)
+	writerBy := func(weight func(e *engine) float64) *engine {
+		return r.affinityEngine(c.prompt.Session, false, func(e *engine) float64 { return boolToFloat(e.zone == r.zone) * weight(e) })
+	}
+	sameCell := func(other *engine) func(*engine) float64 {
+		return func(e *engine) float64 { return boolToFloat(e.cell == other.cell) }
+	}
+	c.affinityReader, c.affinityWriter = nil, nil
+	if r.probesAllowed {
+		c.affinityReader = r.affinityEngine(prefix, true, func(e *engine) float64 {
+			return remoteAffinityWeight + boolToFloat(e.zone == r.zone && r.readyInCell[e.cell][1] > 0)
 		})
 	}
-	if at := c.home; at != nil {
-		in := func(e *engine) float64 { return math.Max(0, 1-r.enough(e.cell)) } // has writers to spare
-		if draw(c.p.Session, uint64(at.cell)) < 1/r.enough(at.cell) {
-			in = there(at)
+	if reader := c.affinityReader; reader != nil {
+		weight := func(e *engine) float64 { return math.Max(0, 1-r.relativeReadersPerWriter(e.cell)) } // has writers to spare
+		if hashFraction(c.prompt.Session, uint64(reader.cell)) < 1/r.relativeReadersPerWriter(reader.cell) {
+			weight = sameCell(reader)
 		}
-		c.ownHome = writer(in)
+		c.affinityWriter = writerBy(weight)
 	}
-	if c.ownHome == nil {
-		c.ownHome = writer(func(*engine) float64 { return 1 })
+	if c.affinityWriter == nil {
+		c.affinityWriter = writerBy(func(*engine) float64 { return 1 })
 	}
-	if at := c.ownHome; at == nil {
-		c.home = nil
-	} else if !r.probes {
-		in := func(e *engine) float64 { return math.Max(0, 1-1/r.enough(e.cell)) } // has readers to spare
-		if draw(text, uint64(at.cell)) < r.enough(at.cell) {
-			in = there(at)
+	if writer := c.affinityWriter; writer == nil {
+		c.affinityReader = nil
+	} else if !r.probesAllowed {
+		weight := func(e *engine) float64 { return math.Max(0, 1-1/r.relativeReadersPerWriter(e.cell)) } // has readers to spare
+		if hashFraction(prefix, uint64(writer.cell)) < r.relativeReadersPerWriter(writer.cell) {
+			weight = sameCell(writer)
 		}
-		c.home = r.homeOf(text, true, in)
+		c.affinityReader = r.affinityEngine(prefix, true, weight)
 	}
 }
 
-func part(so bool) float64 {
-	if so {
+// boolToFloat returns 1 for true and 0 for false.
+func boolToFloat(b bool) float64 {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-func (c *Completion) lacks(e *engine) float64 {
-	return c.p.Tokens - math.Max(c.r.keeps(e, &c.p), part(e == c.home)*(1-e.pool.sample())*c.p.SharedPrefixTokens)
+// uncachedTokens is how many of the prompt's tokens an engine would have to read. The affinity reader is assumed to
+// have the shared prefix as far as this router's work is no sample.
+func (c *Completion) uncachedTokens(e *engine) float64 {
+	return c.prompt.Tokens - math.Max(c.router.cachedTokens(e, &c.prompt),
+		boolToFloat(e == c.affinityReader)*(1-e.pool.sampleWeight())*c.prompt.SharedPrefixTokens)
 }
 
-// crowded bounds what is in flight by memory: no room at the writer, the writers together nearly full. That
-// guards against overload, lost writers and long prompts; it harms when reports show memory held that isn't.
-func (c *Completion) crowded() bool {
-	r, sum, memory := c.r, 0.0, 1.0
+// writersFull bounds what is in flight by memory: it reports whether the writer has no memory left and all writers
+// together are nearly full. This guards against overload, lost writers and long prompts. It rejects too much when
+// reports show memory as held that is not.
+func (c *Completion) writersFull() bool {
+	r, held, memory := c.router, 0.0, 1.0
 	for _, e := range r.subset {
 		if e.phase == Ready && e.role != Reader {
-			sum += math.Min(e.memory, r.all(e, held))
+			held += math.Min(e.memory, r.totalLoad(e, memoryLoad))
 			memory += e.memory
 		}
 	}
-	return len(c.sent) == 0 && sum > fullPool*c.eager*memory &&
-		r.all(c.writer, held)+c.p.Tokens > fullMost*c.writer.memory
+	return len(c.dispatches) == 0 && held > maxAllWritersMemoryShare*c.limitShare*memory &&
+		r.totalLoad(c.writer, memoryLoad)+c.prompt.Tokens > maxWriterMemoryShare*c.writer.memory
 }
 
-// write sends a completion whose state waits to its writer, or to a better one if that has gone ill.
-func (c *Completion) write() {
-	r, w := c.r, c.writer
-	if w == nil || w.phase != Ready || r.fails(w) > ill || c.tried(w) || !c.maySend(w) || c.cold(w) {
-		c.writer = c.choose(false, func(e *engine) (float64, float64) {
-			return 0, r.far * part(e.cell != c.state.cell)
+// sendWrite sends a completion with a held state to its writer, or to a better one if that has become unhealthy.
+func (c *Completion) sendWrite() {
+	r, w := c.router, c.writer
+	if w == nil || w.phase != Ready || r.currentFailureShare(w) > unhealthyFailureShare || c.hasFailedAt(w) ||
+		!c.mayDispatch(w) || c.exceedsColdBudget(w) {
+		c.writer = c.bestEngine(false, func(e *engine) (float64, float64) {
+			return 0, r.crossCellTokens * boolToFloat(e.cell != c.stateReader.cell)
 		})
 	}
 	c.send(c.writer)
 }
 
-// dispatchTo is a dispatch to an engine as it would be sent now, and the seconds that it is expected to take.
-func (c *Completion) dispatchTo(e *engine) (d *dispatch, expected float64) {
-	r := c.r
-	tokens := c.lacks(e) * part(c.state == nil)
-	d = &dispatch{e: e, at: r.now, tokens: tokens, claimed: r.keeps(e, &c.p), cost: r.cost(e, tokens/thrift),
-		out: true, held: c.p.Tokens, own: c.state == nil}
+// newDispatch returns a dispatch to an engine as it would be sent now, and the seconds that it is expected to take.
+func (c *Completion) newDispatch(e *engine) (d *dispatch, expected float64) {
+	r := c.router
+	tokens := c.uncachedTokens(e) * boolToFloat(c.stateReader == nil)
+	d = &dispatch{engine: e, sentAt: r.now, prefillTokens: tokens,
+		expectedCachedTokens: r.cachedTokens(e, &c.prompt), costTokens: r.cost(e, tokens/uncachedTokenWeight),
+		out: true, memoryTokens: c.prompt.Tokens, readsPrompt: c.stateReader == nil}
 	if e.role != Reader {
-		d.stage, d.held = 1+int(min(tokens/localMost, 1)), c.p.Tokens+c.answer/2
+		d.stage, d.memoryTokens = 1+int(min(tokens/maxLocalPrefillTokens, 1)), c.prompt.Tokens+c.outputTokens/2
 	}
-	return d, d.cost * r.stages[d.stage].pace
+	return d, d.costTokens * r.stages[d.stage].secondsPerToken
 }
 
-// fits is the dispatch to an engine and its expected time if one is left and the time for it, else nil: a
-// first one may take a share of the target, near a small one. Where the pace is mostly guessed, its own
-// tokens don't speak against it but what waits there: few short reads that waited say nothing of a long one.
-// It guards against long prompts given up by routers that see little; it harms by late ones where engines
-// read far slower than guessed.
-func (c *Completion) fits(e *engine, near bool) (d *dispatch, expected float64) {
+// fittingDispatch returns the dispatch to an engine and its expected time, or nil if no dispatch is left or the time
+// is too short. A first dispatch may take a share of the latency target, a small share for near engines. Where the
+// pace is mostly the initial one, only what waits at the engine counts against it, not its own tokens: a few short
+// reads that waited say nothing about a long one. This guards against long prompts rejected by routers that see
+// little of the work. It makes some late where engines read far slower than the initial pace.
+func (c *Completion) fittingDispatch(e *engine, near bool) (d *dispatch, expected float64) {
 	if e == nil {
 		return nil, 0
 	}
-	r := c.r
-	d, expected = c.dispatchTo(e)
-	if r.now+expected > c.deadline || len(c.sent) >= r.most {
+	r := c.router
+	d, expected = c.newDispatch(e)
+	if r.now+expected > c.deadline || len(c.dispatches) >= r.maxDispatches {
 		return nil, 0
 	}
-	if len(c.sent) == 0 && d.stage != 1 {
-		write := r.cost(c.writer, 0) * r.stages[1].pace * (1 - c.writer.pool.sample()) // else crowded knows
-		most, free := nearMost, 0.0
+	if len(c.dispatches) == 0 && d.stage != 1 {
+		writeTime := r.cost(c.writer, 0) * r.stages[1].secondsPerToken * (1 - c.writer.pool.sampleWeight()) // the rest is covered by writersFull
+		maxShare, uncounted := maxNearReadTargetShare, 0.0
 		if p := &r.stages[d.stage]; !near {
-			most, free = readMost, d.tokens*p.pace*math.Pow(pacesGuess/p.paces, 2)
+			maxShare, uncounted = maxReadTargetShare, d.prefillTokens*p.secondsPerToken*math.Pow(initialPaceSamples/p.samples, 2)
 		}
-		target := c.eager * (c.w.LatencyTarget + c.w.LatencyTargetPerToken*c.p.Tokens)
-		if expected-free+write > most*target && (near || !c.readsAtOnce(d, expected+write, target)) {
+		target := c.limitShare * (c.workload.LatencyTarget + c.workload.LatencyTargetPerToken*c.prompt.Tokens)
+		if expected-uncounted+writeTime > maxShare*target && (near || !c.fitsIdleEngine(d, expected+writeTime, target)) {
 			return nil, 0
 		}
 	}
 	return d, expected
 }
 
-// readsAtOnce tells whether a read that takes long takes it by its own tokens, behind little that waits, and is still
-// likely to be in time: what varies is the wait. It guards against long prompts given up where there is room for them; it
-// harms those that come next at that engine.
-func (c *Completion) readsAtOnce(d *dispatch, expected, target float64) bool {
-	own := d.tokens * c.r.stages[d.stage].pace
-	return expected-own < idleMost*target && expected < wholeMost*target
+// fitsIdleEngine reports whether a long read is long because of its own tokens, with little waiting before it, and is
+// still likely to be in time: what varies is the wait. It guards against long prompts rejected where there is
+// capacity for them. It delays those that come next at that engine.
+func (c *Completion) fitsIdleEngine(d *dispatch, expected, target float64) bool {
+	readTime := d.prefillTokens * c.router.stages[d.stage].secondsPerToken
+	return expected-readTime < maxIdleWaitTargetShare*target && expected < maxIdleReadTargetShare*target
 }
 
-// send makes a dispatch if it fits; else it gives up. While a prompt is read, its memory at the writer is
-// booked, so that those taken meanwhile see it.
+// send sends a dispatch if it fits, and rejects the completion otherwise. While a prompt is read, its memory counts
+// as held at the writer, so that completions that arrive meanwhile see it.
 func (c *Completion) send(e *engine) {
-	r := c.r
-	d, expected := c.fits(e, false)
+	r := c.router
+	d, expected := c.fittingDispatch(e, false)
 	if d == nil {
-		c.giveUp()
+		c.reject()
 		return
 	}
-	d.late = r.now + math.Max(lateFloor, expected*r.stages[d.stage].late)
-	e.coldLeft -= c.weight(e)
-	c.sent, c.out = append(c.sent, d), d
-	r.carry(e, d.tokens, d.held)
-	r.do.Dispatch(c.id, e.id, c.deadline-r.now)
+	d.lateAt = r.now + math.Max(minLateSeconds, expected*r.stages[d.stage].lateFactor)
+	e.coldBudgetLeft -= c.dispatchWeight(e)
+	c.dispatches, c.inFlight = append(c.dispatches, d), d
+	r.addLoad(e, d.prefillTokens, d.memoryTokens)
+	r.actions.Dispatch(c.id, e.id, c.deadline-r.now)
 	if d.stage == 0 {
-		d.booked = c.writer
-		r.carry(d.booked, 0, c.p.Tokens+c.answer/2)
-		if r.places {
-			c.holds = true
-			r.do.Reserve(c.id, c.writer.id)
+		d.nextWriter = c.writer
+		r.addLoad(d.nextWriter, 0, c.prompt.Tokens+c.outputTokens/2)
+		if r.reservationsAllowed {
+			c.needsRelease = true
+			r.actions.Reserve(c.id, c.writer.id)
 		}
 	}
-	c.wake()
+	c.armTimer()
 }
 
-func (r *Router) carry(e *engine, tokens ...float64) {
+// addLoad adds tokens to the loads that are out at an engine, in the order of the loads.
+func (r *Router) addLoad(e *engine, tokens ...float64) {
 	for i, n := range tokens {
 		e.load[i].out += n
 		e.pool.out[i].add(r.now, n)
 	}
 }
 
-// wake sets the one timer: when the dispatch gets late, else the client timeout.
-func (c *Completion) wake() {
-	at := c.deadline - 2*c.r.tick
-	if d := c.out; d != nil && !d.overdue {
-		at = math.Min(at, d.late)
+// armTimer sets the completion's only timer: to when the dispatch becomes late, else to the client timeout.
+func (c *Completion) armTimer() {
+	timerAt := c.deadline - 2*c.router.tick
+	if d := c.inFlight; d != nil && !d.overdue {
+		timerAt = math.Min(timerAt, d.lateAt)
 	}
-	if at < c.wakeAt || c.wakeAt <= c.r.now+c.r.tick { // the timer may come a rounding early
-		c.wakeAt = at
-		c.r.do.SetTimer(c.id, math.Max(c.r.tick, at-c.r.now))
+	if timerAt < c.timerAt || c.timerAt <= c.router.now+c.router.tick { // the timer may fire early by a rounding error
+		c.timerAt = timerAt
+		c.router.actions.SetTimer(c.id, math.Max(c.router.tick, timerAt-c.router.now))
 	}
 }
 
-// TimerFired is called for SetTimer. What takes too long at an ill engine is taken back, and its end sends it on. That
-// guards against engines silent, cut off or stuck; it harms when the engine was about to answer.
+// TimerFired is called for SetTimer. A late dispatch at an unhealthy engine is cancelled, and its end sends the
+// completion on. This guards against engines that are silent, cut off or stuck. It wastes work when the engine was
+// about to answer.
 func (c *Completion) TimerFired() {
-	r := c.r
-	if c.answered || c.began {
+	r := c.router
+	if c.answered || c.started {
 		return
 	}
 	if r.now >= c.deadline-3*r.tick {
-		c.giveUp()
+		c.reject()
 		return
 	}
-	if c.pending > 0 {
-		c.pending = 0
+	if c.pendingProbes > 0 {
+		c.pendingProbes = 0
 		c.advance()
 	}
-	if d := c.out; d != nil && !d.overdue && d.late <= r.now {
-		r.measure(d, r.now-d.at)
+	if d := c.inFlight; d != nil && !d.overdue && d.lateAt <= r.now {
+		r.recordTime(d, r.now-d.sentAt)
 		d.overdue = true
-		if d.e.heard < d.at { // silent since, not only slow
-			r.judge(d.e, 1)
+		if d.engine.succeededAt < d.sentAt { // silent since then, not just slow
+			r.recordHealth(d.engine, 1)
 		}
-		if r.cancels && r.fails(d.e) > ill && len(c.sent) < r.most-1 && (d.stage == 0 || c.w.Idempotency == Idempotent) {
-			r.do.Cancel(c.id, len(c.sent)-1)
+		if r.cancelAllowed && r.currentFailureShare(d.engine) > unhealthyFailureShare &&
+			len(c.dispatches) < r.maxDispatches-1 && (d.stage == 0 || c.workload.Idempotency == Idempotent) {
+			r.actions.Cancel(c.id, len(c.dispatches)-1)
 		}
 	}
 	if !c.answered {
-		c.wake()
+		c.armTimer()
 	}
 }
 
-// measure books a dispatch's time in its pool's pace and late figure and in its engine's slowness.
-func (r *Router) measure(d *dispatch, took float64) {
-	if d.overdue { // measured then
+// recordTime records a dispatch's time in its stage's pace and late factor, and in its engine's slowness.
+func (r *Router) recordTime(d *dispatch, took float64) {
+	if d.overdue { // recorded when it became late
 		return
 	}
 	p := &r.stages[d.stage]
-	ratio := took / math.Max(1e-6, d.cost*p.pace)
-	p.late = math.Max(lateLeast, p.late*math.Exp(lateGain*(part(ratio > p.late)-lateShare)))
-	p.paces++
-	p.pace *= 1 + math.Max(paceLeast, 1/p.paces)*(math.Min(ratio, ratioMost)-1)
-	d.e.slow *= r.recall(d.e, d.e.slowAt, slowFades)
-	d.e.slow += slowGain * (math.Log(math.Max(ratio, ratioLeast)) - d.e.slow)
-	d.e.slowAt = r.now
+	ratio := took / math.Max(1e-6, d.costTokens*p.secondsPerToken)
+	p.lateFactor = math.Max(minLateFactor, p.lateFactor*math.Exp(lateFactorLogStep*(boolToFloat(ratio > p.lateFactor)-lateDispatchShare)))
+	p.samples++
+	p.secondsPerToken *= 1 + math.Max(minPaceGain, 1/p.samples)*(math.Min(ratio, maxPaceRatio)-1)
+	d.engine.logSlowness *= r.healthDecay(d.engine, d.engine.logSlownessAt, slownessDecaySeconds)
+	d.engine.logSlowness += slownessGain * (math.Log(math.Max(ratio, minSlownessRatio)) - d.engine.logSlowness)
+	d.engine.logSlownessAt = r.now
 }
 
-// ReservationAnswered tells whether the place that was asked for is held; if not, the writer is picked anew on the read.
+// ReservationAnswered says whether the requested reservation is held. If not, the writer is picked anew after the
+// read.
 func (c *Completion) ReservationAnswered(_ int, held bool) {
 	if !held {
 		c.writer = nil
 	}
 }
 
+// DispatchStarted records the first token of dispatch n, counted from 0, and the seconds that it took.
 func (c *Completion) DispatchStarted(n int, took float64) {
-	if n < 0 || n >= len(c.sent) || c.began {
+	if n < 0 || n >= len(c.dispatches) || c.started {
 		return
 	}
-	c.began = true
-	d := c.sent[n]
-	c.r.measure(d, took)
-	c.r.judge(d.e, 0)
-	d.e.pool.serves(c.r.now, d.tokens)
-	c.r.carry(d.e, -d.tokens, 0)
-	d.tokens = 0
-	if d.own { // what was read here is kept at once, a fetched state only once its answer is written
-		c.r.learn(d.e, &c.p, 0, -1)
-	}
-	c.state = nil
+	c.started = true
+	d := c.dispatches[n]
+	c.router.recordTime(d, took)
+	c.router.recordHealth(d.engine, 0)
+	d.engine.pool.recordRead(c.router.now, d.prefillTokens)
+	c.router.addLoad(d.engine, -d.prefillTokens, 0)
+	d.prefillTokens = 0
+	if d.readsPrompt { // a prompt read here is cached at once, a fetched state only once its output is written
+		c.router.recordPrefix(d.engine, &c.prompt, 0, -1)
+	}
+	c.stateReader = nil
 }
 
-// DispatchEnded tells how a dispatch ended, whether the completion has its answer, and the tokens found kept.
+// DispatchEnded records how dispatch n ended, the seconds that it took, whether the completion has its answer, the
+// prompt tokens found cached, and the engine's load report.
 func (c *Completion) DispatchEnded(n int, o Outcome, took float64, done bool, found float64, report []float64) {
-	if n < 0 || n >= len(c.sent) || !c.sent[n].out {
+	if n < 0 || n >= len(c.dispatches) || !c.dispatches[n].out {
 		return
 	}
-	r, d := c.r, c.sent[n]
-	r.carry(d.e, -d.tokens, -d.held)
-	if d.booked != nil {
-		r.carry(d.booked, 0, -c.p.Tokens-c.answer/2)
+	r, d := c.router, c.dispatches[n]
+	r.addLoad(d.engine, -d.prefillTokens, -d.memoryTokens)
+	if d.nextWriter != nil {
+		r.addLoad(d.nextWriter, 0, -c.prompt.Tokens-c.outputTokens/2)
 	}
-	d.out, c.out = false, nil
-	r.reported(d.e, report)
+	d.out, c.inFlight = false, nil
+	r.recordReport(d.engine, report)
 	if o == Read || o == Finished {
-		found = math.Min(found, c.p.Tokens) // an engine counts tokens in its own way
+		found = math.Min(found, c.prompt.Tokens) // engines count tokens in their own way
 	}
-	d.broken, d.ran = o == Broken, o != Read && o != Full && o != Unreachable && o != NotSent
-	if found == 1 && o != Read && o != Finished { // there was none to fetch, or it was let go meanwhile
-		c.state = nil
+	d.broken, d.mayHaveRun = o == Broken, o != Read && o != Full && o != Unreachable && o != NotSent
+	if found == 1 && o != Read && o != Finished { // there was no state to fetch, or it was released meanwhile
+		c.stateReader = nil
 	}
 	switch {
 	case o == Read:
-		r.measure(d, took)
-		d.e.pool.serves(r.now, c.p.Tokens-math.Max(found, 0))
-		r.learn(d.e, &c.p, d.claimed, found)
-		c.state, c.holds = d.e, true
-		r.judge(d.e, 0)
+		r.recordTime(d, took)
+		d.engine.pool.recordRead(r.now, c.prompt.Tokens-math.Max(found, 0))
+		r.recordPrefix(d.engine, &c.prompt, d.expectedCachedTokens, found)
+		c.stateReader, c.needsRelease = d.engine, true
+		r.recordHealth(d.engine, 0)
 	case o == Finished:
-		if !d.own || found < d.claimed/2 {
-			r.learn(d.e, &c.p, d.claimed, found)
+		if !d.readsPrompt || found < d.expectedCachedTokens/2 {
+			r.recordPrefix(d.engine, &c.prompt, d.expectedCachedTokens, found)
 		}
-		r.judge(d.e, 0)
-	case o == Full && found == 1: // tells nothing of the engine
-	case o != Cancelled && o != NotSent && !d.overdue: // else it tells nothing new of the engine
-		r.judge(d.e, 1)
+		r.recordHealth(d.engine, 0)
+	case o == Full && found == 1: // says nothing about the engine
+	case o != Cancelled && o != NotSent && !d.overdue: // the others say nothing new about the engine
+		r.recordHealth(d.engine, 1)
 	}
-	c.answered = c.answered || done || c.began
+	c.answered = c.answered || done || c.started
 	c.advance()
-	c.letGo()
+	c.releaseHeld()
 }
 
-func (c *Completion) letGo() {
-	if c.out == nil && c.holds {
-		c.r.do.Release(c.id)
-		c.state, c.holds = nil, false
+// releaseHeld releases the state and the reservation once no dispatch is out.
+func (c *Completion) releaseHeld() {
+	if c.inFlight == nil && c.needsRelease {
+		c.router.actions.Release(c.id)
+		c.stateReader, c.needsRelease = nil, false
 	}
 }
 
-// giveUp gives the final answer at once: rate-limited if trying again is harmless, else aborted.
-func (c *Completion) giveUp() {
-	if c.harmless() {
-		c.r.do.RateLimit(c.id, c.r.back*(0.5+c.r.chance()/2))
+// reject gives the final answer at once: rate-limited if a retry is safe, else aborted.
+func (c *Completion) reject() {
+	if c.isSafeToRetry() {
+		c.router.actions.RateLimit(c.id, c.router.retryAfter*(0.5+c.router.random()/2))
 	} else {
-		c.r.do.Abort(c.id)
+		c.router.actions.Abort(c.id)
 	}
 	c.ClientLeft()
 }
 
+// ClientLeft ends the completion: it needs no answer any more, its dispatch is cancelled, and what is held is
+// released.
 func (c *Completion) ClientLeft() {
 	c.answered = true
-	if c.out != nil && c.r.cancels {
-		c.r.do.Cancel(c.id, len(c.sent)-1)
+	if c.inFlight != nil && c.router.cancelAllowed {
+		c.router.actions.Cancel(c.id, len(c.dispatches)-1)
 	}
-	c.letGo()
+	c.releaseHeld()
 }
 
-func (c *Completion) Closed() bool { return c.answered && c.out == nil }
+// Closed reports whether the completion is answered and no dispatch is out.
+func (c *Completion) Closed() bool { return c.answered && c.inFlight == nil }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -36,7 +36,7 @@
 			r, b := start(t, c.change, c.facts)
 			p := prompt(0, c.tokens)
 			if c.kept >= 0 {
-				r.learn(r.engines[c.kept], &p, 0, -1)
+				r.recordPrefix(r.engines[c.kept], &p, 0, -1)
 			}
 			r.Route(1, p)
 			assert.Equal(t, c.want, b.flush())
@@ -68,7 +68,7 @@
 			r, b := start(t, nil, fleet()[:3])
 			p := prompt(0, 3000)
 			if c.learns {
-				r.learn(r.engines[2], &p, 0, -1)
+				r.recordPrefix(r.engines[2], &p, 0, -1)
 			}
 			r.Route(1, p)
 			assert.Equal(t, []int{c.want}, b.sends)
@@ -94,7 +94,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, nil, append(fleet()[:3:3], ready(3, 1, 1, longAgo)))
-			r.judge(r.engines[3], 1) // tips the choice of the writer
+			r.recordHealth(r.engines[3], 1) // tips the choice of the writer
 			h := r.Route(1, prompt(0, 3000))
 			b.flush()
 			c.then(r, h)
@@ -126,7 +126,7 @@
 				for k, rate := range one.rates {
 					if rnd.Float64() < rate/100 {
 						sent[k]++
-						over[k] += part(r.rankOf(&Prompt{Tenant: k}) < 1)
+						over[k] += boolToFloat(r.relativeValue(&Prompt{Tenant: k}) < 1)
 					}
 				}
 			}
@@ -148,24 +148,24 @@
 	for id := range uint64(2) {
 		r.Route(id, prompt(0, 3000)).DispatchEnded(0, Read, 0.2, false, 1000, []float64{4 * float64(id)})
 	}
-	assert.InDelta(t, 4*2000, r.engines[0].load[work].report+r.engines[1].load[work].report, 1)
+	assert.InDelta(t, 4*2000, r.engines[0].load[prefillLoad].reported+r.engines[1].load[prefillLoad].reported, 1)
 	for i := range 300 {
 		c := r.Route(uint64(i+2), prompt(0, 3000))
 		c.DispatchEnded(0, Read, 0.2, false, 1500, nil)
 	}
-	assert.InDelta(t, 1500, r.pools[Reader].read, 50)
+	assert.InDelta(t, 1500, r.pools[Reader].meanReadTokens, 50)
 }
 
 // TestExpectedTimes: what is to be read takes as long as as much that waits before it; it weighs more only in the pick.
 func TestExpectedTimes(t *testing.T) {
 	r, _ := start(t, nil, fleet())
-	long := &Completion{r: r, p: prompt(0, 6000), w: &r.works[0]}
-	short := &Completion{r: r, p: prompt(0, 1000), w: &r.works[0]}
+	long := &Completion{router: r, prompt: prompt(0, 6000), workload: &r.workloads[0]}
+	short := &Completion{router: r, prompt: prompt(0, 1000), workload: &r.workloads[0]}
 	e := r.engines[0]
-	alone := long.expected(e)
-	e.load[work].out = 5000
-	assert.InEpsilon(t, alone, short.expected(e), 0.01)
-	assert.Less(t, r.burden(e, 1000), r.burden(r.engines[1], 6000))
+	alone := long.expectedTime(e)
+	e.load[prefillLoad].out = 5000
+	assert.InEpsilon(t, alone, short.expectedTime(e), 0.01)
+	assert.Less(t, r.score(e, 1000), r.score(r.engines[1], 6000))
 }
 
 // TestFirstReadsAreLikeWhatIsTaken: until a read is measured what waits at a reader is taken for reads of what was taken
@@ -176,7 +176,7 @@
 	p.SharedPrefix, p.SharedPrefixTokens = 9, 1200
 	r.Route(1, p)
 	r.ProbeEnded(1, Finished, []float64{4})
-	assert.InDelta(t, 4*1800, r.engines[1].load[work].report, 1)
+	assert.InDelta(t, 4*1800, r.engines[1].load[prefillLoad].reported, 1)
 }
 
 // TestWaitingWritesAreNoReads: what waits at a writer was mostly read elsewhere, so that a queue there stands for fewer
@@ -191,8 +191,8 @@
 		c.DispatchStarted(1, 0.1)
 		c.DispatchEnded(1, Finished, 1, true, 3000, []float64{4})
 	}
-	assert.InDelta(t, 4*3000, r.engines[0].load[work].report, 1)
-	assert.InDelta(t, 4*localMost, r.engines[2].load[work].report, 1)
+	assert.InDelta(t, 4*3000, r.engines[0].load[prefillLoad].reported, 1)
+	assert.InDelta(t, 4*maxLocalPrefillTokens, r.engines[2].load[prefillLoad].reported, 1)
 }
 
 // TestFarPick: what would take long at a reader near goes to one in another zone, with its writer beside it; what is near
@@ -213,7 +213,7 @@
 			r, b := start(t, func(s *Settings) {
 				s.ReservationsAllowed, s.CrossCellPrice, s.CrossZonePrice, s.WriterReadsAllowed = true, 0.08, 0.01, false
 			}, facts)
-			r.engines[0].load[work].out, r.engines[1].load[work].out = one.near, one.far
+			r.engines[0].load[prefillLoad].out, r.engines[1].load[prefillLoad].out = one.near, one.far
 			r.Route(1, prompt(0, 800))
 			assert.Equal(t, one.want, b.flush())
 		})
@@ -236,21 +236,21 @@
 		t.Run(name, func(t *testing.T) {
 			r, _ := start(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"x0"} }, fleet())
 			for _, e := range r.engines {
-				r.carry(e, 0, one.own)
+				r.addLoad(e, 0, one.own)
 				if one.full >= 0 {
 					r.ProbeEnded(e.id, Finished, []float64{one.full})
 				}
 			}
 			r.SetTime(20)
 			for _, e := range r.engines {
-				r.carry(e, 0, 0)
+				r.addLoad(e, 0, 0)
 				if one.full >= 0 {
 					r.ProbeEnded(e.id, Finished, []float64{one.full})
 				}
 			}
-			r.survey()
-			assert.GreaterOrEqual(t, r.like, one.from)
-			assert.LessOrEqual(t, r.like, one.to)
+			r.updatePoolReports()
+			assert.GreaterOrEqual(t, r.equivalentRouters, one.from)
+			assert.LessOrEqual(t, r.equivalentRouters, one.to)
 		})
 	}
 }
@@ -262,9 +262,9 @@
 	for _, one := range []struct{ at, warm float64 }{{0, 0}, {5, 0.5}, {10, 1}, {30, 1}} {
 		r.SetTime(one.at)
 		r.ProbeEnded(0, Finished, []float64{8})
-		r.survey()
-		assert.InDelta(t, one.warm*r.all(r.engines[1], work), r.all(r.engines[3], work), 1, "at %v", one.at)
-		assert.Greater(t, r.all(r.engines[1], work), 100.0)
+		r.updatePoolReports()
+		assert.InDelta(t, one.warm*r.totalLoad(r.engines[1], prefillLoad), r.totalLoad(r.engines[3], prefillLoad), 1, "at %v", one.at)
+		assert.Greater(t, r.totalLoad(r.engines[1], prefillLoad), 100.0)
 	}
 }
 
@@ -275,11 +275,11 @@
 			sent := map[float64]int{}
 			for _, tokens := range []float64{1000, 4000} {
 				r, b := start(t, func(s *Settings) { s.Routers = routers }, []EngineEntry{ready(0, 0, 0, longAgo), ready(1, 0, 1, 0), ready(2, 1, 0, longAgo)})
-				r.pools[Reader].read, r.pools[Reader].served = 1000, 1000
+				r.pools[Reader].meanReadTokens, r.pools[Reader].meanReadCount = 1000, 1000
 				for i := range 900 {
 					r.SetTime(float64(i) / 100)
-					r.pools[Reader].rate = meter{100, r.now}
-					r.engines[0].load[work].out = 1e6 // the cold one is wanted by all
+					r.pools[Reader].successRate = rateMeter{100, r.now}
+					r.engines[0].load[prefillLoad].out = 1e6 // the cold one is wanted by all
 					p := prompt(0, tokens)
 					p.Session = uint64(i + 1)
 					c := r.Route(uint64(i), p)
@@ -287,7 +287,7 @@
 					c.DispatchEnded(0, Cancelled, 0, true, 0, nil)
 				}
 				for _, e := range b.sends {
-					sent[tokens] += int(part(e == 1))
+					sent[tokens] += int(boolToFloat(e == 1))
 				}
 			}
 			assert.InEpsilon(t, float64(sent[1000])/4, float64(sent[4000]), 0.35, "%v", sent)
@@ -320,7 +320,7 @@
 			c.DispatchEnded(1, one.o, 0.25, false, one.found, nil)
 			require.Len(t, b.sends, 3)
 			require.Equal(t, one.reads, r.engines[b.sends[2]].role == Reader)
-			require.Equal(t, one.blames, r.fails(writer) > 0)
+			require.Equal(t, one.blames, r.currentFailureShare(writer) > 0)
 		})
 	}
 }
@@ -341,7 +341,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, nil, fleet()[2:])
 			p := prompt(c.work, 200)
-			r.learn(r.engines[2], &p, 0, -1)
+			r.recordPrefix(r.engines[2], &p, 0, -1)
 			h := r.Route(1, p)
 			require.Equal(t, []string{"dispatch 2"}, b.flush())
 			r.SetTime(c.after)
@@ -362,13 +362,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, nil, fleet()[:3])
-			r.engines[2].memory, r.stages[2].pace = 1e4, 1
-			r.judge(r.engines[1], 1) // tips the choice of the reader
+			r.engines[2].memory, r.stages[2].secondsPerToken = 1e4, 1
+			r.recordHealth(r.engines[1], 1) // tips the choice of the reader
 			r.SetTime(0.5)
 			h := r.Route(1, prompt(c.work, 3000))
 			require.Equal(t, []string{"dispatch 0"}, b.flush())
-			r.judge(r.engines[0], 1)
-			r.judge(r.engines[0], 1)
+			r.recordHealth(r.engines[0], 1)
+			r.recordHealth(r.engines[0], 1)
 			r.SetTime(2)
 			h.TimerFired()
 			h.DispatchEnded(0, Cancelled, 1.5, false, 0, nil)
@@ -392,7 +392,7 @@
 		r.SetTime(0.06) // probes are late
 		h.TimerFired()
 		require.Len(t, b.sends, 1)
-		return r.engines[b.sends[0]].mark, h.writer.mark
+		return r.engines[b.sends[0]].hash, h.writer.hash
 	}
 	for probes, least := range map[bool]int{false: 10, true: 9} {
 		same, readers, near := map[[2]uint64]int{}, map[uint64]int{}, 0.0
@@ -404,7 +404,7 @@
 			assert.Equal(t, [2]uint64{reader, writer}, [2]uint64{again, written}, "all routers agree")
 			same[[2]uint64{p.SharedPrefix, reader}]++
 			readers[reader]++
-			near += part(cells[reader] == cells[writer])
+			near += boolToFloat(cells[reader] == cells[writer])
 		}
 		if assert.Greater(t, len(same), least, "texts spread over the readers"); probes {
 			assert.Len(t, same, 10, "one home a text, whatever the session")
@@ -447,7 +447,7 @@
 func TestRules(t *testing.T) {
 	t.Run("a non-idempotent completion whose read is out is aborted, not rate-limited", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[:3])
-		r.engines[2].memory, r.stages[2].pace = 1e4, 1
+		r.engines[2].memory, r.stages[2].secondsPerToken = 1e4, 1
 		h := r.Route(1, prompt(1, 3000))
 		r.SetTime(7.996)
 		h.TimerFired()
@@ -459,7 +459,7 @@
 			r.SetTime(float64(i) / 100)
 			r.Route(uint64(i), prompt(0, 100)).DispatchEnded(0, Unreachable, 0, false, 0, nil)
 		}
-		assert.Zero(t, r.pools[1].rate.now(1))
+		assert.Zero(t, r.pools[1].successRate.rateAt(1))
 	})
 	t.Run("answered before the client timeout, late events ignored", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[2:3])
@@ -525,14 +525,14 @@
 			r, b := start(t, func(s *Settings) { s.Routers, s.Seed = 30, uint64(i) }, append(fleet(), ready(4, 2, 0, 0)))
 			for k := range 100 { // ten a second
 				r.SetTime(float64(k) / 10)
-				r.pools[Mixed].rate, r.taken = meter{1, r.now}, meter{10, r.now}
+				r.pools[Mixed].successRate, r.arrivals = rateMeter{1, r.now}, rateMeter{10, r.now}
 				for _, e := range r.engines[:4] {
-					e.load[held].out = 1.9e5 // the cold one is wanted by all
+					e.load[memoryLoad].out = 1.9e5 // the cold one is wanted by all
 				}
 				p := prompt(0, 100)
 				p.Session = uint64(i*1000 + k)
 				r.Route(uint64(k), p)
-				sent += int(part(len(b.sends) > 0 && b.sends[len(b.sends)-1] == 4))
+				sent += int(boolToFloat(len(b.sends) > 0 && b.sends[len(b.sends)-1] == 4))
 				b.sends = nil
 			}
 		}
@@ -572,26 +572,26 @@
 	})
 	t.Run("an engine not heard from counts as average", func(t *testing.T) {
 		r, _ := start(t, func(s *Settings) { s.Routers = 3 }, fleet()[2:])
-		r.carry(r.engines[2], 9e6, 9e6) // so much that it is a full sample
+		r.addLoad(r.engines[2], 9e6, 9e6) // so much that it is a full sample
 		r.SetTime(999)
-		r.carry(r.engines[2], 0, 0)
-		assert.InDelta(t, 9e6, r.all(r.engines[3], held), 1)
-		r.engines[3].heard = 1
-		assert.Less(t, r.all(r.engines[3], held), 1e4)
+		r.addLoad(r.engines[2], 0, 0)
+		assert.InDelta(t, 9e6, r.totalLoad(r.engines[3], memoryLoad), 1)
+		r.engines[3].succeededAt = 1
+		assert.Less(t, r.totalLoad(r.engines[3], memoryLoad), 1e4)
 	})
 	t.Run("health is remembered longer by a router that sees little of the work", func(t *testing.T) {
 		r, _ := start(t, nil, fleet()[2:])
-		r.judge(r.engines[2], 1)
-		r.SetTime(failFades)
-		assert.InDelta(t, 0.21, r.fails(r.engines[2]), 0.01)
-		r.pools[1].out[held].mean = 1e9 // a full sample
-		assert.InDelta(t, 0.11, r.fails(r.engines[2]), 0.01)
+		r.recordHealth(r.engines[2], 1)
+		r.SetTime(failureDecaySeconds)
+		assert.InDelta(t, 0.21, r.currentFailureShare(r.engines[2]), 0.01)
+		r.pools[1].out[memoryLoad].average = 1e9 // a full sample
+		assert.InDelta(t, 0.11, r.currentFailureShare(r.engines[2]), 0.01)
 	})
 	t.Run("all engines ill are all used", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[2:])
 		for range 50 {
-			r.judge(r.engines[2], 1)
-			r.judge(r.engines[3], 1)
+			r.recordHealth(r.engines[2], 1)
+			r.recordHealth(r.engines[3], 1)
 		}
 		for i := range 40 {
 			take(r, i+1, 200)
@@ -603,26 +603,26 @@
 		r, _ := start(t, nil, fleet())
 		p, other := prompt(0, 3000), prompt(0, 2000)
 		other.Session = 12
-		r.learn(r.engines[2], &other, 0, -1)
-		require.Equal(t, 2000.0, r.keeps(r.engines[2], &other))
-		r.learn(r.engines[2], &p, 3000, 0)
-		assert.Zero(t, r.keeps(r.engines[2], &other))
-		assert.Equal(t, 3000.0, r.keeps(r.engines[2], &p))
+		r.recordPrefix(r.engines[2], &other, 0, -1)
+		require.Equal(t, 2000.0, r.cachedTokens(r.engines[2], &other))
+		r.recordPrefix(r.engines[2], &p, 3000, 0)
+		assert.Zero(t, r.cachedTokens(r.engines[2], &other))
+		assert.Equal(t, 3000.0, r.cachedTokens(r.engines[2], &p))
 		r.UpdateEngines(ListDelta, []EngineEntry{ready(2, 1, 0, 5)})
-		assert.Zero(t, r.keeps(r.engines[2], &p), "a new start time empties it too")
+		assert.Zero(t, r.cachedTokens(r.engines[2], &p), "a new start time empties it too")
 	})
 	t.Run("a fetched text is claimed only once its answer is written, a read one at once", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[:3])
 		h := take(r, 1, 3000)
 		h.DispatchEnded(0, Read, 0.1, false, 0, nil)
 		h.DispatchStarted(1, 0.1)
-		assert.Zero(t, r.keeps(r.engines[2], &h.p))
+		assert.Zero(t, r.cachedTokens(r.engines[2], &h.prompt))
 		h.DispatchEnded(1, Finished, 1, true, 0, nil)
-		assert.Equal(t, 3000.0, r.keeps(r.engines[2], &h.p))
+		assert.Equal(t, 3000.0, r.cachedTokens(r.engines[2], &h.prompt))
 		h = take(r, 2, 200)
 		require.Equal(t, 2, b.sends[2])
 		h.DispatchStarted(0, 0.1)
-		assert.Equal(t, 200.0, r.keeps(r.engines[2], &h.p))
+		assert.Equal(t, 200.0, r.cachedTokens(r.engines[2], &h.prompt))
 	})
 	t.Run("a slow engine that serves others is not taken for a silent one", func(t *testing.T) {
 		r, _ := start(t, nil, fleet()[:3])
@@ -631,7 +631,7 @@
 		r.SetTime(4)
 		other.DispatchStarted(0, 3.5)
 		h.TimerFired()
-		assert.Zero(t, r.fails(r.engines[2]))
+		assert.Zero(t, r.currentFailureShare(r.engines[2]))
 	})
 	t.Run("an engine whose answer broke on its way is not left for that, unless it is ill", func(t *testing.T) {
 		for o, left := range map[Outcome]bool{Broken: false, Errored: true, Unreachable: true, Full: true} {
@@ -639,20 +639,20 @@
 			h := take(r, 1, 200)
 			e := r.engines[b.sends[0]]
 			h.DispatchEnded(0, o, 0.1, false, 0, nil)
-			assert.Equal(t, left, h.tried(e))
-			r.judge(e, 1)
-			r.judge(e, 1)
-			assert.True(t, h.tried(e))
+			assert.Equal(t, left, h.hasFailedAt(e))
+			r.recordHealth(e, 1)
+			r.recordHealth(e, 1)
+			assert.True(t, h.hasFailedAt(e))
 		}
 	})
 	t.Run("what waits at a silent reader is taken back and read elsewhere, once that is ill", func(t *testing.T) {
 		r, b := start(t, nil, fleet()[:3])
-		r.engines[2].memory, r.stages[2].pace = 1e4, 1 // the writer is no way around
+		r.engines[2].memory, r.stages[2].secondsPerToken = 1e4, 1 // the writer is no way around
 		r.SetTime(0.5)
 		h := take(r, 1, 3000)
 		silent := b.sends[0]
-		r.judge(r.engines[silent], 1)
-		r.judge(r.engines[silent], 1)
+		r.recordHealth(r.engines[silent], 1)
+		r.recordHealth(r.engines[silent], 1)
 		r.SetTime(2)
 		h.TimerFired()
 		assert.Contains(t, b.acts, "cancel 0")
@@ -667,21 +667,21 @@
 			h.DispatchEnded(0, Read, 0.1, false, 0, nil)
 		}
 		assert.Contains(t, b.acts, "rate-limit")
-		assert.LessOrEqual(t, r.all(r.engines[2], held)+r.all(r.engines[3], held), 4.4e5)
+		assert.LessOrEqual(t, r.totalLoad(r.engines[2], memoryLoad)+r.totalLoad(r.engines[3], memoryLoad), 4.4e5)
 	})
 	t.Run("a writer reads for others only if it is known to have room", func(t *testing.T) {
 		r, _ := start(t, nil, fleet())
-		assert.False(t, r.canRead(r.engines[2]), "nothing is known yet")
-		r.pools[1].out[held].mean = 1e9 // own work is a full sample
-		assert.True(t, r.canRead(r.engines[2]))
-		r.carry(r.engines[2], 0, 1.1e5)
-		assert.False(t, r.canRead(r.engines[2]))
-		assert.True(t, r.canRead(r.engines[0]))
+		assert.False(t, r.mayRead(r.engines[2]), "nothing is known yet")
+		r.pools[1].out[memoryLoad].average = 1e9 // own work is a full sample
+		assert.True(t, r.mayRead(r.engines[2]))
+		r.addLoad(r.engines[2], 0, 1.1e5)
+		assert.False(t, r.mayRead(r.engines[2]))
+		assert.True(t, r.mayRead(r.engines[0]))
 	})
 	t.Run("what its writer would make late is rate-limited at once where little is known", func(t *testing.T) {
 		for pace, want := range map[float64]string{1e-5: "dispatch", 1e-2: "rate-limit"} {
 			r, b := start(t, nil, fleet())
-			r.stages[1].pace = pace
+			r.stages[1].secondsPerToken = pace
 			take(r, 1, 3000)
 			assert.Contains(t, b.acts[0], want)
 		}
@@ -690,13 +690,13 @@
 		for _, c := range []struct {
 			paces, jam float64
 			want       string
-		}{{pacesGuess, 0, "dispatch"}, {10 * pacesGuess, 0, "rate-limit"}, {pacesGuess, 5e5, "rate-limit"}} {
+		}{{initialPaceSamples, 0, "dispatch"}, {10 * initialPaceSamples, 0, "rate-limit"}, {initialPaceSamples, 5e5, "rate-limit"}} {
 			r, b := start(t, nil, fleet()[:3])
 			for i := range r.stages {
-				r.stages[i].paces = c.paces
+				r.stages[i].samples = c.paces
 			}
 			for _, e := range r.engines {
-				e.load[work].out = c.jam
+				e.load[prefillLoad].out = c.jam
 			}
 			take(r, 1, 40e3)
 			assert.Contains(t, b.acts[0], c.want, c)
@@ -705,7 +705,7 @@
 	t.Run("one that asks for the rest of its answer is held back by its time alone", func(t *testing.T) {
 		for left, want := range map[float64]string{8: "dispatch", 0.01: "rate-limit"} {
 			r, b := start(t, nil, fleet())
-			r.stages[1].pace = 1e-2 // as above: any other is rate-limited
+			r.stages[1].secondsPerToken = 1e-2 // as above: any other is rate-limited
 			p := prompt(0, 3000)
 			p.Resumed, p.TimeLeft = true, left
 			r.Route(1, p)
@@ -716,16 +716,16 @@
 		for jam, want := range map[float64][]string{5e5: {"dispatch 1", "place 3"}, 0: {"dispatch 0", "place 2"}} {
 			r, b := start(t, func(s *Settings) { s.ReservationsAllowed, s.CrossCellPrice = true, 0.08 },
 				append(fleet()[:3:3], ready(3, 2, 1, longAgo)))
-			r.stages[2].pace = r.stages[0].pace
-			r.judge(r.engines[3], 1) // tips the choice of the writer
-			r.engines[0].load[work].out = jam
+			r.stages[2].secondsPerToken = r.stages[0].secondsPerToken
+			r.recordHealth(r.engines[3], 1) // tips the choice of the writer
+			r.engines[0].load[prefillLoad].out = jam
 			take(r, 1, 3000)
 			assert.Equal(t, want, b.flush())
 		}
 	})
 	t.Run("jammed readers are read around by mixed engines", func(t *testing.T) {
 		r, b := start(t, nil, []EngineEntry{ready(0, 0, 0, longAgo), ready(2, 2, 0, longAgo)})
-		r.stages[2].pace = 1e-5
+		r.stages[2].secondsPerToken = 1e-5
 		for i := range 6 {
 			take(r, i+1, 9000)
 		}
@@ -784,10 +784,10 @@
 			old := ready(0, 1, 0, -5)
 			r.UpdateEngines(ListSnapshot, []EngineEntry{old, ready(1, 1, 0, -5)})
 			h := r.Route(1, prompt(0, 200))
-			n := h.sent[0].e.id // the one that is to be replaced
+			n := h.dispatches[0].engine.id // the one that is to be replaced
 			old = ready(n, 1, 0, -5)
 			p := prompt(0, 2000)
-			r.learn(r.engines[n], &p, 0, -1)
+			r.recordPrefix(r.engines[n], &p, 0, -1)
 			r.ProbeEnded(n, Errored, []float64{0.9, 30})
 			r.ProbeEnded(n, Errored, nil)
 			before := old
@@ -795,17 +795,17 @@
 			r.UpdateEngines(ListDelta, []EngineEntry{before})
 			fresh := func() {
 				e := r.engines[n]
-				assert.Zero(t, r.keeps(e, &p), "claims")
-				assert.Zero(t, r.fails(e), "failures")
-				assert.Zero(t, e.load[held].out+e.load[work].out, "load out")
-				assert.Less(t, r.cost(e, 0), 2*overhead, "reported load")
+				assert.Zero(t, r.cachedTokens(e, &p), "claims")
+				assert.Zero(t, r.currentFailureShare(e), "failures")
+				assert.Zero(t, e.load[memoryLoad].out+e.load[prefillLoad].out, "load out")
+				assert.Less(t, r.cost(e, 0), 2*dispatchOverheadTokens, "reported load")
 			}
 			fresh()
 			r.SetTime(1)
 			h.DispatchEnded(0, Broken, 1, true, 0, []float64{0.9, 30})
 			fresh()
 			for i := range r.pools {
-				assert.InDelta(t, 0, r.pools[i].out[held].value, 1e-6, "no pool has anything out")
+				assert.InDelta(t, 0, r.pools[i].out[memoryLoad].value, 1e-6, "no pool has anything out")
 			}
 		})
 	}
@@ -815,13 +815,13 @@
 func TestSameEngine(t *testing.T) {
 	r, _ := start(t, nil, []EngineEntry{ready(0, 1, 0, longAgo)})
 	p := prompt(0, 2000)
-	r.learn(r.engines[0], &p, 0, -1)
+	r.recordPrefix(r.engines[0], &p, 0, -1)
 	for _, phase := range []Phase{Draining, Gone, Ready} {
 		f := ready(0, 1, 0, longAgo)
 		f.Phase = phase
 		r.UpdateEngines(ListDelta, []EngineEntry{f})
 	}
-	assert.Equal(t, 2000.0, r.keeps(r.engines[0], &p))
+	assert.Equal(t, 2000.0, r.cachedTokens(r.engines[0], &p))
 }
 
 // TestClaimsBounded: a full table gives up its older half, never what was claimed just now; keyless text is no claim.
@@ -830,35 +830,35 @@
 	e := r.engines[0]
 	e.memory = 1e12
 	claims := func() (n int) {
-		for _, k := range e.kept {
+		for _, k := range e.prefixes {
 			n += len(k)
 		}
 		return n
 	}
 	p := prompt(0, 100)
 	p.Session = 0
-	r.learn(e, &p, 0, -1)
+	r.recordPrefix(e, &p, 0, -1)
 	assert.Zero(t, claims(), "no session, no shared beginning")
-	for i := range uint64(3 * claimsMost) {
+	for i := range uint64(3 * maxPrefixEntries) {
 		p.Session = i + 1
-		r.learn(e, &p, 0, -1)
-		require.LessOrEqual(t, claims(), claimsMost)
-		if last := p; i >= claimsMost/2 && i%97 == 0 {
-			for back := range uint64(claimsMost / 2) {
+		r.recordPrefix(e, &p, 0, -1)
+		require.LessOrEqual(t, claims(), maxPrefixEntries)
+		if last := p; i >= maxPrefixEntries/2 && i%97 == 0 {
+			for back := range uint64(maxPrefixEntries / 2) {
 				last.Session = i + 1 - back
-				require.Equal(t, 100.0, r.keeps(e, &last), "claim %d of %d", i-back, i)
+				require.Equal(t, 100.0, r.cachedTokens(e, &last), "claim %d of %d", i-back, i)
 			}
 		}
 	}
-	r.SetTime(keepsFor + 1)
-	r.learn(e, &p, 0, -1)
-	r.SetTime(2*keepsFor + 2)
-	r.learn(e, &p, 0, -1)
-	r.judge(e, 0) // as with each claim
+	r.SetTime(prefixTTLSeconds + 1)
+	r.recordPrefix(e, &p, 0, -1)
+	r.SetTime(2*prefixTTLSeconds + 2)
+	r.recordPrefix(e, &p, 0, -1)
+	r.recordHealth(e, 0) // as with each claim
 	assert.LessOrEqual(t, claims(), 2, "what has lapsed is given up with time too")
 	r.UpdateEngines(ListDelta, nil)
 	assert.Positive(t, claims(), "not what may still be kept")
-	r.SetTime(3*keepsFor + 3)
+	r.SetTime(3*prefixTTLSeconds + 3)
 	r.UpdateEngines(ListDelta, nil)
 	assert.Zero(t, claims(), "all have lapsed: they go with the next list")
 }
@@ -895,7 +895,7 @@
 					p.Session = uint64(s*4 + i + 1)
 					h := r.Route(p.Session, p)
 					for _, o := range []Outcome{Read, Finished} {
-						h.DispatchEnded(len(h.sent)-1, o, 0.1, o == Finished, 0, nil)
+						h.DispatchEnded(len(h.dispatches)-1, o, 0.1, o == Finished, 0, nil)
 					}
 				}
 				assert.NotContains(t, b.flush(), "rate-limit", "second %d", s)
@@ -917,11 +917,11 @@
 	}
 	r.ProbeEnded(2, Finished, []float64{10})
 	for _, p := range r.pools {
-		assert.GreaterOrEqual(t, p.read, 0.0)
+		assert.GreaterOrEqual(t, p.meanReadTokens, 0.0)
 	}
 	for _, e := range r.engines {
-		assert.GreaterOrEqual(t, r.cost(e, 0), float64(overhead))
-		assert.GreaterOrEqual(t, e.written, 0.0)
+		assert.GreaterOrEqual(t, r.cost(e, 0), float64(dispatchOverheadTokens))
+		assert.GreaterOrEqual(t, e.insertedTokens, 0.0)
 	}
 }
 
@@ -945,12 +945,12 @@
 		t.Run(name, func(t *testing.T) {
 			r, b := start(t, nil, fleet())
 			for i := range r.stages {
-				r.stages[i] = stage{pace, 1000, lateGuess} // measured: no guess is left
+				r.stages[i] = stage{pace, 1000, initialLateFactor} // measured: no guess is left
 			}
-			target := r.works[0].LatencyTarget / pace
+			target := r.workloads[0].LatencyTarget / pace
 			for _, e := range r.engines {
-				e.load[work].out = one.waits * target * part(e.role == Reader)
-				e.heard = 1
+				e.load[prefillLoad].out = one.waits * target * boolToFloat(e.role == Reader)
+				e.succeededAt = 1
 			}
 			r.Route(1, prompt(0, one.tokens*target))
 			require.Contains(t, b.flush()[0], one.want)
@@ -977,7 +977,7 @@
 	s, facts := settings(), []EngineEntry{}
 	s.Routers, s.ReportColumns = engines, []string{"queue", "util", "x0", "x1"}
 	for i := range engines {
-		f := ready(i, int(part(i%10 >= 3)), i/10, longAgo)
+		f := ready(i, int(boolToFloat(i%10 >= 3)), i/10, longAgo)
 		f.Zone = i / 10 % 3
 		facts = append(facts, f)
 	}
@@ -995,7 +995,7 @@
 	h := r.Route(i, p)
 	for _, o := range []Outcome{Read, Finished} {
 		if !h.Closed() {
-			h.DispatchEnded(len(h.sent)-1, o, 0.1, o == Finished, 1500, []float64{1, 0.2, 0.2, 0.5})
+			h.DispatchEnded(len(h.dispatches)-1, o, 0.1, o == Finished, 1500, []float64{1, 0.2, 0.2, 0.5})
 		}
 	}
 }
@@ -1021,7 +1021,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				f := ready(i%engines, int(part(i%10 >= 3)), i%engines/10, float64(i))
+				f := ready(i%engines, int(boolToFloat(i%10 >= 3)), i%engines/10, float64(i))
 				f.Zone = i % engines / 10 % 3
 				r.UpdateEngines(ListDelta, []EngineEntry{f})
 			}
@@ -1038,8 +1038,8 @@
 		}
 		before := *r
 		r.Route(1, prompt(0, 3000))
-		for ; before.rng != r.rng; n++ {
-			before.chance()
+		for ; before.rngState != r.rngState; n++ {
+			before.random()
 		}
 		return n
 	}
@@ -1055,7 +1055,7 @@
 	}
 	ill := 0
 	for _, e := range r.engines[2:] {
-		if r.fails(e) > 0.3 { // of any workload: there is one figure
+		if r.currentFailureShare(e) > 0.3 { // of any workload: there is one figure
 			ill++
 		}
 	}
--- a/decide/helper_test.go
+++ b/decide/helper_test.go
@@ -112,8 +112,8 @@
 				out = out || o
 			}
 			require.False(t, !out && b.held[uint64(id)], "nothing is left pinned")
-			require.False(t, !out && !l.done && l.c.pending <= 0, "what is not out and waits for no probe is answered")
-			require.False(t, now > l.end && !l.done && !l.c.began, "answered before the client timeout")
+			require.False(t, !out && !l.done && l.c.pendingProbes <= 0, "what is not out and waits for no probe is answered")
+			require.False(t, now > l.end && !l.done && !l.c.started, "answered before the client timeout")
 		}
 		for _, a := range b.flush() {
 			text += a + "\n"
@@ -156,15 +156,15 @@
 					if kind(e) == 0 && o == Finished || kind(e) > 0 && o == Read {
 						continue
 					}
-					if l.c.began && o != Finished {
+					if l.c.started && o != Finished {
 						o = Broken
 					}
-					if kind(e) > 0 && !l.done && !l.c.began && rnd.Intn(2) == 0 {
+					if kind(e) > 0 && !l.done && !l.c.started && rnd.Intn(2) == 0 {
 						b.held[l.c.id] = false
 						l.c.DispatchStarted(n, rnd.Float64())
 						continue
 					}
-					over := o == Finished || l.c.began
+					over := o == Finished || l.c.started
 					l.done = l.done || over
 					l.out[n] = false
 					b.held[l.c.id] = b.held[l.c.id] || o == Read
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -2,60 +2,62 @@
 
 import "math"
 
-// Subsetting: a router works with a part of a large fleet, so that neither a request's cost nor the connections that it
-// keeps grow with the fleet. In a fleet of up to subsetMost engines the part is all of them.
+// Subsetting: a router works with a subset of a large fleet, so that neither the cost of a completion nor the connections
+// that it keeps grow with the fleet. In a fleet of up to maxSubsetEngines the subset is the whole fleet.
 //
-// The part is whole cells, as a state moves best within its cell, drawn by lot for each router, so that all routers
-// together cover the fleet evenly. Most of it is in the router's own zone. It guards against work for each request that
-// grows with the fleet; it harms sessions whose turns come to different routers, whose text the next one reads anew.
+// The subset consists of whole cells, as a state moves best within its cell. Each router selects them by its own hash, so
+// that all routers together cover the fleet evenly. Most of them are in the router's own zone. This guards against work for
+// each completion that grows with the fleet. It costs sessions whose turns come to different routers: the next router's
+// engines read their text again.
 const (
-	subsetMost    = 256.0   // engines
-	subsetOwnZone = 2.0 / 3 // share of them in the router's own zone
-	subsetStep    = 1.25    // the part changes when the fleet's size has changed by so much
+	maxSubsetEngines   = 256.0
+	subsetOwnZoneShare = 2.0 / 3 // of the subset's engines
+	subsetResizeFactor = 1.25    // the subset changes when the fleet's size has changed by this factor
 )
 
-// drawSubset draws the engines that requests may go to, and finds how many routers share them.
-func (r *Router) drawSubset() {
-	var ready [2]float64 // elsewhere, in the router's own zone
+// selectSubset selects the engines that completions may go to, and finds how many other routers share them.
+func (r *Router) selectSubset() {
+	var ready [2]float64 // in other zones, in the router's own zone
 	for _, e := range r.engines {
 		if e.phase == Ready {
-			ready[int(part(e.zone == r.zone))]++
+			ready[int(boolToFloat(e.zone == r.zone))]++
 		}
 	}
-	r.others = math.Max(0, r.routers-1)
-	if r.subset = r.engines; ready[0]+ready[1] <= subsetMost {
+	r.otherRouters = math.Max(0, r.routers-1)
+	if r.subset = r.engines; ready[0]+ready[1] <= maxSubsetEngines {
 		return
 	}
-	wanted := subsetShares(ready)
-	subset := make([]*engine, 0, int(2*subsetMost))
-	var have [3]float64 // by role
+	shares := subsetShares(ready)
+	subset := make([]*engine, 0, int(2*maxSubsetEngines))
+	var byRole [3]float64 // engines selected
 	for _, e := range r.engines {
-		if e.phase == Ready && draw(r.nonce, uint64(e.cell)) < wanted[int(part(e.zone == r.zone))] {
+		if e.phase == Ready && hashFraction(r.nonce, uint64(e.cell)) < shares[int(boolToFloat(e.zone == r.zone))] {
 			subset = append(subset, e)
-			have[e.role]++
+			byRole[e.role]++
 		}
 	}
-	if have[Mixed] == 0 && (have[Reader] == 0 || have[Writer] == 0) { // it can't serve: better slowly than not at all
+	// The subset cannot serve: better all engines, slowly, than none.
+	if byRole[Mixed] == 0 && (byRole[Reader] == 0 || byRole[Writer] == 0) {
 		return
 	}
 	r.subset = subset
-	r.others = math.Max(0, r.routers*float64(len(subset))/(ready[0]+ready[1])-1)
+	r.otherRouters = math.Max(0, r.routers*float64(len(subset))/(ready[0]+ready[1])-1)
 }
 
-// subsetShares are the parts of the engines elsewhere and in the own zone that are drawn, given how many are ready. Where
-// one of them has too few, the other makes up for it.
+// subsetShares returns the shares of the engines in other zones and in the own zone that are selected, given how many are
+// ready. Where one of them has too few engines, the other makes up for it.
 func subsetShares(ready [2]float64) [2]float64 {
-	elsewhere, own := subsetMost*(1-subsetOwnZone), subsetMost*subsetOwnZone
-	lacking, lackingOwn := math.Max(0, elsewhere-ready[0]), math.Max(0, own-ready[1])
-	return [2]float64{subsetShare(elsewhere+lackingOwn, ready[0]), subsetShare(own+lacking, ready[1])}
+	elsewhere, own := maxSubsetEngines*(1-subsetOwnZoneShare), maxSubsetEngines*subsetOwnZoneShare
+	missing, missingOwn := math.Max(0, elsewhere-ready[0]), math.Max(0, own-ready[1])
+	return [2]float64{subsetShare(elsewhere+missingOwn, ready[0]), subsetShare(own+missing, ready[1])}
 }
 
-// subsetShare is the part of so many ready engines that makes up about the number that is wanted. It changes in steps:
-// each change draws other cells, whose engines know nothing of what this router's requests share.
+// subsetShare returns the share of the ready engines that makes up about the wanted number. It changes in steps: each
+// change selects other cells, whose engines have cached nothing of what this router's completions share.
 func subsetShare(wanted, ready float64) float64 {
 	if ready <= wanted {
 		return 1
 	}
-	steps := math.Round(math.Log(ready/wanted) / math.Log(subsetStep))
-	return math.Pow(subsetStep, -steps)
+	steps := math.Round(math.Log(ready/wanted) / math.Log(subsetResizeFactor))
+	return math.Pow(subsetResizeFactor, -steps)
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -10,7 +10,7 @@
 // bigFleet is a fleet of cells of five, two readers and three writers each, in three zones.
 func bigFleet(engines int) (facts []EngineEntry) {
 	for i := range engines {
-		f := ready(i, int(part(i%5 >= 2)), i/5, longAgo)
+		f := ready(i, int(boolToFloat(i%5 >= 2)), i/5, longAgo)
 		f.Zone = i / 5 % 3
 		facts = append(facts, f)
 	}
@@ -28,7 +28,7 @@
 	for _, engines := range []int{20, 100, 256} {
 		r := routerOf(t, 1, 100, bigFleet(engines))
 		assert.Len(t, r.subset, engines)
-		assert.InDelta(t, 99, r.others, 0)
+		assert.InDelta(t, 99, r.otherRouters, 0)
 	}
 	for _, engines := range []int{300, 800, 1600, 3200} {
 		for seed := range uint64(20) {
@@ -42,15 +42,15 @@
 				}
 			}
 			size := len(r.subset)
-			require.Less(t, float64(size), 1.6*subsetMost, "%d engines", engines)
-			require.Greater(t, float64(size), 0.5*subsetMost, "%d engines", engines)
+			require.Less(t, float64(size), 1.6*maxSubsetEngines, "%d engines", engines)
+			require.Greater(t, float64(size), 0.5*maxSubsetEngines, "%d engines", engines)
 			require.Greater(t, roles[Reader]*3, size, "two in five are readers")
 			require.Greater(t, roles[Writer]*2, size, "three in five are writers")
 			require.Greater(t, own*3, size, "%d engines: the own zone's part", engines)
 			for cell, n := range cells {
 				require.Equal(t, 5, n, "cell %d is not whole", cell)
 			}
-			require.InDelta(t, 900*float64(size)/float64(engines)-1, r.others, 1, "those who share it")
+			require.InDelta(t, 900*float64(size)/float64(engines)-1, r.otherRouters, 1, "those who share it")
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		}
 	}
 	r := routerOf(t, 5, 900, facts)
-	require.Greater(t, float64(len(r.subset)), 0.5*subsetMost)
+	require.Greater(t, float64(len(r.subset)), 0.5*maxSubsetEngines)
 	for i := range facts {
 		if facts[i].MachineKind == 0 && i > 20 { // a handful of readers are left
 			facts[i].Phase = Gone
@@ -115,7 +115,7 @@
 	r.UpdateEngines(ListSnapshot, facts)
 	readers := 0
 	for _, e := range r.subset {
-		readers += int(part(e.phase == Ready && e.role == Reader))
+		readers += int(boolToFloat(e.phase == Ready && e.role == Reader))
 	}
 	require.Positive(t, readers)
 }
@@ -130,5 +130,5 @@
 	small, large := allocations(200), allocations(3200)
 	t.Logf("allocations of a request: %.1f before 200 engines, %.1f before 3,200", small, large)
 	assert.LessOrEqual(t, large, 1.4*small)
-	assert.LessOrEqual(t, float64(len(sizedFleet(t, 3200).subset)), 1.6*subsetMost)
+	assert.LessOrEqual(t, float64(len(sizedFleet(t, 3200).subset)), 1.6*maxSubsetEngines)
 }
