--- a/decide/api.go
+++ b/decide/api.go
@@ -19,11 +19,11 @@
 	MaxDispatches           int
 	MaxRetryAfter           float64 // longest retry-after that clients obey, 0 where they get none
 	ListOnRequest           bool    // the engine list is sent only on request
-	ColdStartShare          float64 // least share of its capacity that an engine has at its start
+	ColdStartShare          float64 // share of its capacity that an engine has at its start, at least
 	WarmUpTime              float64 // time from its start until an engine is warm
 	OverloadMultiple        float64 // an engine fails when it is sent more than this multiple of its capacity
 	OverloadWindow          float64 // over this time
-	Tick                    float64 // clock resolution: the least time between two calls that differ in their time
+	Tick                    float64 // clock resolution: the shortest time between two calls at different times
 	CrossCellPrice          float64 // price of moving a state to another cell, as a share of the value
 	CrossZonePrice          float64 // price of a dispatch to another zone, as a share of the value
 }
@@ -39,7 +39,7 @@
 	DedupWindow           float64    // how long they recognise it
 }
 
-// Tenant is one of those who share the engines.
+// Tenant is one of the parties that share the engines.
 type Tenant struct {
 	Rate float64 // completions per second over all routers that its share allows
 }
@@ -106,7 +106,7 @@
 	StartedAt   float64 // on the instance's clock; far below 0 for long ago
 }
 
-// Prompt is what is known of a completion when it arrives.
+// Prompt describes a completion when it arrives.
 type Prompt struct {
 	Workload           int
 	Tenant             int
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -104,7 +104,7 @@
 // then.
 type load struct{ out, reported, outAtReport float64 }
 
-// pool is what the engines of a role have in common.
+// pool holds the measurements that the engines of a role share.
 type pool struct {
 	readyEngines   float64
 	out            [2]smoothedValue // tokens at all its engines
@@ -132,8 +132,8 @@
 	v.value, v.updatedAt = v.value+n, now
 }
 
-// stage is what is measured of reads, of writes, or of long reads at writers: the seconds per token of expected cost,
-// how many times were measured, and the multiple of the expected time that only lateDispatchShare of them exceed.
+// stage holds the measurements of reads, of writes, or of long reads at writers: the seconds per token of expected
+// cost, how many times were measured, and the multiple of the expected time that only lateDispatchShare of them exceed.
 type stage struct{ secondsPerToken, samples, lateFactor float64 }
 
 // rateMeter measures events per second over rateTimeConstantSeconds.
@@ -243,8 +243,8 @@
 func (r *Router) TimerFired() { r.actions.WatchEngines() }
 
 // UpdateEngines applies an engine list. An entry with another hash, role, location or start time is another engine,
-// even under the same index: it starts with an empty record, and what is still out at the previous engine ends on the
-// previous record.
+// even under the same index: it starts with an empty record, and dispatches that are still out at the previous engine
+// end on the previous record.
 func (r *Router) UpdateEngines(kind ListKind, entries []EngineEntry) {
 	if kind == ListFailed {
 		r.actions.SetRouterTimer(listRetrySeconds * (0.5 + r.random())) // reported only where the list is sent on request
@@ -339,8 +339,8 @@
 	}
 }
 
-// recordReport records a load report in tokens: what waits to be read and what is held. Values beyond what an engine
-// can hold are cut off: a single absurd value would otherwise stay in every average of its pool for good.
+// recordReport records a load report in tokens: those that wait to be read and those held. Values beyond what an
+// engine can hold are cut off: a single absurd value would otherwise stay in every average of its pool for good.
 func (r *Router) recordReport(e *engine, report []float64) {
 	if len(report) == 0 {
 		return
@@ -408,8 +408,8 @@
 	r.equivalentRouters = (r.otherRouters + weight*math.Min(r.otherRouters, math.Max(0, total/math.Max(1, own)-1))) / (1 + weight)
 }
 
-// cost is the expected cost in tokens of sending uncached tokens to an engine: what is to be read, these tokens and
-// those before them, and how full the engine is.
+// cost is the expected cost in tokens of sending uncached tokens to an engine: the tokens to be read, these and those
+// before them, and how full the engine is.
 func (r *Router) cost(e *engine, uncached float64) float64 {
 	heldShare := math.Min(1, r.totalLoad(e, memoryLoad)/e.memory)
 	return uncachedTokenWeight*uncached + r.totalLoad(e, prefillLoad) + dispatchOverheadTokens +
@@ -869,7 +869,7 @@
 		boolToFloat(e == c.affinityReader)*(1-e.pool.sampleWeight())*c.prompt.SharedPrefixTokens)
 }
 
-// writersFull bounds what is in flight by memory: it reports whether the writer has no memory left and all writers
+// writersFull bounds the work in flight by memory: it reports whether the writer has no memory left and all writers
 // together are nearly full. This guards against overload, lost writers and long prompts. It rejects too much when
 // reports show memory as held that is not.
 func (c *Completion) writersFull() bool {
@@ -1122,8 +1122,8 @@
 	c.ClientLeft()
 }
 
-// ClientLeft ends the completion: it needs no answer any more, its dispatch is cancelled, and what is held is
-// released.
+// ClientLeft ends a completion that needs no answer any more: its dispatch is cancelled, and its state and reservation
+// are released.
 func (c *Completion) ClientLeft() {
 	c.answered = true
 	if c.inFlight != nil && c.router.cancelAllowed {
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bigFleet is a fleet of cells of five, two readers and three writers each, in three zones.
-func bigFleet(engines int) (facts []EngineEntry) {
+// bigFleet returns a fleet in cells of two readers and three writers, in three zones.
+func bigFleet(engines int) (entries []EngineEntry) {
 	for i := range engines {
-		f := ready(i, int(boolToFloat(i%5 >= 2)), i/5, longAgo)
+		f := entry(i, int(boolToFloat(i%5 >= 2)), i/5, longAgo)
 		f.Zone = i / 5 % 3
-		facts = append(facts, f)
+		entries = append(entries, f)
 	}
-	return facts
+	return entries
 }
 
-func routerOf(t *testing.T, seed uint64, routers int, facts []EngineEntry) *Router {
-	r, _ := start(t, func(s *Settings) { s.Seed, s.Routers = seed*0x9e3779b97f4a7c15+1, routers }, facts)
+func routerOf(t *testing.T, seed uint64, routers int, entries []EngineEntry) *Router {
+	r, _ := newTestRouter(t, func(s *Settings) { s.Seed, s.Routers = seed*0x9e3779b97f4a7c15+1, routers }, entries)
 	return r
 }
 
-// TestSubsetSize: a small fleet is worked with as a whole; of a large one a part that does not grow with it, most of it
-// in the own zone, with readers and writers, in whole cells.
+// TestSubsetSize: the subset of a small fleet is the whole fleet. The subset of a large fleet does not grow with it, is mostly in
+// the own zone, has readers and writers, and consists of whole cells.
 func TestSubsetSize(t *testing.T) {
 	for _, engines := range []int{20, 100, 256} {
 		r := routerOf(t, 1, 100, bigFleet(engines))
@@ -46,21 +46,21 @@
 			require.Greater(t, float64(size), 0.5*maxSubsetEngines, "%d engines", engines)
 			require.Greater(t, roles[Reader]*3, size, "two in five are readers")
 			require.Greater(t, roles[Writer]*2, size, "three in five are writers")
-			require.Greater(t, own*3, size, "%d engines: the own zone's part", engines)
+			require.Greater(t, own*3, size, "%d engines: share of the own zone", engines)
 			for cell, n := range cells {
-				require.Equal(t, 5, n, "cell %d is not whole", cell)
+				require.Equal(t, 5, n, "cell %d is incomplete", cell)
 			}
-			require.InDelta(t, 900*float64(size)/float64(engines)-1, r.otherRouters, 1, "those who share it")
+			require.InDelta(t, 900*float64(size)/float64(engines)-1, r.otherRouters, 1, "routers that share it")
 		}
 	}
 }
 
-// TestSubsetsCoverTheFleet: all routers together work with every engine, and with each about as much.
+// TestSubsetsCoverTheFleet: all routers together use every engine, each by about as many routers.
 func TestSubsetsCoverTheFleet(t *testing.T) {
 	const routers, engines = 900, 1600
-	facts, times, sum := bigFleet(engines), make([]float64, engines), 0.0
+	entries, times, sum := bigFleet(engines), make([]float64, engines), 0.0
 	for seed := range uint64(routers) {
-		r, _ := start(t, func(s *Settings) { s.Seed, s.Routers, s.Zone = seed*0x9e3779b97f4a7c15+1, routers, int(seed%3) }, facts)
+		r, _ := newTestRouter(t, func(s *Settings) { s.Seed, s.Routers, s.Zone = seed*0x9e3779b97f4a7c15+1, routers, int(seed%3) }, entries)
 		for _, e := range r.subset {
 			times[e.id]++
 			sum++
@@ -72,16 +72,16 @@
 	}
 }
 
-// TestSubsetIsStable: an engine that is replaced, drains or comes back changes nothing else of the part.
+// TestSubsetIsStable: an engine that is replaced, drains or comes back changes nothing else in the subset.
 func TestSubsetIsStable(t *testing.T) {
-	facts := bigFleet(1600)
-	r := routerOf(t, 3, 900, facts)
+	entries := bigFleet(1600)
+	r := routerOf(t, 3, 900, entries)
 	before := map[int]bool{}
 	for _, e := range r.subset {
 		before[e.id] = true
 	}
 	changed := r.subset[7].id
-	f := facts[changed]
+	f := entries[changed]
 	for _, phase := range []Phase{Draining, Gone, Ready} {
 		f.Phase, f.StartedAt = phase, 1
 		r.UpdateEngines(ListDelta, []EngineEntry{f})
@@ -97,22 +97,22 @@
 	}
 }
 
-// TestSubsetWithoutZone: where the own zone is lost, or only one role is left in the part, requests are served elsewhere.
-func TestSubsetWithoutZone(t *testing.T) {
-	facts := bigFleet(1600)
-	for i := range facts {
-		if facts[i].Zone == 0 {
-			facts[i].Phase = Gone
+// TestSubsetWithoutOwnZone: where the own zone is lost, or only one role is left in the subset, other engines are used.
+func TestSubsetWithoutOwnZone(t *testing.T) {
+	entries := bigFleet(1600)
+	for i := range entries {
+		if entries[i].Zone == 0 {
+			entries[i].Phase = Gone
 		}
 	}
-	r := routerOf(t, 5, 900, facts)
+	r := routerOf(t, 5, 900, entries)
 	require.Greater(t, float64(len(r.subset)), 0.5*maxSubsetEngines)
-	for i := range facts {
-		if facts[i].MachineKind == 0 && i > 20 { // a handful of readers are left
-			facts[i].Phase = Gone
+	for i := range entries {
+		if entries[i].MachineKind == 0 && i > 20 { // a handful of readers are left
+			entries[i].Phase = Gone
 		}
 	}
-	r.UpdateEngines(ListSnapshot, facts)
+	r.UpdateEngines(ListSnapshot, entries)
 	readers := 0
 	for _, e := range r.subset {
 		readers += int(boolToFloat(e.phase == Ready && e.role == Reader))
@@ -120,15 +120,15 @@
 	require.Positive(t, readers)
 }
 
-// TestWorkDoesNotGrow: a request costs no more memory before 3,200 engines than before 200, and looks at no more
-// engines than subsetMost and chance allow.
-func TestWorkDoesNotGrow(t *testing.T) {
+// TestWorkIsIndependentOfFleetSize: a completion allocates no more with 3,200 engines than with 200, and the subset is no larger than
+// maxSubsetEngines plus random variation.
+func TestWorkIsIndependentOfFleetSize(t *testing.T) {
 	allocations := func(engines int) float64 {
-		r, i := sizedFleet(t, engines), uint64(0)
+		r, i := fleetOfSize(t, engines), uint64(0)
 		return testing.AllocsPerRun(500, func() { serveOne(r, i); i++ })
 	}
 	small, large := allocations(200), allocations(3200)
-	t.Logf("allocations of a request: %.1f before 200 engines, %.1f before 3,200", small, large)
+	t.Logf("allocations per completion: %.1f with 200 engines, %.1f with 3,200", small, large)
 	assert.LessOrEqual(t, large, 1.4*small)
-	assert.LessOrEqual(t, float64(len(sizedFleet(t, 3200).subset)), 1.6*maxSubsetEngines)
+	assert.LessOrEqual(t, float64(len(fleetOfSize(t, 3200).subset)), 1.6*maxSubsetEngines)
 }
