--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -28,18 +28,18 @@
 
 // scriptedPlanner is a planner that records events and reacts as the test defines.
 type scriptedPlanner struct {
-	mu      sync.Mutex
-	edge    *Edge
-	events  []link.Event
-	onEvent func(s *scriptedPlanner, ev link.Event) // nil for a stalled planner
-	rejects bool
+	mu        sync.Mutex
+	edge      *Edge
+	events    []link.Event
+	onEvent   func(s *scriptedPlanner, ev link.Event) // nil for a stalled planner
+	rejectAll bool
 }
 
 func (s *scriptedPlanner) Offer(ev link.Event) bool {
-	if !s.rejects {
+	if !s.rejectAll {
 		s.Notify(ev)
 	}
-	return !s.rejects
+	return !s.rejectAll
 }
 
 func (s *scriptedPlanner) Notify(ev link.Event) {
@@ -271,7 +271,7 @@
 
 // TestPlannerRejects checks that a completion the planner does not accept is rejected at once with a retry-after.
 func TestPlannerRejects(t *testing.T) {
-	s := &scriptedPlanner{rejects: true}
+	s := &scriptedPlanner{rejectAll: true}
 	resp, text := post(t, startEdge(t, s, nil), plainBody)
 	assert.Equal(t, 429, resp.StatusCode)
 	assert.Equal(t, "1000", resp.Header.Get("Retry-After-Ms"))
@@ -427,7 +427,7 @@
 }
 
 func TestAPIKeys(t *testing.T) {
-	url := startEdge(t, &scriptedPlanner{rejects: true}, func(o *Options) {
+	url := startEdge(t, &scriptedPlanner{rejectAll: true}, func(o *Options) {
 		o.Tenants = []Tenant{{Name: "a", KeyHashes: [][32]byte{sha("key-a")}}}
 	})
 	for header, status := range map[string]int{"": 401, "Bearer key-b": 401, "Bearer key-a": 429, "key-a": 401} {
--- a/internal/edge/rules_test.go
+++ b/internal/edge/rules_test.go
@@ -46,22 +46,22 @@
 	return rapid.Custom(func(t *rapid.T) (s sequence) {
 		n := rapid.IntRange(c.minCalls, c.maxCalls).Draw(t, "calls")
 		for range n {
-			newCall := clientCall{Router: rapid.IntRange(0, 2).Draw(t, "router"), Workload: rapid.SampledFrom(c.workloads).Draw(t, "work"),
+			newCall := clientCall{Router: rapid.IntRange(0, 2).Draw(t, "router"), Workload: rapid.SampledFrom(c.workloads).Draw(t, "workload"),
 				PromptTokens: rapid.IntRange(1, c.maxPromptTokens).Draw(t, "tokens"), Session: rapid.IntRange(0, 9).Draw(t, "session"), Stream: rapid.Bool().Draw(t, "stream")}
-			switch rapid.IntRange(0, 7).Draw(t, "manner") {
+			switch rapid.IntRange(0, 7).Draw(t, "variation") {
 			case 0:
 				newCall.TimeoutSeconds = rapid.Float64Range(0.05, 2).Draw(t, "timeout")
 			case 1:
 				if c.clientsLeave {
-					newCall.LeaveAfterSeconds = rapid.Float64Range(0.001, 1).Draw(t, "leave")
+					newCall.LeaveAfterSeconds = rapid.Float64Range(0.001, 1).Draw(t, "leave after")
 				}
 			}
 			s.Calls = append(s.Calls, newCall)
 			s.GapsMs = append(s.GapsMs, rapid.IntRange(0, c.maxGapMs).Draw(t, "gap"))
 		}
-		for range rapid.IntRange(1, c.maxDisturbances).Draw(t, "troubles") {
-			s.Disturbances = append(s.Disturbances, disturbance{Kind: rapid.SampledFrom(c.disturbances).Draw(t, "kind"), DelayMs: rapid.IntRange(0, 600).Draw(t, "at"),
-				Engine: rapid.IntRange(0, 5).Draw(t, "engine"), Severity: rapid.Float64Range(0.05, 1).Draw(t, "size"), DurationMs: rapid.IntRange(20, 2500).Draw(t, "length")})
+		for range rapid.IntRange(1, c.maxDisturbances).Draw(t, "disturbances") {
+			s.Disturbances = append(s.Disturbances, disturbance{Kind: rapid.SampledFrom(c.disturbances).Draw(t, "kind"), DelayMs: rapid.IntRange(0, 600).Draw(t, "delay"),
+				Engine: rapid.IntRange(0, 5).Draw(t, "engine"), Severity: rapid.Float64Range(0.05, 1).Draw(t, "severity"), DurationMs: rapid.IntRange(20, 2500).Draw(t, "duration")})
 		}
 		return s
 	})
