--- a/internal/planner/churn_test.go
+++ b/internal/planner/churn_test.go
@@ -18,35 +18,36 @@
 	"cherryhub/internal/link"
 )
 
-var churnHours = flag.Float64("churn.hours", 1, "virtual hours that TestLongChurn plays")
+var churnHours = flag.Float64("churn.hours", 1, "virtual hours that TestLongChurn simulates")
 
-// TestLongChurn plays hours in virtual time for what hangs on long constants: engines with new addresses, zones and
-// cells come each 20 s and stay for 200 s, so that indices, which rest for 600 s, are reused; sessions are ever new, so
-// that claims, which lapse after 120 s, pass their bound. Tables stay within their bounds, memory stays level, a
-// decision costs at the end what it cost at the start, and what lapsed is given back.
+// TestLongChurn simulates hours of virtual time to reach the long expiry times. Engines with new addresses, zones and
+// cells come every 20 s and stay for 200 s, so that indices, which are reused after 600 s at the earliest, are reused;
+// sessions are always new, so that records of cached prefixes, which expire after 120 s, exceed their bound. Tables
+// stay within their bounds, memory stays level, a decision takes as long at the end as at the start, and expired
+// entries are freed.
 func TestLongChurn(t *testing.T) {
-	const most, lives, every = 128, 10, 20 // engines, and how many steps of so many seconds one lives
-	p, b := planner(t, func(s *decide.Settings, o *Options) {
-		o.MaxEngines, o.MaxQueuedCompletions, o.MaxOpenCompletions = most, 1<<20, 1<<20
+	const maxEngines, lifetimeSteps, stepSeconds = 128, 10, 20 // an engine stays for lifetimeSteps steps of stepSeconds
+	p, edge := newTestPlanner(t, func(s *decide.Settings, o *Options) {
+		o.MaxEngines, o.MaxQueuedCompletions, o.MaxOpenCompletions = maxEngines, 1<<20, 1<<20
 		s.ReportColumns, s.ReservationsAllowed, s.Routers = []string{"x0", "x1"}, true, 3
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	})
 	rng := rand.New(rand.NewPCG(1, 2))
 	next, session, sent := uint64(0), uint64(0), 0
-	var took []time.Duration
-	pass := func(seconds float64) { p.start = p.start.Add(-time.Duration(seconds * float64(time.Second))) }
+	var durations []time.Duration
+	advance := func(seconds float64) { p.start = p.start.Add(-time.Duration(seconds * float64(time.Second))) }
 	serve := func(n int) {
 		for range n {
 			next++
 			session++
-			f := take(next, 0, 200+3000*rng.Float64(), 5*time.Second)
+			f := arrival(next, 0, 200+3000*rng.Float64(), 5*time.Second)
 			f.Prompt.Session, f.Prompt.SharedPrefix, f.Prompt.SharedPrefixTokens = session, rng.Uint64N(1<<40)+1, 150
 			p.Offer(f)
 			began := time.Now()
 			p.step()
-			took = append(took, time.Since(began))
-			for sent < len(b.orders) { // each dispatch ends well, reads lead to writes
-				o := b.orders[sent]
+			durations = append(durations, time.Since(began))
+			for sent < len(edge.commands) { // each dispatch succeeds, and each read leads to a write
+				o := edge.commands[sent]
 				if sent++; o.Kind != link.Dispatch {
 					continue
 				}
@@ -58,7 +59,7 @@
 				p.Notify(end)
 				p.step()
 			}
-			b.orders, sent = b.orders[:0], 0
+			edge.commands, sent = edge.commands[:0], 0
 		}
 	}
 	heap := func() uint64 {
@@ -69,15 +70,15 @@
 		return m.HeapAlloc
 	}
 	list := func(step int) {
-		all := []link.EngineEntry{entry(0, "read", decide.Ready), entry(1, "write", decide.Ready)}
-		for i := max(0, step-lives); i < step; i++ {
+		all := []link.EngineEntry{engineEntry(0, "read", decide.Ready), engineEntry(1, "write", decide.Ready)}
+		for i := max(0, step-lifetimeSteps); i < step; i++ {
 			for k, machine := range []string{"read", "write"} {
-				e := entry(0, machine, decide.Ready)
+				e := engineEntry(0, machine, decide.Ready)
 				e.Address, e.Zone, e.Cell = fmt.Sprintf("10.%d.%d.%d:1", i>>8, i&255, k), fmt.Sprint("z", i), fmt.Sprint("c", i)
 				all = append(all, e)
 			}
 		}
-		p.Notify(fleet(decide.ListSnapshot, all...))
+		p.Notify(listEvent(decide.ListSnapshot, all...))
 		p.step()
 	}
 	median := func(d []time.Duration) (p50, p99 time.Duration) {
@@ -85,47 +86,47 @@
 		slices.Sort(d)
 		return d[len(d)/2], d[len(d)*99/100]
 	}
-	steps := int(*churnHours * 3600 / every)
-	list(lives)
+	steps := int(*churnHours * 3600 / stepSeconds)
+	list(lifetimeSteps)
 	serve(2000)
-	took = took[:0]
+	durations = durations[:0]
 	before := heap()
 	t.Log("| virtual min | heap KiB | engines known | zones | cells | timers | decision p50 µs | p99 µs |")
 	var curve []uint64
 	var early, late time.Duration
 	for step := range steps {
-		list(lives + step)
-		for range every / 2 {
-			pass(2)
+		list(lifetimeSteps + step)
+		for range stepSeconds / 2 {
+			advance(2)
 			serve(24)
 		}
-		there := 0
+		ready := 0
 		for _, k := range p.engines.records {
 			if k.phase == decide.Ready {
-				there++
+				ready++
 			}
 		}
-		require.Equal(t, 2+2*lives, there, "nobody is left out")
-		require.LessOrEqual(t, len(p.engines.records), most)
-		require.LessOrEqual(t, len(p.engines.zones.slots), 2*most+1)
-		require.LessOrEqual(t, len(p.engines.cells.slots), 2*most+1)
+		require.Equal(t, 2+2*lifetimeSteps, ready, "no engine is ignored")
+		require.LessOrEqual(t, len(p.engines.records), maxEngines)
+		require.LessOrEqual(t, len(p.engines.zones.slots), 2*maxEngines+1)
+		require.LessOrEqual(t, len(p.engines.cells.slots), 2*maxEngines+1)
 		require.Empty(t, p.open)
 		if (step+1)%(steps/9) == 0 {
-			p50, p99 := median(took)
+			p50, p99 := median(durations)
 			curve = append(curve, heap())
-			t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d |", (step+1)*every/60, curve[len(curve)-1]>>10, len(p.engines.records), len(p.engines.zones.slots),
+			t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d |", (step+1)*stepSeconds/60, curve[len(curve)-1]>>10, len(p.engines.records), len(p.engines.zones.slots),
 				len(p.engines.cells.slots), len(p.timers), p50.Microseconds(), p99.Microseconds())
 			if late = p50; early == 0 {
 				early = p50
 			}
-			took = took[:0]
+			durations = durations[:0]
 		}
 	}
-	assert.Less(t, curve[len(curve)-1], curve[2]+curve[2]/4, "level once the first indices are reused")
-	assert.Less(t, late, 5*early, "a decision's time, for a machine that others use too")
-	pass(700) // rest: claims lapse
+	assert.Less(t, curve[len(curve)-1], curve[2]+curve[2]/4, "memory stays level once the first indices are reused")
+	assert.Less(t, late, 5*early, "time of a decision, with an allowance for other load on the machine")
+	advance(700) // no load: records of prefixes expire
 	list(0)
 	after := heap()
-	t.Logf("at rest %d KiB, before %d KiB", after>>10, before>>10)
-	assert.Less(t, after, before+1<<20, "what lapsed is given back")
+	t.Logf("without load %d KiB, before %d KiB", after>>10, before>>10)
+	assert.Less(t, after, before+1<<20, "expired entries are freed")
 }
--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -11,15 +11,15 @@
 	"cherryhub/internal/link"
 )
 
-const unknownStartSeconds = -1e9 // seconds; the start of an engine of which none is told
+const unknownStartSeconds = -1e9 // on the planner's clock; an engine of unknown age counts as warm
 
-// engines maps what a list names to the small indices of decide, and back. Indices are handed out once and
-// only taken back from engines that are long gone, so a list that names ever new engines, zones or cells stays
-// bounded.
+// engineTable maps the engines, zones, cells and machine kinds of an engine list to the small indices that
+// package decide takes, and engine indices back to addresses. Its size is bounded even if lists keep naming new
+// engines, zones or cells: indices of engines that are gone, and of names out of use, are reused.
 type engineTable struct {
 	maxEngines   int
 	log          *slog.Logger
-	byAddress    map[string]int // address to index
+	byAddress    map[string]int // index in records, by address
 	records      []engineRecord
 	zones        nameTable
 	cells        nameTable
@@ -30,18 +30,19 @@
 type engineRecord struct {
 	address     string
 	listed      bool
-	zone        int // index of its name
-	cell        int // as zone
+	zone        int // index in engineTable.zones
+	cell        int // index in engineTable.cells
 	machineKind int
 	role        decide.Role
 	phase       decide.Phase
-	startID     int64   // 0 while none was told
+	startID     int64   // identifies one start of the engine, 0 for unknown
 	startedAt   float64 // on the planner's clock
-	goneSince   float64 // since when it is gone; +Inf while it is not
+	goneSince   float64 // when it left the list; +Inf while it is listed
 }
 
-// names maps names to indices. A name is held by the engines that have it; one that nobody holds keeps its index
-// for nameRests, as dispatches may be out whose engine had it, and then makes room for another.
+// nameTable maps zone or cell names to indices and counts the engines that use each name. An unused name keeps its
+// index for nameReuseDelaySeconds, since dispatches to engines that had it may still be running; after that the
+// index may be given to another name.
 type nameTable struct {
 	maxNames int
 	byName   map[string]int
@@ -51,11 +52,11 @@
 type nameSlot struct {
 	name    string
 	refs    int
-	freedAt float64 // since when nobody holds it
+	freedAt float64 // when refs became 0
 }
 
-// nameRests is longer than a completion lives until its last dispatch, in seconds: what may be repeated where hangs on
-// zones and cells being told apart.
+// nameReuseDelaySeconds exceeds the time from a completion's arrival to its last dispatch. Until then its zones and
+// cells must stay distinguishable: they determine at which engines a dispatch may be repeated.
 const nameReuseDelaySeconds = 600.0
 
 func (n *nameTable) acquire(now float64, name string) (int, error) {
@@ -64,15 +65,15 @@
 		i, found = len(n.slots), true
 		n.slots = append(n.slots, nameSlot{name: name})
 	}
-	for at := 0; !found && at < len(n.slots); at++ {
-		if o := &n.slots[at]; o.refs == 0 && now-o.freedAt > nameReuseDelaySeconds {
-			delete(n.byName, o.name)
-			i, found = at, true
-			*o = nameSlot{name: name}
+	for j := 0; !found && j < len(n.slots); j++ {
+		if slot := &n.slots[j]; slot.refs == 0 && now-slot.freedAt > nameReuseDelaySeconds {
+			delete(n.byName, slot.name)
+			i, found = j, true
+			*slot = nameSlot{name: name}
 		}
 	}
 	if !found {
-		return 0, fmt.Errorf("%q: more than %d names of zones or cells (list.max_engines allows two an engine), and none rested for %v s", name, n.maxNames, nameReuseDelaySeconds)
+		return 0, fmt.Errorf("%q: more than %d names of zones or cells (list.max_engines allows two per engine), and none unused for %v s", name, n.maxNames, nameReuseDelaySeconds)
 	}
 	n.byName[name] = i
 	n.slots[i].refs++
@@ -84,134 +85,138 @@
 	n.slots[i].freedAt = now
 }
 
-// ownZone is the index of the router's own zone.
+// ownZoneIndex is the index of the router's own zone.
 const ownZoneIndex = 0
 
-func newEngineTable(most int, machines []MachineKind, zone string, log *slog.Logger) *engineTable {
-	t := &engineTable{maxEngines: most, log: log, byAddress: map[string]int{}, zones: nameTable{maxNames: 2*most + 1, byName: map[string]int{}},
-		cells: nameTable{maxNames: 2*most + 1, byName: map[string]int{}}, machineKinds: map[string]int{}}
-	t.zones.acquire(0, zone) //nolint:errcheck // the first one has room, is ownZone, and is never dropped
-	for i, m := range machines {
+func newEngineTable(maxEngines int, machineKinds []MachineKind, zone string, log *slog.Logger) *engineTable {
+	t := &engineTable{maxEngines: maxEngines, log: log, byAddress: map[string]int{}, zones: nameTable{maxNames: 2*maxEngines + 1, byName: map[string]int{}},
+		cells: nameTable{maxNames: 2*maxEngines + 1, byName: map[string]int{}}, machineKinds: map[string]int{}}
+	t.zones.acquire(0, zone) //nolint:errcheck // the table is empty, so this gets ownZoneIndex; it is never released
+	for i, m := range machineKinds {
 		t.machineKinds[m.Name] = i
 		t.roles = append(t.roles, m.Role)
 	}
 	return t
 }
 
-// facts are a list's entries as decide takes them.
+// entries translates an engine list for package decide. Engines that exceed the bounds of the table are logged and
+// left out.
 func (t *engineTable) entries(now float64, l *link.EngineList) []decide.EngineEntry {
-	facts := make([]decide.EngineEntry, 0, len(l.Entries))
+	entries := make([]decide.EngineEntry, 0, len(l.Entries))
 	if l.Kind == decide.ListSnapshot || l.Kind == decide.ListCachedSnapshot {
 		listed := make(map[string]bool, len(l.Entries))
 		for _, e := range l.Entries {
 			listed[e.Address] = true
 		}
-		for i := range t.records { // first, so that who comes may have the index of who left
+		for i := range t.records { // first, so that a new engine can get the index of one that left
 			if !listed[t.records[i].address] {
 				t.markGone(now, i)
 			}
 		}
 	}
 	for _, e := range l.Entries {
-		if e.Phase == decide.Gone { // nothing else need be told with it
+		if e.Phase == decide.Gone { // its other fields may be empty
 			if i, found := t.byAddress[e.Address]; found {
-				facts = append(facts, t.markGone(now, i))
+				entries = append(entries, t.markGone(now, i))
 			}
 			continue
 		}
 		i, err := t.indexOf(now, e.Address)
 		if err != nil {
-			t.log.Error("engine left out", "engine", e.Address, "err", err)
+			t.log.Error("engine ignored", "engine", e.Address, "err", err)
 			continue
 		}
-		k := &t.records[i]
-		if err := t.setLocation(now, k, &e); err != nil {
-			t.log.Error("engine left out", "engine", e.Address, "err", err)
-			if k.listed {
-				facts = append(facts, t.markGone(now, i))
+		rec := &t.records[i]
+		if err := t.setLocation(now, rec, &e); err != nil {
+			t.log.Error("engine ignored", "engine", e.Address, "err", err)
+			if rec.listed {
+				entries = append(entries, t.markGone(now, i))
 			}
 			continue
 		}
-		k.updateStart(now, &e)
-		machine, told := t.machineKinds[e.MachineKind]
-		if !told { // decide takes it for a mixed one with a middling memory
-			t.log.Warn("engine of a machine kind that is not in the settings", "engine", e.Address, "machine", e.MachineKind)
-			machine = len(t.roles)
+		rec.updateStart(now, &e)
+		machineKind, configured := t.machineKinds[e.MachineKind]
+		if !configured { // package decide assumes the mixed role and a default memory
+			t.log.Warn("the engine's machine kind is not in the settings", "engine", e.Address, "machine", e.MachineKind)
+			machineKind = len(t.roles)
 		}
-		k.listed, k.phase, k.goneSince, k.machineKind, k.role = true, e.Phase, math.Inf(1), machine, decide.Mixed
-		if told {
-			k.role = t.roles[machine]
+		rec.listed, rec.phase, rec.goneSince, rec.machineKind, rec.role = true, e.Phase, math.Inf(1), machineKind, decide.Mixed
+		if configured {
+			rec.role = t.roles[machineKind]
 		}
-		facts = append(facts, t.entry(i))
+		entries = append(entries, t.entry(i))
 	}
-	return facts
+	return entries
 }
 
-// gone books that an engine has gone; it holds its names until its index is another's.
+// markGone records that an engine left the list. It keeps its zone and cell names until its index is given to
+// another engine.
 func (t *engineTable) markGone(now float64, i int) decide.EngineEntry {
-	k := &t.records[i]
-	if k.phase != decide.Gone {
-		k.phase, k.goneSince = decide.Gone, now
+	rec := &t.records[i]
+	if rec.phase != decide.Gone {
+		rec.phase, rec.goneSince = decide.Gone, now
 	}
 	return t.entry(i)
 }
 
 func (t *engineTable) entry(i int) decide.EngineEntry {
-	k := &t.records[i]
-	return decide.EngineEntry{Index: i, Hash: xxhash.Sum64String(k.address), Zone: k.zone, MachineKind: k.machineKind, Cell: k.cell, Phase: k.phase, StartedAt: k.startedAt}
+	rec := &t.records[i]
+	return decide.EngineEntry{Index: i, Hash: xxhash.Sum64String(rec.address), Zone: rec.zone, MachineKind: rec.machineKind, Cell: rec.cell, Phase: rec.phase, StartedAt: rec.startedAt}
 }
 
-// starts finds when an engine started. A restart shows as another start. Within one start the age is read once:
-// each list tells it a little later, and decide takes another start time for another engine. Where a list leaves
-// the start out, what was told before stays, unless the engine was gone meanwhile. Where a restart was seen and no
-// age is told, it is as young as it can be: taken for long ago it would be pushed over while cold. That harms an
-// engine that the list had only lost from sight, by a cold one's share of work for as long as engines warm up.
-func (k *engineRecord) updateStart(now float64, e *link.EngineEntry) {
-	again := k.listed && (e.StartID != k.startID && e.StartID != 0 && k.startID != 0 ||
-		e.StartID == 0 && k.phase == decide.Gone)
-	if k.listed && !again && (e.StartID == 0 || e.StartID == k.startID) {
+// updateStart determines when an engine started. A changed start ID means a restart. The age is read only once per
+// start: each list gives a slightly different one, and package decide takes another start time for another engine.
+// Where a list gives no start ID, the known start stays, unless the engine was gone in between. After a restart of
+// unknown age the engine counts as just started, because an engine wrongly taken for warm would be overloaded while
+// cold. As a result, an engine that was only missing from the list for a while gets no more than a cold engine's share
+// of the work for the warm-up time.
+func (rec *engineRecord) updateStart(now float64, e *link.EngineEntry) {
+	restarted := rec.listed && (e.StartID != rec.startID && e.StartID != 0 && rec.startID != 0 ||
+		e.StartID == 0 && rec.phase == decide.Gone)
+	if rec.listed && !restarted && (e.StartID == 0 || e.StartID == rec.startID) {
 		return
 	}
-	switch k.startID = e.StartID; {
+	switch rec.startID = e.StartID; {
 	case e.Age >= 0:
-		k.startedAt = now - e.Age
-	case again:
-		k.startedAt = now
+		rec.startedAt = now - e.Age
+	case restarted:
+		rec.startedAt = now
 	default:
-		k.startedAt = unknownStartSeconds
+		rec.startedAt = unknownStartSeconds
 	}
 }
 
-// place has an engine hold the names of where it is.
-func (t *engineTable) setLocation(now float64, k *engineRecord, e *link.EngineEntry) error {
-	name := e.Zone + "\x00" + e.Cell // a cell is of its zone
-	if k.listed && t.cells.slots[k.cell].name == name {
+// setLocation sets an engine's zone and cell, and counts it as a user of their names.
+func (t *engineTable) setLocation(now float64, rec *engineRecord, e *link.EngineEntry) error {
+	cellKey := e.Zone + "\x00" + e.Cell // cell names are unique only within a zone
+	if rec.listed && t.cells.slots[rec.cell].name == cellKey {
 		return nil
 	}
 	zone, err := t.zones.acquire(now, e.Zone)
 	if err != nil {
 		return err
 	}
-	cell, err := t.cells.acquire(now, name)
+	cell, err := t.cells.acquire(now, cellKey)
 	if err != nil {
 		t.zones.release(now, zone)
 		return err
 	}
-	t.releaseLocation(now, k)
-	k.zone, k.cell = zone, cell
+	t.releaseLocation(now, rec)
+	rec.zone, rec.cell = zone, cell
 	return nil
 }
 
-// leave gives up the names that an engine holds, if it was ever listed.
-func (t *engineTable) releaseLocation(now float64, k *engineRecord) {
-	if k.listed {
-		t.zones.release(now, k.zone)
-		t.cells.release(now, k.cell)
+// releaseLocation releases the names of an engine's zone and cell, if it was ever listed.
+func (t *engineTable) releaseLocation(now float64, rec *engineRecord) {
+	if rec.listed {
+		t.zones.release(now, rec.zone)
+		t.cells.release(now, rec.cell)
 	}
 }
 
-// index is an engine's. Where all are taken, a new one gets that of the one gone for longest: decide takes another
-// address for another engine at once, and facts name engines by their address, so nothing of the old one clings to it.
+// indexOf returns the index of an engine. If all are in use, a new engine gets that of the engine that has been gone
+// for longest. It inherits nothing from it: package decide sees by the address hash that it is another engine, and
+// events name engines by address.
 func (t *engineTable) indexOf(now float64, address string) (int, error) {
 	if i, found := t.byAddress[address]; found {
 		return i, nil
@@ -221,21 +226,21 @@
 		t.byAddress[address] = len(t.records) - 1
 		return len(t.records) - 1, nil
 	}
-	longest := 0
+	oldest := 0
 	for i := range t.records {
-		if t.records[i].goneSince < t.records[longest].goneSince {
-			longest = i
+		if t.records[i].goneSince < t.records[oldest].goneSince {
+			oldest = i
 		}
 	}
-	k := &t.records[longest]
-	if math.IsInf(k.goneSince, 1) {
+	rec := &t.records[oldest]
+	if math.IsInf(rec.goneSince, 1) {
 		return 0, fmt.Errorf("more than %d engines (list.max_engines)", t.maxEngines)
 	}
-	delete(t.byAddress, k.address)
-	t.releaseLocation(now, k)
-	t.byAddress[address] = longest
-	*k = engineRecord{address: address, goneSince: now}
-	return longest, nil
+	delete(t.byAddress, rec.address)
+	t.releaseLocation(now, rec)
+	t.byAddress[address] = oldest
+	*rec = engineRecord{address: address, goneSince: now}
+	return oldest, nil
 }
 
 func (t *engineTable) addressOf(i int) string { return t.records[i].address }
--- a/internal/planner/mailbox.go
+++ b/internal/planner/mailbox.go
@@ -9,87 +9,87 @@
 	"cherryhub/internal/link"
 )
 
-// mailbox holds the facts that the planner has not yet read. Offers are bounded by a limit of their own and
-// by the completions that are open; all other facts are never refused. What tells of a completion is bounded with
-// the completions, and of each engine's reports the last one waits. News of the engines waits as one list, and is
-// read ahead of all else: a planner that stood still would otherwise send what was offered before the news to
-// engines of which this router has been told long since that they drain or are gone.
+// mailbox holds the events that the planner has not yet read. Offered completions are refused beyond maxOffers
+// queued or maxOpen open ones; no other event is refused. The events of completions are bounded by the number of
+// open completions, and only the last probe result of each engine is kept. Changes of the engine list are merged
+// into one list, which is read before all events: otherwise a planner that had stalled would send completions
+// offered before a change to engines that this router already knows to be draining or gone.
 //
-// Its guard: a stalled planner must neither block those who tell it something nor let memory grow. It would harm if
-// a burst within a healthy planner's few milliseconds passed the limit: then completions are refused that could be
-// served.
+// The limits keep a stalled planner from blocking its callers and from taking unbounded memory. They would also
+// refuse completions that could be served if a burst exceeded maxOffers within the few milliseconds that a healthy
+// planner takes to read the mailbox.
 type mailbox struct {
 	mu           sync.Mutex
 	events       []link.Event
-	reportIndex  map[string]int                  // where an engine's report waits, by address
-	pendingList  atomic.Pointer[link.EngineList] // news that waits, nil for none; changed under the lock
-	queuedOffers int                             // that wait
-	open         int                             // completions taken, and not yet closed by the planner
-	maxOffers    int                             // offers that may wait
-	maxOpen      int                             // completions that may be open
+	reportIndex  map[string]int                  // position in events of an engine's probe result, by address
+	pendingList  atomic.Pointer[link.EngineList] // not yet read, nil for none; changed under the lock
+	queuedOffers int                             // in events
+	open         int                             // completions accepted and not yet closed by the planner
+	maxOffers    int                             // limit of queuedOffers
+	maxOpen      int                             // limit of open
 	wakeup       chan struct{}
 }
 
-func newMailbox(most, mostIn int) *mailbox {
-	return &mailbox{maxOffers: most, maxOpen: mostIn, reportIndex: map[string]int{}, wakeup: make(chan struct{}, 1)}
+func newMailbox(maxOffers, maxOpen int) *mailbox {
+	return &mailbox{maxOffers: maxOffers, maxOpen: maxOpen, reportIndex: map[string]int{}, wakeup: make(chan struct{}, 1)}
 }
 
-func (m *mailbox) offer(f link.Event) bool {
+func (m *mailbox) offer(e link.Event) bool {
 	m.mu.Lock()
 	full := m.queuedOffers >= m.maxOffers || m.open >= m.maxOpen
 	if !full {
 		m.queuedOffers++
 		m.open++
-		m.events = append(m.events, f)
+		m.events = append(m.events, e)
 	}
 	m.mu.Unlock()
 	m.signal()
 	return !full
 }
 
-func (m *mailbox) notify(f link.Event) {
+func (m *mailbox) notify(e link.Event) {
 	m.mu.Lock()
-	switch at, waits := m.reportIndex[f.Address]; {
-	case f.Kind == link.EnginesUpdated:
-		m.pendingList.Store(mergeLists(m.pendingList.Load(), f.EngineList))
-	case f.Kind == link.ProbeEnded && waits:
-		m.events[at] = f
+	switch index, queued := m.reportIndex[e.Address]; {
+	case e.Kind == link.EnginesUpdated:
+		m.pendingList.Store(mergeLists(m.pendingList.Load(), e.EngineList))
+	case e.Kind == link.ProbeEnded && queued:
+		m.events[index] = e
 	default:
-		if f.Kind == link.ProbeEnded {
-			m.reportIndex[f.Address] = len(m.events)
+		if e.Kind == link.ProbeEnded {
+			m.reportIndex[e.Address] = len(m.events)
 		}
-		m.events = append(m.events, f)
+		m.events = append(m.events, e)
 	}
 	m.mu.Unlock()
 	m.signal()
 }
 
-// merged is two lists as one: the later word on an engine counts. An engine that was gone in between is told as
-// just started where its start is not told, since nothing else would show that it was gone.
+// mergeLists combines two lists: the later entry of an engine counts. An engine that was gone in between and whose
+// start is unknown gets age 0, since nothing else would show that it was gone.
 func mergeLists(before, after *link.EngineList) *link.EngineList {
 	if before == nil {
 		return after
 	}
-	at, all := map[string]int{}, &link.EngineList{Kind: after.Kind}
+	index, merged := map[string]int{}, &link.EngineList{Kind: after.Kind}
 	if after.Kind == decide.ListDelta {
-		all.Kind = before.Kind
-		all.Entries = slices.Clone(before.Entries)
+		merged.Kind = before.Kind
+		merged.Entries = slices.Clone(before.Entries)
 	}
 	for i, e := range before.Entries {
-		at[e.Address] = i
+		index[e.Address] = i
 	}
 	for _, e := range after.Entries {
-		i, there := at[e.Address]
-		if there && before.Entries[i].Phase == decide.Gone && e.Phase != decide.Gone && e.StartID == 0 && e.Age < 0 {
+		i, found := index[e.Address]
+		if found && before.Entries[i].Phase == decide.Gone && e.Phase != decide.Gone && e.StartID == 0 && e.Age < 0 {
 			e.Age = 0
 		}
-		if there && after.Kind == decide.ListDelta {
-			all.Entries[i] = e
+		if found && after.Kind == decide.ListDelta {
+			merged.Entries[i] = e
 		} else {
-			all.Entries = append(all.Entries, e)
+			merged.Entries = append(merged.Entries, e)
 		}
 	}
-	return all
+	return merged
 }
 
 func (m *mailbox) signal() {
@@ -99,20 +99,20 @@
 	}
 }
 
-// take empties the box into a batch, giving the last batch's memory back for the next facts.
-func (m *mailbox) drain(used []link.Event) []link.Event {
-	clear(used)
+// drain removes and returns all events. The memory of the last batch is reused for the next events.
+func (m *mailbox) drain(reuse []link.Event) []link.Event {
+	clear(reuse)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	batch := m.events
-	m.events, m.queuedOffers = used[:0], 0
+	m.events, m.queuedOffers = reuse[:0], 0
 	clear(m.reportIndex)
 	return batch
 }
 
-// news is what the list told since it was last asked, nil for nothing.
+// takeList removes and returns the changes of the engine list, nil if there are none.
 func (m *mailbox) takeList() *link.EngineList {
-	if m.pendingList.Load() == nil { // as before most facts
+	if m.pendingList.Load() == nil { // the usual case, checked without the lock
 		return nil
 	}
 	m.mu.Lock()
@@ -126,13 +126,13 @@
 	m.mu.Unlock()
 }
 
-// sizes are the facts that wait and the completions that are open.
-func (m *mailbox) counts() (waiting, open int) {
+// counts returns the number of queued events, a pending list included, and of open completions.
+func (m *mailbox) counts() (queued, open int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	waiting = len(m.events)
+	queued = len(m.events)
 	if m.pendingList.Load() != nil {
-		waiting++
+		queued++
 	}
-	return waiting, m.open
+	return queued, m.open
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,7 +1,7 @@
-// Package planner owns a decide.Router. One goroutine, Run, makes every call on it: facts come in over a
-// bounded mailbox, actions go out as orders, timers come from a heap. It decides nothing and does no I/O:
-// what is ordered is done by the edge. internal/edge calls it through link.Planner, internal/fleet tells it
-// lists, and cmd/cherryhub starts it.
+// Package planner runs a decide.Router. One goroutine, Run, makes every call on it: events arrive through a
+// bounded mailbox, timers come from a heap, and the router's actions leave as commands, which the edge carries
+// out. The package itself decides nothing and does no I/O. internal/edge calls it through link.Planner;
+// internal/router starts it and passes it the engine lists that internal/fleet reads.
 package planner
 
 import (
@@ -18,25 +18,25 @@
 	"cherryhub/internal/link"
 )
 
-// Machine is a kind of machine by the name that the engine list gives it, in the order of
+// MachineKind is a kind of machine, by the name that engine lists use for it. The kinds are in the order of
 // decide.Settings.Roles.
 type MachineKind struct {
 	Name string
 	Role decide.Role
 }
 
-// Options are what a planner is told besides decide's settings.
+// Options configures a planner, in addition to the settings of package decide.
 type Options struct {
 	MachineKinds         []MachineKind
-	Zone                 string // the router's own
+	Zone                 string // of this router
 	MaxEngines           int
-	MaxQueuedCompletions int // completions that may wait to be read
-	MaxOpenCompletions   int // that may be open
+	MaxQueuedCompletions int // in the mailbox
+	MaxOpenCompletions   int // accepted and not yet closed
 	Log                  *slog.Logger
-	ObserveDelay         func(seconds float64) // is called with each fact's wait, nil for none
+	ObserveDelay         func(seconds float64) // gets the time that each event waited in the mailbox; may be nil
 }
 
-// Planner owns a decide.Router.
+// Planner runs a decide.Router.
 type Planner struct {
 	mailbox      *mailbox
 	edge         link.Edge
@@ -47,23 +47,23 @@
 	start        time.Time
 	open         map[uint64]*openCompletion
 	timers       timers
-	staleTimers  int // timers of completions that are over
+	staleTimers  int // timers of closed completions that are still in the heap
 	tick         float64
-	decideNanos  atomic.Int64 // nanoseconds spent in decide
+	decideNanos  atomic.Int64 // spent in package decide
 	panics       atomic.Int64
 }
 
-// open is a completion that is not over.
+// openCompletion is a completion that package decide has not closed.
 type openCompletion struct {
 	id            uint64
 	completion    *decide.Completion
 	closed        bool
-	dispatches    int // dispatches
-	pendingTimers int // that wait
+	dispatches    int // number sent
+	pendingTimers int // in the heap
 }
 
-// New makes a planner. Its edge gets the orders; Run must be called once. The zones of the settings are numbered by
-// whoever read them; decide is told of zones by the planner's own numbers, its own router's zone too.
+// New makes a planner that sends its commands to edge. Run must be called once. The zone number in the settings is
+// ignored: package decide gets the indices of the planner's own table, also for the router's zone.
 func New(s decide.Settings, o Options, edge link.Edge) (*Planner, error) {
 	s.Zone = ownZoneIndex
 	p := &Planner{mailbox: newMailbox(o.MaxQueuedCompletions, o.MaxOpenCompletions), edge: edge, log: o.Log, observeDelay: o.ObserveDelay,
@@ -77,34 +77,34 @@
 	return p, nil
 }
 
-// Offer is of link.Planner.
-func (p *Planner) Offer(f link.Event) bool {
-	f.QueuedAt = time.Now()
-	return p.mailbox.offer(f)
+// Offer implements link.Planner.
+func (p *Planner) Offer(e link.Event) bool {
+	e.QueuedAt = time.Now()
+	return p.mailbox.offer(e)
 }
 
-// Tell is of link.Planner.
-func (p *Planner) Notify(f link.Event) {
-	f.QueuedAt = time.Now()
-	p.mailbox.notify(f)
+// Notify implements link.Planner.
+func (p *Planner) Notify(e link.Event) {
+	e.QueuedAt = time.Now()
+	p.mailbox.notify(e)
 }
 
-// Figures are what a planner counts.
+// Stats are the counters and gauges of a planner.
 type Stats struct {
-	QueuedEvents, OpenCompletions int           // facts in the mailbox, completions not over
-	DecideTime                    time.Duration // spent in decide, in all
-	Panics                        int64         // panics in decide
+	QueuedEvents, OpenCompletions int           // events in the mailbox, completions not yet closed
+	DecideTime                    time.Duration // total time in package decide
+	Panics                        int64         // recovered from in package decide
 }
 
-// Figures may be called at any time from anywhere.
+// Stats is safe for concurrent use.
 func (p *Planner) Stats() Stats {
-	waiting, open := p.mailbox.counts()
-	return Stats{waiting, open, time.Duration(p.decideNanos.Load()), p.panics.Load()}
+	queued, open := p.mailbox.counts()
+	return Stats{queued, open, time.Duration(p.decideNanos.Load()), p.panics.Load()}
 }
 
 func (p *Planner) now() float64 { return time.Since(p.start).Seconds() }
 
-// Run makes all calls on the router until the context ends.
+// Run makes all calls on the decide.Router until the context ends.
 func (p *Planner) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -137,34 +137,36 @@
 	}
 }
 
-// guard hands a fact to decide. A panic there costs the completion it was about, not the router: guards
-// against faults of ours only, and harms if decide's books were left half written; the count says so.
-func (p *Planner) process(f *link.Event) {
+// process passes an event to package decide. A panic there ends the completion that the event is about, and not the
+// process. This guards against bugs in this program only. If the panic left the state of package decide half
+// updated, later decisions may be wrong; Stats.Panics shows that there was one.
+func (p *Planner) process(e *link.Event) {
 	p.updateEngines()
-	defer p.recoverPanic(f.Completion)
+	defer p.recoverPanic(e.Completion)
 	p.router.SetTime(p.now())
-	p.handle(f)
+	p.handle(e)
 }
 
-// news hands decide what is new of the engines, before any fact or timer that could have it send something.
+// updateEngines passes changes of the engine list to package decide. It is called before every event and timer,
+// since each of them may cause a dispatch.
 func (p *Planner) updateEngines() {
-	l := p.mailbox.takeList()
-	if l == nil {
+	list := p.mailbox.takeList()
+	if list == nil {
 		return
 	}
-	defer p.recoverPanic(0) // of no completion
+	defer p.recoverPanic(0) // belongs to no completion
 	now := p.now()
 	p.router.SetTime(now)
-	p.router.UpdateEngines(l.Kind, p.engines.entries(now, l))
+	p.router.UpdateEngines(list.Kind, p.engines.entries(now, list))
 }
 
 func (p *Planner) recoverPanic(completion uint64) {
-	trouble := recover()
-	if trouble == nil {
+	panicValue := recover()
+	if panicValue == nil {
 		return
 	}
 	p.panics.Add(1)
-	p.log.Error("planner: panic in decide", "completion", completion, "panic", fmt.Sprint(trouble), "stack", string(debug.Stack()))
+	p.log.Error("planner: panic in decide", "completion", completion, "panic", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 	if o := p.open[completion]; o != nil {
 		p.edge.Execute(link.Command{Kind: link.Release, Completion: completion})
 		p.edge.Execute(link.Command{Kind: link.Abort, Completion: completion})
@@ -172,41 +174,42 @@
 	}
 }
 
-func (p *Planner) handle(f *link.Event) {
-	switch f.Kind {
+func (p *Planner) handle(e *link.Event) {
+	switch e.Kind {
 	case link.CompletionArrived:
-		p.route(f)
+		p.route(e)
 		return
 	case link.ProbeEnded:
-		if at, known := p.engines.byAddress[f.Address]; known { // else it has left the list since it was asked
-			p.router.ProbeEnded(at, f.Outcome, f.Report)
+		if index, found := p.engines.byAddress[e.Address]; found { // otherwise it has left the list since it was probed
+			p.router.ProbeEnded(index, e.Outcome, e.Report)
 		}
 		return
 	}
-	o := p.open[f.Completion]
+	o := p.open[e.Completion]
 	if o == nil {
 		return
 	}
-	switch f.Kind {
+	switch e.Kind {
 	case link.DispatchStarted:
-		o.completion.DispatchStarted(f.Dispatch, f.Elapsed)
+		o.completion.DispatchStarted(e.Dispatch, e.Elapsed)
 	case link.ReservationAnswered:
-		o.completion.ReservationAnswered(f.Dispatch, f.Reserved)
+		o.completion.ReservationAnswered(e.Dispatch, e.Reserved)
 	case link.DispatchEnded:
-		o.completion.DispatchEnded(f.Dispatch, f.Outcome, f.Elapsed, f.Answered, f.CachedTokens, f.Report)
+		o.completion.DispatchEnded(e.Dispatch, e.Outcome, e.Elapsed, e.Answered, e.CachedTokens, e.Report)
 	case link.ClientLeft:
 		o.completion.ClientLeft()
 	}
 	p.closeIfDone(o)
 }
 
-// take hands a completion to decide, which acts before the handle is returned: the record is there first.
-func (p *Planner) route(f *link.Event) {
-	o := &openCompletion{id: f.Completion}
-	p.open[f.Completion] = o
-	prompt := *f.Prompt
-	prompt.TimeLeft = time.Until(f.Deadline).Seconds()
-	o.completion = p.router.Route(f.Completion, prompt)
+// route passes a completion to package decide. Its actions come before it returns the handle, so the record is stored
+// first.
+func (p *Planner) route(e *link.Event) {
+	o := &openCompletion{id: e.Completion}
+	p.open[e.Completion] = o
+	prompt := *e.Prompt
+	prompt.TimeLeft = time.Until(e.Deadline).Seconds()
+	o.completion = p.router.Route(e.Completion, prompt)
 	p.closeIfDone(o)
 }
 
@@ -223,8 +226,9 @@
 	p.mailbox.completionsClosed(1)
 }
 
-// fire calls what is due. Timers of completions that are over stay in the heap until then, or until they are
-// more than half of it: so it never holds more than twice what is live.
+// runTimers runs the timers that are due. Timers of closed completions stay in the heap until they are due or, if
+// there are more than 1024, until they are more than half of it. So the heap holds no more than twice the live timers,
+// or 1024 beyond them.
 func (p *Planner) runTimers() {
 	p.updateEngines()
 	if p.staleTimers > 1024 && p.staleTimers > len(p.timers)/2 {
@@ -261,10 +265,10 @@
 	p.closeIfDone(t.completion)
 }
 
-// actions is the planner as decide.Actions sees it.
+// actions implements decide.Actions.
 type actions Planner
 
-// Dispatch is of decide.Actions, as are the methods below.
+// Dispatch implements decide.Actions, as do the methods below.
 func (a *actions) Dispatch(completion uint64, engine int, timeout float64) {
 	o := a.open[completion]
 	a.edge.Execute(link.Command{Kind: link.Dispatch, Completion: completion, Dispatch: o.dispatches, Address: a.engines.addressOf(engine),
@@ -281,8 +285,8 @@
 	a.edge.Execute(link.Command{Kind: link.Release, Completion: completion})
 }
 
-func (a *actions) RateLimit(completion uint64, comeBack float64) {
-	a.edge.Execute(link.Command{Kind: link.RateLimit, Completion: completion, RetryAfter: comeBack})
+func (a *actions) RateLimit(completion uint64, retryAfter float64) {
+	a.edge.Execute(link.Command{Kind: link.RateLimit, Completion: completion, RetryAfter: retryAfter})
 }
 
 func (a *actions) Abort(completion uint64) {
@@ -307,12 +311,12 @@
 	a.edge.Execute(link.Command{Kind: link.Probe, Address: a.engines.addressOf(engine)})
 }
 
-// WatchEngines asks for nothing: internal/fleet keeps the list by itself.
+// WatchEngines does nothing: internal/fleet follows the engine list by itself.
 func (a *actions) WatchEngines() {}
 
 func (a *actions) Log(text string) { a.log.Info(text, "part", "decide") }
 
-// timer is a call of TimerFired: of a completion, or of the router where of is nil.
+// timer is a pending call of TimerFired on a completion or, if that is nil, on the decide.Router.
 type timer struct {
 	at         float64
 	completion *openCompletion
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -13,14 +13,15 @@
 	pb "cherryhub/proto"
 )
 
-// admission is what a router goes by when it starts.
+// admissionSetup is the admission configuration at the start of a router.
 type admissionSetup struct {
 	settings    *pb.Admission
 	config      door.AdmissionConfig
-	descriptors admit.DescriptorBudget // zero where everybody is let in
+	descriptors admit.DescriptorBudget // zero if admission is off
 }
 
-// letIn raises the limit of descriptors and divides it. It fails where the settings don't fit the limit.
+// loadAdmission reads the admission settings, raises the process's descriptor limit and divides it. It fails if the
+// settings need more descriptors than the limit allows.
 func loadAdmission(r *pb.Router) (*admissionSetup, error) {
 	limit, err := door.RaiseDescriptorLimit()
 	if err != nil {
@@ -42,13 +43,13 @@
 	return a, nil
 }
 
-// door is made at the clients' listener, nil where everybody is let in.
+// newListener puts admission control in front of the clients' listener. It returns nil if admission is off.
 func (a *admissionSetup) newListener(r *pb.Router, ln net.Listener, log *slog.Logger) (*door.Listener, error) {
 	if a.settings.GetOff() {
-		return nil, nil //nolint:nilnil // as the comment says
+		return nil, nil //nolint:nilnil // nil means that admission is off
 	}
 	o := config.Door(r, a.settings)
-	o.Listener, o.Admission, o.Log = ln.(*net.TCPListener), a.config, log //nolint:forcetypeassert // of net.Listen("tcp")
+	o.Listener, o.Admission, o.Log = ln.(*net.TCPListener), a.config, log //nolint:forcetypeassert // net.Listen("tcp") returns this type
 	d, err := door.New(o)
 	if err != nil {
 		return nil, err
@@ -57,14 +58,14 @@
 	return d, nil
 }
 
-// followAdmission reads the file of the admission again when it changes, whole or not at all. Descriptors stay
-// divided as they were at the start: caps may fall and rise below them.
+// watchAdmissionFile reloads the admission file when it changes. A file with any error changes nothing. The
+// descriptors stay divided as at the start: limits may change within that division.
 func (r *Router) watchAdmissionFile(ctx context.Context, file string) {
 	door.WatchFiles(ctx, []string{file}, admissionPollInterval, func() {
 		a := &pb.Admission{}
 		err := config.Load(file, a)
 		if err == nil && a.GetOff() {
-			err = fmt.Errorf("%s: off: is read at the start only", file)
+			err = fmt.Errorf("%s: off: is read only at startup", file)
 		}
 		var rules door.AdmissionConfig
 		var d admit.DescriptorBudget
@@ -72,7 +73,7 @@
 			rules, d, err = config.Rules(r.settings, a, r.descriptors.Limit)
 		}
 		if err == nil && d.Connections+d.Closing > r.descriptors.Connections+r.descriptors.Closing {
-			err = fmt.Errorf("%s: %d connections and %d leaving are more than the %d for which there are descriptors since the start",
+			err = fmt.Errorf("%s: %d connections and %d closing ones exceed the %d that have had descriptors since startup",
 				file, d.Connections, d.Closing, r.descriptors.Connections+r.descriptors.Closing)
 		}
 		if err == nil {
@@ -80,17 +81,17 @@
 			err = r.listener.Reload(rules)
 		}
 		if err != nil {
-			r.log.Error("admission not reloaded, all is as it was", "err", err)
+			r.log.Error("admission not reloaded; the previous settings stay in force", "err", err)
 			return
 		}
 		r.log.Info("admission reloaded", "connections", d.Connections, "known clients", len(rules.Clients))
 	})
 }
 
-// followEvery is how often the admission's file is looked at.
+// admissionPollInterval is how often the admission file is checked for changes.
 const admissionPollInterval = time.Second
 
-// AdmissionStatus is what /admission tells.
+// AdmissionStatus is the response of /admission.
 type AdmissionStatus struct {
 	On          bool              `json:"on"`
 	Descriptors string            `json:"descriptors,omitempty"`
@@ -101,7 +102,7 @@
 	Holders     []HolderStatus    `json:"holders,omitempty"`
 }
 
-// HolderStatus is one who holds connections.
+// HolderStatus is a known client, or the address of unknown ones, that holds connections.
 type HolderStatus struct {
 	Name        string `json:"name"`
 	Known       bool   `json:"known"`
@@ -110,25 +111,25 @@
 	Completions int    `json:"completions"`
 }
 
-// holdersTold is how many holders /admission tells of.
+// maxHoldersListed is the maximum number of holders in the response of /admission.
 const maxHoldersListed = 20
 
 func (r *Router) admissionStatus() AdmissionStatus {
 	if r.listener == nil {
 		return AdmissionStatus{}
 	}
-	f, top := r.listener.Stats(maxHoldersListed)
-	s := AdmissionStatus{On: true, Descriptors: r.descriptors.String(), Accepted: f.Accepted, Refused: map[string]uint64{}, Evicted: map[string]uint64{},
-		Pools: append(f.Pools(), admit.PoolUsage{Name: "leaving", Used: f.Closing, Max: r.descriptors.Closing})}
+	stats, holders := r.listener.Stats(maxHoldersListed)
+	s := AdmissionStatus{On: true, Descriptors: r.descriptors.String(), Accepted: stats.Accepted, Refused: map[string]uint64{}, Evicted: map[string]uint64{},
+		Pools: append(stats.Pools(), admit.PoolUsage{Name: "leaving", Used: stats.Closing, Max: r.descriptors.Closing})}
 	for i := range admit.Reason(admit.NumReasons) {
-		if n := f.Refused[i]; n > 0 {
+		if n := stats.Refused[i]; n > 0 {
 			s.Refused[i.String()] = n
 		}
-		if n := f.Evicted[i]; n > 0 {
+		if n := stats.Evicted[i]; n > 0 {
 			s.Evicted[i.String()] = n
 		}
 	}
-	for _, h := range top {
+	for _, h := range holders {
 		s.Holders = append(s.Holders, HolderStatus(h))
 	}
 	return s
--- a/internal/router/churn_test.go
+++ b/internal/router/churn_test.go
@@ -33,9 +33,9 @@
 	pb "cherryhub/proto"
 )
 
-var churnFor = flag.Duration("churn", 4*time.Second, "how long TestChurn has engines, routers, clients, sessions and keys come and go")
+var churnDuration = flag.Duration("churn", 4*time.Second, "how long TestChurn has engines, routers, clients, sessions and keys come and go")
 
-const churnRouter = `name: "stays" listen: "127.0.0.1:0" admin_listen: "127.0.0.1:0" zone: "a" routers: 2
+const churnRouterSettings = `name: "stays" listen: "127.0.0.1:0" admin_listen: "127.0.0.1:0" zone: "a" routers: 2
 machines { name: "read" role: READER }
 machines { name: "write" role: WRITER }
 workloads { name: "m" client_timeout_s: 2 effect: IDEMPOTENT }
@@ -46,26 +46,26 @@
 peers { key_hex: "00112233445566778899aabbccddeeff" settle_s: 0.3 lease_s: 1 }
 list { file: "x" poll_s: 0.05 max_engines: 64 }`
 
-const churnShift = `list_listen: "127.0.0.1:0"
+const churnBatchSettings = `list_listen: "127.0.0.1:0"
 engines { name: "reader" machine: "read" role: READER zone: "a" slots: 16 }
 engines { name: "writer" machine: "write" role: WRITER zone: "a" count: 2 slots: 64 token_ms: 2 mean_answer_tokens: 8 }`
 
-// churn is a service in which nothing stays but one router.
+// churn is a service in which everything is replaced all the time but one router.
 type churn struct {
-	t        *testing.T
-	dir      string
-	settings *pb.Router
-	log      *os.File
-	stays    *Router
-	shifts   []*shift
-	version  int64
-	calls    atomic.Int64
-	done     atomic.Int64
-	failed   atomic.Int64
+	t         *testing.T
+	dir       string
+	settings  *pb.Router
+	log       *os.File
+	permanent *Router
+	batches   []*engineBatch
+	version   int64
+	calls     atomic.Int64
+	done      atomic.Int64
+	failed    atomic.Int64
 }
 
-// shift is a few stand-in engines that come and go together.
-type shift struct {
+// engineBatch is a group of stand-in engines that are started and stopped together.
+type engineBatch struct {
 	fleet   *standin.Fleet
 	n       int64
 	started time.Time
@@ -73,16 +73,16 @@
 }
 
 func (c *churn) write(name string, text []byte) {
-	at := filepath.Join(c.dir, name)
-	require.NoError(c.t, os.WriteFile(at+".new", text, 0o600))
-	require.NoError(c.t, os.Rename(at+".new", at))
+	path := filepath.Join(c.dir, name)
+	require.NoError(c.t, os.WriteFile(path+".new", text, 0o600))
+	require.NoError(c.t, os.Rename(path+".new", path))
 }
 
-// publish writes the list of engines anew. Each shift is in another zone and cell than the one before.
+// publish writes the engine list. Each batch is in another zone and cell than the one before.
 func (c *churn) publish() {
 	c.version++
 	line := fleet.Line{Kind: "full", Epoch: 1, Version: c.version}
-	for _, s := range c.shifts {
+	for _, s := range c.batches {
 		for i, e := range s.fleet.Engines {
 			age, machine := time.Since(s.started).Seconds(), "write"
 			if i == 0 {
@@ -97,32 +97,32 @@
 	c.write("list.json", text)
 }
 
-func (c *churn) hire() {
+func (c *churn) startBatch() {
 	f := &pb.Fleet{}
-	require.NoError(c.t, config.Parse("fleet", []byte(churnShift), f))
-	s := &shift{n: c.version, started: time.Now(), phase: "ready"}
+	require.NoError(c.t, config.Parse("fleet", []byte(churnBatchSettings), f))
+	s := &engineBatch{n: c.version, started: time.Now(), phase: "ready"}
 	var err error
 	s.fleet, err = standin.Start(f, c.settings.GetWorkloads(), nil)
 	require.NoError(c.t, err)
-	c.shifts = append(c.shifts, s)
+	c.batches = append(c.batches, s)
 	c.publish()
 }
 
-// dismiss has the oldest shift drain, go and end.
-func (c *churn) dismiss() {
-	old := c.shifts[0]
+// stopOldestBatch has the oldest batch drain, removes it from the list and stops it.
+func (c *churn) stopOldestBatch() {
+	old := c.batches[0]
 	old.phase = "draining"
 	c.publish()
 	time.Sleep(200 * time.Millisecond)
-	c.shifts = c.shifts[1:]
+	c.batches = c.batches[1:]
 	c.publish()
 	require.NoError(c.t, old.fleet.Close())
 }
 
-// keys puts other known clients in force.
-func (c *churn) keys(round int) {
+// writeAdmission writes an admission file with other known clients.
+func (c *churn) writeAdmission(round int) {
 	b := &strings.Builder{}
-	b.WriteString("address_new_per_s: 1e5 address_burst: 1e5 client_new_per_s: 1e5 client_burst: 1e5\n") // all come from here
+	b.WriteString("address_new_per_s: 1e5 address_burst: 1e5 client_new_per_s: 1e5 client_burst: 1e5\n") // all connections come from one address
 	for i := range 5 {
 		sum := sha256.Sum256([]byte(fmt.Sprint("key", round+i)))
 		fmt.Fprintf(b, "clients { name: \"client%d\" key_sha256: %q }\n", round+i, hex.EncodeToString(sum[:]))
@@ -130,7 +130,7 @@
 	c.write("admission.textproto", []byte(b.String()))
 }
 
-func (c *churn) router(name, seed string) *Router {
+func (c *churn) startRouter(name, seed string) *Router {
 	r := proto.CloneOf(c.settings)
 	r.Name = &name
 	address, err := loopback.Address("127.0.0.1")
@@ -139,20 +139,20 @@
 	if seed != "" {
 		r.Peers.Seeds = []string{seed}
 	}
-	one, err := Start(r, slog.New(slog.NewTextHandler(c.log, nil)))
+	router, err := Start(r, slog.New(slog.NewTextHandler(c.log, nil)))
 	require.NoError(c.t, err)
-	return one
+	return router
 }
 
-// client comes, makes some calls in a session of its own, and goes.
-func (c *churn) client(rng *rand.Rand, address string, round int) {
+// runClient makes some calls in a session of its own, and disconnects.
+func (c *churn) runClient(rng *rand.Rand, address string, round int) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	session := rng.Uint64()
 	for range 1 + rng.IntN(4) {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
-		if rng.IntN(8) == 0 { // it leaves
+		if rng.IntN(8) == 0 { // the client leaves
 			time.AfterFunc(time.Duration(rng.IntN(60))*time.Millisecond, cancel)
 		}
 		body := fmt.Sprintf(`{"model":%q,"stream":%v,"user":"s%d","max_tokens":8,"messages":[{"role":"system","content":"shared %d"},{"role":"user","content":"%s"}]}`,
@@ -163,7 +163,7 @@
 			var resp *http.Response
 			c.calls.Add(1)
 			if resp, err = client.Do(req); err == nil {
-				text, _ := io.ReadAll(resp.Body) //nolint:errcheck // a call that broke is one that failed
+				text, _ := io.ReadAll(resp.Body) //nolint:errcheck // a broken response counts as failed
 				resp.Body.Close()
 				if resp.StatusCode == 200 && (bytes.Contains(text, []byte("[DONE]")) || bytes.Contains(text, []byte("stop"))) {
 					c.done.Add(1)
@@ -176,16 +176,16 @@
 	}
 }
 
-// sample is a point of the curves.
+// sample is one measurement of the resources in use.
 type sample struct {
-	heap                     uint64 // bytes after a collection
+	heap                     uint64 // bytes after a garbage collection
 	files, goroutines        int
 	log, calls               int64
 	waiting, open, releasing int
 }
 
-// held is how many descriptors and goroutines the process has.
-func held(t *testing.T) (files, goroutines int) {
+// openResources returns the number of descriptors and goroutines of the process.
+func openResources(t *testing.T) (files, goroutines int) {
 	all, err := os.ReadDir("/proc/self/fd")
 	require.NoError(t, err)
 	return len(all), runtime.NumGoroutine()
@@ -196,44 +196,44 @@
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	files, goroutines := held(c.t)
+	files, goroutines := openResources(c.t)
 	info, err := c.log.Stat()
 	require.NoError(c.t, err)
-	f := c.stays.Planner.Stats()
-	_, releasing := c.stays.Edge.Active()
+	f := c.permanent.Planner.Stats()
+	_, releasing := c.permanent.Edge.Active()
 	return sample{m.HeapAlloc, files, goroutines, info.Size(), c.calls.Load(), f.QueuedEvents, f.OpenCompletions, releasing}
 }
 
-// TestChurn: engines (with new addresses, zones and cells), routers that talk, clients, sessions and known keys come
-// and go all the time. Memory, descriptors and goroutines stay level meanwhile and return to their start after it.
-// -churn 90s makes days of it; the curves are logged.
+// TestChurn replaces engines (with new addresses, zones and cells), peer routers, clients, sessions and known keys all
+// the time. Memory and the log must stay bounded, and descriptors and goroutines must return to their initial numbers
+// afterwards. -churn 90s corresponds to days of operation; the measurements are logged.
 func TestChurn(t *testing.T) {
 	c := &churn{t: t, dir: t.TempDir(), settings: &pb.Router{}}
-	require.NoError(t, config.Parse("router", []byte(churnRouter), c.settings))
+	require.NoError(t, config.Parse("router", []byte(churnRouterSettings), c.settings))
 	c.settings.List.File = proto.String(filepath.Join(c.dir, "list.json"))
 	c.settings.AdmissionFile = proto.String(filepath.Join(c.dir, "admission.textproto"))
 	var err error
 	c.log, err = os.Create(filepath.Join(c.dir, "log"))
 	require.NoError(t, err)
 	defer c.log.Close()
-	c.keys(0)
-	c.hire()
-	c.stays = c.router("stays", "")
-	seed := c.stays.settings.GetPeers().GetListen()
+	c.writeAdmission(0)
+	c.startBatch()
+	c.permanent = c.startRouter("stays", "")
+	seed := c.permanent.settings.GetPeers().GetListen()
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 20 { // what is made once is there before the start
-		c.client(rng, c.stays.Address(), 0)
+	for range 20 { // so that everything that is created only once exists before the first sample
+		c.runClient(rng, c.permanent.Address(), 0)
 	}
 	time.Sleep(1500 * time.Millisecond)
 	first := c.sample()
-	for range 5 { // probes come and go at rest too
+	for range 5 { // probes also come and go without load
 		time.Sleep(100 * time.Millisecond)
 		s := c.sample()
 		first.files, first.goroutines = max(first.files, s.files), max(first.goroutines, s.goroutines)
 	}
 
 	stop := make(chan struct{})
-	over := func(d time.Duration) bool {
+	stoppedWithin := func(d time.Duration) bool {
 		select {
 		case <-stop:
 			return true
@@ -242,65 +242,65 @@
 		}
 	}
 	var round atomic.Int64
-	var other atomic.Pointer[Router]
-	var parts sync.WaitGroup
-	parts.Go(func() { // engines
-		for !over(150 * time.Millisecond) {
-			c.hire()
-			if len(c.shifts) > 3 {
-				c.dismiss()
+	var peerRouter atomic.Pointer[Router]
+	var workers sync.WaitGroup
+	workers.Go(func() { // engines
+		for !stoppedWithin(150 * time.Millisecond) {
+			c.startBatch()
+			if len(c.batches) > 3 {
+				c.stopOldestBatch()
 			}
 		}
-		for len(c.shifts) > 1 {
-			c.dismiss()
+		for len(c.batches) > 1 {
+			c.stopOldestBatch()
 		}
 	})
-	parts.Go(func() { // keys
-		for !over(300 * time.Millisecond) {
-			c.keys(int(round.Add(1)))
+	workers.Go(func() { // keys
+		for !stoppedWithin(300 * time.Millisecond) {
+			c.writeAdmission(int(round.Add(1)))
 		}
 	})
-	parts.Go(func() { // routers
+	workers.Go(func() { // routers
 		for n := 0; ; n++ {
-			one := c.router(fmt.Sprint("other", n), seed)
-			other.Store(one)
-			end := over(900 * time.Millisecond)
-			other.Store(nil)
-			assert.NoError(t, one.Stop())
-			if end {
+			router := c.startRouter(fmt.Sprint("other", n), seed)
+			peerRouter.Store(router)
+			stopped := stoppedWithin(900 * time.Millisecond)
+			peerRouter.Store(nil)
+			assert.NoError(t, router.Stop())
+			if stopped {
 				return
 			}
 		}
 	})
 	for i := range 8 { // clients
-		parts.Go(func() {
+		workers.Go(func() {
 			rng := rand.New(rand.NewPCG(2, uint64(i)))
-			for !over(time.Millisecond) {
-				at := c.stays
-				if o := other.Load(); o != nil && rng.IntN(3) == 0 {
-					at = o
+			for !stoppedWithin(time.Millisecond) {
+				target := c.permanent
+				if o := peerRouter.Load(); o != nil && rng.IntN(3) == 0 {
+					target = o
 				}
-				c.client(rng, at.Address(), int(round.Load()))
+				c.runClient(rng, target.Address(), int(round.Load()))
 			}
 		})
 	}
 	var curve []sample
 	const points = 8
 	for range points {
-		time.Sleep(*churnFor / points)
+		time.Sleep(*churnDuration / points)
 		curve = append(curve, c.sample())
 	}
 	close(stop)
-	parts.Wait()
+	workers.Wait()
 	var last sample
-	level := func() bool { // a release is tried for a minute at an engine that has gone: it, a dial and what watches it
+	level := func() bool { // a release to a stopped engine is retried for a minute, with up to one descriptor and three goroutines
 		last = c.sample()
 		return last.files <= first.files+last.releasing && last.goroutines <= first.goroutines+3*last.releasing && last.waiting+last.open == 0 &&
-			(last.releasing == 0 || *churnFor < time.Minute)
+			(last.releasing == 0 || *churnDuration < time.Minute)
 	}
-	// What polls and gossips comes and goes, so the moment in which all was level is kept: a further look may find it at work.
+	// Polling and gossip briefly add to the numbers, so one sample at the initial level is enough.
 	reached := level()
-	for wait := time.Duration(0); !reached && wait < *churnFor+5*time.Second; wait += 100 * time.Millisecond { // idle connections go with time
+	for wait := time.Duration(0); !reached && wait < *churnDuration+5*time.Second; wait += 100 * time.Millisecond { // idle connections are closed over time
 		time.Sleep(100 * time.Millisecond)
 		reached = level()
 	}
@@ -310,57 +310,57 @@
 		t.Log(stacks.String())
 	}
 	assert.True(t, reached, "descriptors and goroutines return to %+v, but are %+v", first, last)
-	t.Log("| point | calls | heap KiB | descriptors | goroutines | log KiB | open |")
+	t.Log("| sample | calls | heap KiB | descriptors | goroutines | log KiB | open |")
 	for i, s := range append(append([]sample{first}, curve...), last) {
 		t.Logf("| %d | %d | %d | %d | %d | %d | %d |", i, s.calls, s.heap>>10, s.files, s.goroutines, s.log>>10, s.open)
 	}
-	t.Logf("%d calls, %d finished, %d others; decide took %.1f µs a call at the router that stayed", c.calls.Load(), c.done.Load(), c.failed.Load(),
-		c.stays.Planner.Stats().DecideTime.Seconds()*1e6/float64(c.calls.Load()))
+	t.Logf("%d calls, %d finished, %d others; package decide took %.1f µs per call at the permanent router", c.calls.Load(), c.done.Load(), c.failed.Load(),
+		c.permanent.Planner.Stats().DecideTime.Seconds()*1e6/float64(c.calls.Load()))
 	assert.Greater(t, c.done.Load(), c.calls.Load()/2)
-	assert.Less(t, last.heap, first.heap+8<<20, "what is kept of those who left is bounded")
-	assert.Less(t, float64(last.log-first.log)/float64(last.calls-first.calls), 400.0, "bytes of log a call")
-	assert.NoError(t, c.stays.Stop())
-	assert.NoError(t, c.shifts[0].fleet.Close())
+	assert.Less(t, last.heap, first.heap+8<<20, "what is kept of engines and clients that left is bounded")
+	assert.Less(t, float64(last.log-first.log)/float64(last.calls-first.calls), 400.0, "bytes of log per call")
+	assert.NoError(t, c.permanent.Stop())
+	assert.NoError(t, c.batches[0].fleet.Close())
 }
 
-// TestFailedStart: a router that can't start leaves nothing behind, whatever part it was that failed.
+// TestFailedStart checks that a failed start leaks no descriptors or goroutines, whichever part failed.
 func TestFailedStart(t *testing.T) {
-	taken, err := loopback.Listen("127.0.0.1")
+	listener, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
-	defer taken.Close()
-	at := taken.Addr().String()
+	defer listener.Close()
+	at := listener.Addr().String()
 	for name, change := range map[string]func(*pb.Router){
-		"clients' address taken":       func(r *pb.Router) { r.Listen = &at },
-		"admin's address taken":        func(r *pb.Router) { r.AdminListen = &at },
-		"no IP address to dial from":   func(r *pb.Router) { r.SourceAddress = proto.String("nowhere") },
-		"no known client of that name": func(r *pb.Router) { r.Admission.Clients = []*pb.Known{{Name: proto.String("x")}} },
-		"no weight among the peers":    func(r *pb.Router) { r.Peers.Weight = proto.Float64(0) },
-		"no certificate":               func(r *pb.Router) { r.Tls = &pb.Tls{CertificateFile: proto.String("no"), KeyFile: proto.String("no")} },
-		"no workload":                  func(r *pb.Router) { r.Workloads = nil },
+		"listen address in use":      func(r *pb.Router) { r.Listen = &at },
+		"admin address in use":       func(r *pb.Router) { r.AdminListen = &at },
+		"invalid source address":     func(r *pb.Router) { r.SourceAddress = proto.String("nowhere") },
+		"client without an identity": func(r *pb.Router) { r.Admission.Clients = []*pb.Known{{Name: proto.String("x")}} },
+		"peer weight of 0":           func(r *pb.Router) { r.Peers.Weight = proto.Float64(0) },
+		"no certificate":             func(r *pb.Router) { r.Tls = &pb.Tls{CertificateFile: proto.String("no"), KeyFile: proto.String("no")} },
+		"no workload":                func(r *pb.Router) { r.Workloads = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &pb.Router{}
-			require.NoError(t, config.Parse("router", []byte(churnRouter), r))
+			require.NoError(t, config.Parse("router", []byte(churnRouterSettings), r))
 			r.Admission = &pb.Admission{}
 			require.NoError(t, config.Parse("admission", nil, r.Admission))
 			change(r)
-			files, goroutines := held(t)
+			files, goroutines := openResources(t)
 			_, err := Start(r, slog.New(slog.DiscardHandler))
 			require.Error(t, err)
 			t.Log(err)
-			for range 50 { // what was ended may take a moment
+			for range 50 { // closing may take a moment
 				time.Sleep(10 * time.Millisecond)
-				if f, g := held(t); f <= files && g <= goroutines {
+				if f, g := openResources(t); f <= files && g <= goroutines {
 					return
 				}
 			}
-			f, g := held(t)
+			f, g := openResources(t)
 			assert.Fail(t, "left behind", "%d descriptors, %d goroutines", f-files, g-goroutines)
 		})
 	}
 }
 
-// TestStopAtOnce: a router that is stopped while it still starts to serve leaves nothing behind either.
+// TestStopAtOnce checks that a router that is stopped while it still starts leaks nothing either.
 func TestStopAtOnce(t *testing.T) {
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
@@ -369,27 +369,27 @@
 		t.Run(name, func(t *testing.T) {
 			files, goroutines := 0, 0
 			for i := range 60 {
-				if i == 1 { // the first, which serves, leaves what the process keeps: the poller
-					files, goroutines = held(t)
+				if i == 1 { // the first one has created what the process keeps, such as the network poller
+					files, goroutines = openResources(t)
 				}
 				r := &pb.Router{}
-				require.NoError(t, config.Parse("router", []byte(settings), r))
+				require.NoError(t, config.Parse("router", []byte(routerSettings), r))
 				r.Tls = secure
-				one, err := Start(r, slog.New(slog.DiscardHandler))
+				router, err := Start(r, slog.New(slog.DiscardHandler))
 				require.NoError(t, err)
 				if i == 0 {
 					time.Sleep(100 * time.Millisecond)
 				}
 				time.Sleep(time.Duration(i%12) * 50 * time.Microsecond)
-				require.NoError(t, one.Stop())
+				require.NoError(t, router.Stop())
 			}
 			for range 50 {
 				time.Sleep(10 * time.Millisecond)
-				if f, g := held(t); f <= files && g <= goroutines {
+				if f, g := openResources(t); f <= files && g <= goroutines {
 					return
 				}
 			}
-			f, g := held(t)
+			f, g := openResources(t)
 			assert.Fail(t, "left behind", "%d descriptors, %d goroutines", f-files, g-goroutines)
 		})
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router puts a router together from its settings: engine client, edge, planner, engine list, figures
-// and the admin address. It decides nothing. cmd/cherryhub and internal/day start routers with it.
+// Package router assembles a router from its settings: engine client, edge, planner, engine list, metrics and
+// admin server. It makes no routing decisions. cmd/cherryhub and internal/day start routers with it.
 package router
 
 import (
@@ -49,27 +49,27 @@
 	cancel      context.CancelFunc
 	running     sync.WaitGroup
 	errs        chan error
-	peer        *peer.Peer     // nil where this router talks to none
-	listener    *door.Listener // nil where everybody is let in
+	peer        *peer.Peer     // nil if the settings have no peers
+	listener    *door.Listener // nil if admission is off
 	descriptors admit.DescriptorBudget
 }
 
-// Start starts a router; its settings must have been checked. It serves until Stop.
+// Start starts a router, which serves until Stop. The settings must have been checked.
 func Start(r *pb.Router, log *slog.Logger) (*Router, error) {
 	log = log.With("router", r.GetName())
 	var undo []func() error
-	defer func() { // what was begun ends with a start that failed
+	defer func() { // a failed start closes what it opened
 		for _, f := range slices.Backward(undo) {
-			f() //nolint:errcheck // the start's own error is told
+			f() //nolint:errcheck // the error of the start is returned
 		}
 	}()
-	limits, err := loadAdmission(r)
+	setup, err := loadAdmission(r)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
-	co := config.Engine(r)
-	co.MaxConns = limits.descriptors.Engines
-	client, err := engine.NewClient(co)
+	clientOptions := config.Engine(r)
+	clientOptions.MaxConns = setup.descriptors.Engines
+	client, err := engine.NewClient(clientOptions)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
@@ -79,86 +79,86 @@
 		return nil, fmt.Errorf("router %s: listen: %w", r.GetName(), err)
 	}
 	undo = append(undo, ln.Close)
-	var names []string
+	var workloadNames []string
 	for _, w := range r.GetWorkloads() {
-		names = append(names, w.GetName())
+		workloadNames = append(workloadNames, w.GetName())
 	}
-	metrics := telemetry.NewMetrics(names)
-	eo := config.Edge(r, limits.settings)
-	eo.Listener, eo.Engines, eo.Log, eo.Observer = ln, edge.VLLMEngines(client), log, metrics
-	one := &Router{Metrics: metrics, settings: r, address: ln.Addr(), client: client, log: log, errs: make(chan error, 3), descriptors: limits.descriptors}
-	if one.listener, err = limits.newListener(r, ln, log); err != nil {
+	metrics := telemetry.NewMetrics(workloadNames)
+	edgeOptions := config.Edge(r, setup.settings)
+	edgeOptions.Listener, edgeOptions.Engines, edgeOptions.Log, edgeOptions.Observer = ln, edge.VLLMEngines(client), log, metrics
+	router := &Router{Metrics: metrics, settings: r, address: ln.Addr(), client: client, log: log, errs: make(chan error, 3), descriptors: setup.descriptors}
+	if router.listener, err = setup.newListener(r, ln, log); err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
-	if eo.AdmissionListener = one.listener; one.listener != nil {
-		undo = append(undo, one.listener.Shutdown)
+	if edgeOptions.AdmissionListener = router.listener; router.listener != nil {
+		undo = append(undo, router.listener.Shutdown)
 	}
-	l := r.GetList()
-	follower := fleet.New(fleet.Options{URL: l.GetUrl(), File: l.GetFile(), Poll: config.Seconds(l.GetPollS()), Ask: l.GetAsk(),
-		Retry: config.Seconds(l.GetRetryS()), MaxEngines: int(l.GetMaxEngines()), SourceAddress: r.GetSourceAddress(), Tell: one.updateEngines, Log: log})
-	if o := config.Peer(r); o != nil {
-		o.Probe, o.Log, o.Observer = client.Probe, log, metrics
-		o.Notify = func(f link.Event) { one.Planner.Notify(f) }
-		if l.GetAsk() {
-			o.ListRefresh = &peer.ListRefresh{Subject: l.GetUrl(), Interval: l.GetPollS(), Fetch: follower.Ask, Apply: follower.Take}
+	list := r.GetList()
+	follower := fleet.New(fleet.Options{URL: list.GetUrl(), File: list.GetFile(), Poll: config.Seconds(list.GetPollS()), Ask: list.GetAsk(),
+		Retry: config.Seconds(list.GetRetryS()), MaxEngines: int(list.GetMaxEngines()), SourceAddress: r.GetSourceAddress(), Tell: router.updateEngines, Log: log})
+	if peerOptions := config.Peer(r); peerOptions != nil {
+		peerOptions.Probe, peerOptions.Log, peerOptions.Observer = client.Probe, log, metrics
+		peerOptions.Notify = func(f link.Event) { router.Planner.Notify(f) }
+		if list.GetAsk() {
+			peerOptions.ListRefresh = &peer.ListRefresh{Subject: list.GetUrl(), Interval: list.GetPollS(), Fetch: follower.Ask, Apply: follower.Take}
 		}
-		if one.peer, err = peer.New(*o); err != nil {
+		if router.peer, err = peer.New(*peerOptions); err != nil {
 			return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 		}
-		eo.Probe = one.peer.Probe
+		edgeOptions.Probe = router.peer.Probe
 	}
-	e := edge.New(eo)
-	po := config.Planner(r)
-	po.Log, po.ObserveDelay = log, metrics.Delay
-	if one.listener != nil {
-		po.MaxOpenCompletions = min(po.MaxOpenCompletions, limits.descriptors.MaxCompletions)
-		metrics.WatchDoor(one.listener)
+	e := edge.New(edgeOptions)
+	plannerOptions := config.Planner(r)
+	plannerOptions.Log, plannerOptions.ObserveDelay = log, metrics.Delay
+	if router.listener != nil {
+		plannerOptions.MaxOpenCompletions = min(plannerOptions.MaxOpenCompletions, setup.descriptors.MaxCompletions)
+		metrics.WatchDoor(router.listener)
 	}
-	p, err := planner.New(config.Decide(r), po, e)
+	p, err := planner.New(config.Decide(r), plannerOptions, e)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
 	}
 	e.SetPlanner(p)
 	metrics.Watch(p, e)
-	one.Edge, one.Planner = e, p
-	if err := one.serveAdmin(); err != nil {
+	router.Edge, router.Planner = e, p
+	if err := router.serveAdmin(); err != nil {
 		return nil, err
 	}
 	undo = nil
-	ctx, end := context.WithCancel(context.Background())
-	one.cancel = end
-	one.running.Go(func() { p.Run(ctx) })
-	if one.peer == nil || !l.GetAsk() { // else asking is a duty
-		one.running.Go(func() { follower.Run(ctx) })
+	ctx, cancel := context.WithCancel(context.Background())
+	router.cancel = cancel
+	router.running.Go(func() { p.Run(ctx) })
+	if router.peer == nil || !list.GetAsk() { // otherwise the peers poll the list, as one of their duties
+		router.running.Go(func() { follower.Run(ctx) })
 	}
-	if one.peer != nil {
-		one.running.Go(func() {
-			if err := one.peer.Run(ctx); err != nil {
-				one.errs <- err
+	if router.peer != nil {
+		router.running.Go(func() {
+			if err := router.peer.Run(ctx); err != nil {
+				router.errs <- err
 			}
 		})
 	}
-	if file := r.GetAdmissionFile(); file != "" && one.listener != nil {
-		one.running.Go(func() { one.watchAdmissionFile(ctx, file) })
+	if file := r.GetAdmissionFile(); file != "" && router.listener != nil {
+		router.running.Go(func() { router.watchAdmissionFile(ctx, file) })
 	}
 	go func() {
 		if err := e.Serve(); err != nil && ctx.Err() == nil {
-			one.errs <- err
+			router.errs <- err
 		}
 	}()
 	log.Info("router serves", "address", ln.Addr().String(), "admin", r.GetAdminListen())
-	return one, nil
+	return router, nil
 }
 
-// listed hands news of the engines on.
-func (r *Router) updateEngines(f link.Event) {
-	r.Planner.Notify(f)
+// updateEngines passes an engine list to the planner and the peers.
+func (r *Router) updateEngines(e link.Event) {
+	r.Planner.Notify(e)
 	if r.peer != nil {
-		r.peer.UpdateEngines(f.EngineList)
+		r.peer.UpdateEngines(e.EngineList)
 	}
 }
 
-// Serve runs a router from a file of settings until the context ends, or a part of it does by itself.
+// Serve runs a router from a settings file until the context ends or a part of the router fails.
 func Serve(ctx context.Context, file string, logs io.Writer) error {
 	r := &pb.Router{}
 	if err := config.Load(file, r); err != nil {
@@ -166,24 +166,25 @@
 	}
 	log, writer := logwriter.Start(logs, func(w io.Writer) slog.Handler { return telemetry.LogHandler(w, r.GetLog()) })
 	defer writer.Close()
-	one, err := Start(r, log)
+	router, err := Start(r, log)
 	if err != nil {
 		return err
 	}
 	select {
 	case <-ctx.Done():
-	case err = <-one.errs:
+	case err = <-router.errs:
 	}
-	return errors.Join(err, one.Stop())
+	return errors.Join(err, router.Stop())
 }
 
-// Address is where clients come.
+// Address returns the address that clients connect to.
 func (r *Router) Address() string { return r.address.String() }
 
-// Fault tells of a part that ended by itself.
+// Errors receives the errors of parts of the router that ended by themselves.
 func (r *Router) Errors() <-chan error { return r.errs }
 
-// Stop takes nothing new, lets what was taken end for the settings' time, aborts the rest and ends all parts.
+// Stop accepts no new completions, gives the open ones up to timing.stop_s to finish, aborts the rest, and ends all
+// parts of the router.
 func (r *Router) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), config.Seconds(r.settings.GetTiming().GetStopS()))
 	defer cancel()
@@ -214,9 +215,9 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(r.Metrics.Registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
 		completions, dispatches := r.Edge.Active()
-		f := r.Planner.Stats()
+		stats := r.Planner.Stats()
 		r.writeJSON(w, map[string]any{"name": r.settings.GetName(), "address": r.Address(),
-			"completions": completions, "dispatches": dispatches, "mailbox": f.QueuedEvents, "decide_seconds": f.DecideTime.Seconds(), "faults": f.Panics})
+			"completions": completions, "dispatches": dispatches, "mailbox": stats.QueuedEvents, "decide_seconds": stats.DecideTime.Seconds(), "faults": stats.Panics})
 	})
 	mux.HandleFunc("GET /peers", func(w http.ResponseWriter, _ *http.Request) { r.writeJSON(w, r.peerStatuses()) })
 	mux.HandleFunc("GET /duties", func(w http.ResponseWriter, _ *http.Request) { r.writeJSON(w, r.dutyStatuses()) })
@@ -232,12 +233,12 @@
 	return nil
 }
 
-func (r *Router) writeJSON(w http.ResponseWriter, what any) {
+func (r *Router) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(what) //nolint:errcheck // the client left
+	json.NewEncoder(w).Encode(v) //nolint:errcheck // the client is gone
 }
 
-// PeerStatus is what /peers tells of a router.
+// PeerStatus is the entry of a router in the response of /peers.
 type PeerStatus struct {
 	Name        string  `json:"name"`
 	Zone        string  `json:"zone"`
@@ -248,7 +249,7 @@
 	OnRoster    bool    `json:"on_roster"`
 }
 
-// DutyStatus is what /duties tells of a duty. Seconds are -1 where it was never done.
+// DutyStatus is the entry of a duty in the response of /duties. The seconds are -1 if it was never done.
 type DutyStatus struct {
 	Kind             string   `json:"kind"`
 	Subject          string   `json:"subject"`
@@ -260,38 +261,38 @@
 }
 
 func (r *Router) peerStatuses() []PeerStatus {
-	all := []PeerStatus{}
+	statuses := []PeerStatus{}
 	if r.peer == nil {
-		return all
+		return statuses
 	}
-	self, sight, roster := r.peer.Members()
-	listed := map[string]bool{}
+	self, alive, roster := r.peer.Members()
+	onRoster := map[string]bool{}
 	for _, name := range roster {
-		listed[name] = true
+		onRoster[name] = true
 	}
-	for i, m := range append([]duty.Member{self}, sight...) {
-		all = append(all, PeerStatus{m.Name, m.Zone, m.Incarnation, m.Weight, i == 0, true, listed[m.Name]})
-		delete(listed, m.Name)
+	for i, m := range append([]duty.Member{self}, alive...) {
+		statuses = append(statuses, PeerStatus{m.Name, m.Zone, m.Incarnation, m.Weight, i == 0, true, onRoster[m.Name]})
+		delete(onRoster, m.Name)
 	}
 	for _, name := range roster {
-		if listed[name] {
-			all = append(all, PeerStatus{Name: name, OnRoster: true})
+		if onRoster[name] {
+			statuses = append(statuses, PeerStatus{Name: name, OnRoster: true})
 		}
 	}
-	return all
+	return statuses
 }
 
 func (r *Router) dutyStatuses() []DutyStatus {
-	all := []DutyStatus{}
+	statuses := []DutyStatus{}
 	if r.peer == nil {
-		return all
+		return statuses
 	}
 	for _, d := range r.peer.Duties() {
 		s := DutyStatus{string(d.Kind), d.Subject, d.Owner, d.Epoch, -1, -1, d.Candidates}
 		if !math.IsInf(d.Since, 1) {
 			s.SecondsSinceDone, s.SecondsLate = d.Since, d.Late
 		}
-		all = append(all, s)
+		statuses = append(statuses, s)
 	}
-	return all
+	return statuses
 }
--- a/internal/router/tls_test.go
+++ b/internal/router/tls_test.go
@@ -29,7 +29,7 @@
 	pb "cherryhub/proto"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	key  *ecdsa.PrivateKey
@@ -63,7 +63,7 @@
 	return cert
 }
 
-// issue makes a certificate for a name and writes it and its key as PEM.
+// issue makes a certificate for a name. It writes the certificate and its key to the given PEM files, if any.
 func (a *authority) issue(name, certFile, keyFile string) tls.Certificate {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -87,7 +87,7 @@
 	certFile, keyFile, caFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")
 	a.issue("first.example", certFile, keyFile)
 	require.NoError(t, os.WriteFile(caFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o600))
-	g := start(t, func(r *pb.Router, f *pb.Fleet) {
+	h := startHarness(t, func(r *pb.Router, f *pb.Fleet) {
 		r.Tls = &pb.Tls{CertificateFile: &certFile, KeyFile: &keyFile, ClientCaFile: &caFile, PollS: proto.Float64(0.05)}
 		r.Admission = &pb.Admission{MaxConnections: proto.Int32(20), ReserveConnections: proto.Int32(8), Anteroom: proto.Int32(4), PerAddress: proto.Int32(8),
 			HeaderS: proto.Float64(1), AnteroomS: proto.Float64(0.5), Clients: []*pb.Known{{Name: proto.String("partner"), Certificates: []string{"partner.example"}}}}
@@ -95,42 +95,42 @@
 	})
 	dial := func(c *tls.Config) (*tls.Conn, error) {
 		c.RootCAs = a.pool
-		return tls.DialWithDialer(&net.Dialer{Timeout: 2 * time.Second}, "tcp", g.Address(), c)
+		return tls.DialWithDialer(&net.Dialer{Timeout: 2 * time.Second}, "tcp", h.Address(), c)
 	}
 	partner := a.issue("partner.example", "", "")
 
 	t.Run("streams", func(t *testing.T) {
-		assert.Equal(t, "finished", streamTo(t.Context(), g, `"x"`, 10))
+		assert.Equal(t, "finished", streamOutcome(t.Context(), h, `"x"`, 10))
 	})
-	t.Run("least version", func(t *testing.T) {
+	t.Run("minimum version", func(t *testing.T) {
 		_, err := dial(&tls.Config{MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
 		assert.Error(t, err)
 	})
-	t.Run("a client that leaves is seen", func(t *testing.T) {
+	t.Run("client disconnect is detected", func(t *testing.T) {
 		conn, err := dial(&tls.Config{})
 		require.NoError(t, err)
 		body := `{"model":"m","max_tokens":400,"messages":[{"role":"user","content":"not streamed"}]}`
-		fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
-		require.Eventually(t, func() bool { _, n := g.Edge.Active(); return n > 0 }, 2*time.Second, time.Millisecond)
-		left := g.answers("left")
+		fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", requestHead, len(body), body)
+		require.Eventually(t, func() bool { _, n := h.Edge.Active(); return n > 0 }, 2*time.Second, time.Millisecond)
+		left := h.answerCount("left")
 		conn.Close()
-		require.Eventually(t, func() bool { n, m := g.Edge.Active(); return n+m == 0 }, 2*time.Second, 5*time.Millisecond, "its dispatch is cancelled")
-		assert.Equal(t, left+1, g.answers("left"))
+		require.Eventually(t, func() bool { n, m := h.Edge.Active(); return n+m == 0 }, 2*time.Second, 5*time.Millisecond, "its dispatch is cancelled")
+		assert.Equal(t, left+1, h.answerCount("left"))
 	})
-	t.Run("known by its certificate", func(t *testing.T) {
+	t.Run("client identified by certificate", func(t *testing.T) {
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
 				c.Close()
 			}
 		}()
-		for range 8 { // all that an address may hold, and half of the anteroom shakes no hands
+		for range 8 { // the limit per address; below, half of the provisional connections do no handshake
 			conn, err := dial(&tls.Config{})
 			require.NoError(t, err)
 			held = append(held, conn)
 		}
 		for range 2 {
-			conn, err := net.Dial("tcp", g.Address())
+			conn, err := net.Dial("tcp", h.Address())
 			require.NoError(t, err)
 			held = append(held, conn)
 		}
@@ -141,7 +141,7 @@
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		require.NoError(t, err)
 		assert.Equal(t, 200, resp.StatusCode)
-		assert.Contains(t, fmt.Sprint(g.admissionStatus().Holders), "partner true 1")
+		assert.Contains(t, fmt.Sprint(h.admissionStatus().Holders), "partner true 1")
 
 		other, err := dial(&tls.Config{})
 		require.NoError(t, err)
@@ -149,18 +149,18 @@
 		fmt.Fprint(other, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
 		resp, err = http.ReadResponse(bufio.NewReader(other), nil)
 		require.NoError(t, err)
-		assert.Equal(t, 503, resp.StatusCode, "one that is not known, in the anteroom")
+		assert.Equal(t, 503, resp.StatusCode, "an unidentified client on a provisional connection")
 		assert.NotEmpty(t, resp.Header.Get("Retry-After"))
 	})
-	t.Run("half a handshake", func(t *testing.T) {
-		require.Eventually(t, func() bool { f, _ := g.listener.Stats(0); return f.Provisional == 0 && f.Common <= 1 }, 3*time.Second, 10*time.Millisecond)
-		conn, err := net.Dial("tcp", g.Address())
+	t.Run("incomplete handshake", func(t *testing.T) {
+		require.Eventually(t, func() bool { f, _ := h.listener.Stats(0); return f.Provisional == 0 && f.Common <= 1 }, 3*time.Second, 10*time.Millisecond)
+		conn, err := net.Dial("tcp", h.Address())
 		require.NoError(t, err)
 		defer conn.Close()
-		conn.Write([]byte{22, 3, 1, 2, 0, 1, 0}) // a record that says it is longer
+		conn.Write([]byte{22, 3, 1, 2, 0, 1, 0}) // a TLS record shorter than its header says
 		conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 		_, err = io.ReadAll(conn)
-		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it is ended")
+		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the router closes the connection")
 	})
 	t.Run("refused by an alert", func(t *testing.T) {
 		var held []net.Conn
@@ -172,7 +172,7 @@
 		var err error
 		for range 30 {
 			var conn net.Conn
-			if conn, err = net.Dial("tcp", g.Address()); err == nil {
+			if conn, err = net.Dial("tcp", h.Address()); err == nil {
 				held = append(held, conn)
 			}
 		}
@@ -194,14 +194,14 @@
 		require.Eventually(t, func() bool { return served() == "first.example" }, 3*time.Second, 50*time.Millisecond)
 		require.NoError(t, os.WriteFile(certFile, []byte("no certificate"), 0o600))
 		time.Sleep(250 * time.Millisecond)
-		assert.Equal(t, "first.example", served(), "whole or not at all")
+		assert.Equal(t, "first.example", served(), "an invalid file changes nothing")
 		a.issue("second.example", certFile, keyFile)
 		require.Eventually(t, func() bool { return served() == "second.example" }, 3*time.Second, 50*time.Millisecond)
 	})
-	f, _ := g.listener.Stats(0)
+	f, _ := h.listener.Stats(0)
 	assert.Positive(t, f.Refused[admit.ReasonNotIdentified])
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	assert.Equal(t, "finished", streamTo(ctx, g, `"y"`, 4))
-	g.end()
+	assert.Equal(t, "finished", streamOutcome(ctx, h, `"y"`, 4))
+	h.stopAndCheck()
 }
