--- a/internal/planner/churn_test.go
+++ b/internal/planner/churn_test.go
@@ -40,20 +40,20 @@
 		for range n {
 			next++
 			session++
-			f := arrival(next, 0, 200+3000*rng.Float64(), 5*time.Second)
-			f.Prompt.Session, f.Prompt.SharedPrefix, f.Prompt.SharedPrefixTokens = session, rng.Uint64N(1<<40)+1, 150
-			p.Offer(f)
+			event := arrival(next, 0, 200+3000*rng.Float64(), 5*time.Second)
+			event.Prompt.Session, event.Prompt.SharedPrefix, event.Prompt.SharedPrefixTokens = session, rng.Uint64N(1<<40)+1, 150
+			p.Offer(event)
 			began := time.Now()
 			p.step()
 			durations = append(durations, time.Since(began))
 			for sent < len(edge.commands) { // each dispatch succeeds, and each read leads to a write
-				o := edge.commands[sent]
-				if sent++; o.Kind != link.Dispatch {
+				command := edge.commands[sent]
+				if sent++; command.Kind != link.Dispatch {
 					continue
 				}
-				end := link.Event{Kind: link.DispatchEnded, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Read, Elapsed: 0.05, Report: []float64{0.2, 1}}
-				if !o.IsRead {
-					p.Notify(link.Event{Kind: link.DispatchStarted, Completion: o.Completion, Dispatch: o.Dispatch, Elapsed: 0.05})
+				end := link.Event{Kind: link.DispatchEnded, Completion: command.Completion, Dispatch: command.Dispatch, Outcome: decide.Read, Elapsed: 0.05, Report: []float64{0.2, 1}}
+				if !command.IsRead {
+					p.Notify(link.Event{Kind: link.DispatchStarted, Completion: command.Completion, Dispatch: command.Dispatch, Elapsed: 0.05})
 					end.Outcome, end.Answered = decide.Finished, true
 				}
 				p.Notify(end)
@@ -70,15 +70,15 @@
 		return m.HeapAlloc
 	}
 	list := func(step int) {
-		all := []link.EngineEntry{engineEntry(0, "read", decide.Ready), engineEntry(1, "write", decide.Ready)}
+		entries := []link.EngineEntry{engineEntry(0, "read", decide.Ready), engineEntry(1, "write", decide.Ready)}
 		for i := max(0, step-lifetimeSteps); i < step; i++ {
 			for k, machine := range []string{"read", "write"} {
 				e := engineEntry(0, machine, decide.Ready)
 				e.Address, e.Zone, e.Cell = fmt.Sprintf("10.%d.%d.%d:1", i>>8, i&255, k), fmt.Sprint("z", i), fmt.Sprint("c", i)
-				all = append(all, e)
+				entries = append(entries, e)
 			}
 		}
-		p.Notify(listEvent(decide.ListSnapshot, all...))
+		p.Notify(listEvent(decide.ListSnapshot, entries...))
 		p.step()
 	}
 	median := func(d []time.Duration) (p50, p99 time.Duration) {
@@ -92,7 +92,7 @@
 	durations = durations[:0]
 	before := heap()
 	t.Log("| virtual min | heap KiB | engines known | zones | cells | timers | decision p50 µs | p99 µs |")
-	var curve []uint64
+	var heapSizes []uint64
 	var early, late time.Duration
 	for step := range steps {
 		list(lifetimeSteps + step)
@@ -101,8 +101,8 @@
 			serve(24)
 		}
 		ready := 0
-		for _, k := range p.engines.records {
-			if k.phase == decide.Ready {
+		for _, rec := range p.engines.records {
+			if rec.phase == decide.Ready {
 				ready++
 			}
 		}
@@ -113,8 +113,8 @@
 		require.Empty(t, p.open)
 		if (step+1)%(steps/9) == 0 {
 			p50, p99 := median(durations)
-			curve = append(curve, heap())
-			t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d |", (step+1)*stepSeconds/60, curve[len(curve)-1]>>10, len(p.engines.records), len(p.engines.zones.slots),
+			heapSizes = append(heapSizes, heap())
+			t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d |", (step+1)*stepSeconds/60, heapSizes[len(heapSizes)-1]>>10, len(p.engines.records), len(p.engines.zones.slots),
 				len(p.engines.cells.slots), len(p.timers), p50.Microseconds(), p99.Microseconds())
 			if late = p50; early == 0 {
 				early = p50
@@ -122,7 +122,7 @@
 			durations = durations[:0]
 		}
 	}
-	assert.Less(t, curve[len(curve)-1], curve[2]+curve[2]/4, "memory stays level once the first indices are reused")
+	assert.Less(t, heapSizes[len(heapSizes)-1], heapSizes[2]+heapSizes[2]/4, "memory stays level once the first indices are reused")
 	assert.Less(t, late, 5*early, "time of a decision, with an allowance for other load on the machine")
 	advance(700) // no load: records of prefixes expire
 	list(0)
--- a/internal/planner/cold_test.go
+++ b/internal/planner/cold_test.go
@@ -45,21 +45,21 @@
 	}
 	for i, p := range s.routers {
 		for p.step(); s.executed[i] < len(s.edges[i].commands); p.step() {
-			o := s.edges[i].commands[s.executed[i]]
-			if s.executed[i]++; o.Kind != link.Dispatch {
+			command := s.edges[i].commands[s.executed[i]]
+			if s.executed[i]++; command.Kind != link.Dispatch {
 				continue
 			}
-			end := link.Event{Kind: link.DispatchEnded, Completion: o.Completion, Dispatch: o.Dispatch, Outcome: decide.Finished, Elapsed: 0.1, Answered: true}
-			if o.IsRead {
-				s.arrivals[o.Address] = append(s.arrivals[o.Address], readArrival{time.Since(s.begin).Seconds(), s.tokens[o.Completion]})
+			end := link.Event{Kind: link.DispatchEnded, Completion: command.Completion, Dispatch: command.Dispatch, Outcome: decide.Finished, Elapsed: 0.1, Answered: true}
+			if command.IsRead {
+				s.arrivals[command.Address] = append(s.arrivals[command.Address], readArrival{time.Since(s.begin).Seconds(), s.tokens[command.Completion]})
 				end.Outcome, end.Answered, end.Report = decide.Read, false, []float64{0}
-				if o.Address[:3] == "old" {
+				if command.Address[:3] == "old" {
 					end.Report[0] = 5
 				}
 			}
 			s.schedule(100*time.Millisecond, func() {
-				if !o.IsRead {
-					p.Notify(link.Event{Kind: link.DispatchStarted, Completion: o.Completion, Dispatch: o.Dispatch, Elapsed: 0.1})
+				if !command.IsRead {
+					p.Notify(link.Event{Kind: link.DispatchStarted, Completion: command.Completion, Dispatch: command.Dispatch, Elapsed: 0.1})
 				}
 				p.Notify(end)
 			})
--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -11,7 +11,8 @@
 	"cherryhub/internal/link"
 )
 
-const unknownStartSeconds = -1e9 // on the planner's clock; an engine of unknown age counts as warm
+// unknownStartSeconds is the start time of an engine of unknown age, on the planner's clock: it counts as warm.
+const unknownStartSeconds = -1e9
 
 // engineTable maps the engines, zones, cells and machine kinds of an engine list to the small indices that
 // package decide takes, and engine indices back to addresses. Its size is bounded even if lists keep naming new
@@ -59,6 +60,7 @@
 // cells must stay distinguishable: they determine at which engines a dispatch may be repeated.
 const nameReuseDelaySeconds = 600.0
 
+// acquire returns the index of a name and counts another engine that uses it.
 func (n *nameTable) acquire(now float64, name string) (int, error) {
 	i, found := n.byName[name]
 	if !found && len(n.slots) < n.maxNames {
@@ -73,13 +75,14 @@
 		}
 	}
 	if !found {
-		return 0, fmt.Errorf("%q: more than %d names of zones or cells (list.max_engines allows two per engine), and none unused for %v s", name, n.maxNames, nameReuseDelaySeconds)
+		return 0, fmt.Errorf("%q: more than %d zone or cell names (list.max_engines allows two per engine), and none unused for %v s", name, n.maxNames, nameReuseDelaySeconds)
 	}
 	n.byName[name] = i
 	n.slots[i].refs++
 	return i, nil
 }
 
+// release records that an engine no longer uses the name with the given index.
 func (n *nameTable) release(now float64, i int) {
 	n.slots[i].refs--
 	n.slots[i].freedAt = now
@@ -159,17 +162,18 @@
 	return t.entry(i)
 }
 
+// entry returns an engine's record as package decide takes it.
 func (t *engineTable) entry(i int) decide.EngineEntry {
 	rec := &t.records[i]
 	return decide.EngineEntry{Index: i, Hash: xxhash.Sum64String(rec.address), Zone: rec.zone, MachineKind: rec.machineKind, Cell: rec.cell, Phase: rec.phase, StartedAt: rec.startedAt}
 }
 
 // updateStart determines when an engine started. A changed start ID means a restart. The age is read only once per
-// start: each list gives a slightly different one, and package decide takes another start time for another engine.
-// Where a list gives no start ID, the known start stays, unless the engine was gone in between. After a restart of
-// unknown age the engine counts as just started, because an engine wrongly taken for warm would be overloaded while
-// cold. As a result, an engine that was only missing from the list for a while gets no more than a cold engine's share
-// of the work for the warm-up time.
+// start ID, since each list would yield a slightly different start time, and package decide takes another start time
+// for another engine. Where a list gives no start ID, the known start stays, unless the engine was gone in between.
+// After a restart of unknown age the engine counts as just started, because an engine wrongly taken for warm would be
+// overloaded while cold. As a result, an engine that was only missing from the list for a while gets no more than a
+// cold engine's share of the work for the warm-up time.
 func (rec *engineRecord) updateStart(now float64, e *link.EngineEntry) {
 	restarted := rec.listed && (e.StartID != rec.startID && e.StartID != 0 && rec.startID != 0 ||
 		e.StartID == 0 && rec.phase == decide.Gone)
--- a/internal/planner/mailbox.go
+++ b/internal/planner/mailbox.go
@@ -27,7 +27,7 @@
 	open         int                             // completions accepted and not yet closed by the planner
 	maxOffers    int                             // limit of queuedOffers
 	maxOpen      int                             // limit of open
-	wakeup       chan struct{}
+	wakeup       chan struct{}                   // signalled on each event; Run waits for it
 }
 
 func newMailbox(maxOffers, maxOpen int) *mailbox {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -47,7 +47,7 @@
 	start        time.Time
 	open         map[uint64]*openCompletion
 	timers       timers
-	staleTimers  int // timers of closed completions that are still in the heap
+	staleTimers  int // timers of closed completions that are in the heap
 	tick         float64
 	decideNanos  atomic.Int64 // spent in package decide
 	panics       atomic.Int64
@@ -56,7 +56,7 @@
 // openCompletion is a completion that package decide has not closed.
 type openCompletion struct {
 	id            uint64
-	completion    *decide.Completion
+	handle        *decide.Completion
 	closed        bool
 	dispatches    int // number sent
 	pendingTimers int // in the heap
@@ -160,6 +160,8 @@
 	p.router.UpdateEngines(list.Kind, p.engines.entries(now, list))
 }
 
+// recoverPanic recovers from a panic, which it counts and logs, and aborts the completion concerned. Its callers defer
+// it.
 func (p *Planner) recoverPanic(completion uint64) {
 	panicValue := recover()
 	if panicValue == nil {
@@ -191,13 +193,13 @@
 	}
 	switch e.Kind {
 	case link.DispatchStarted:
-		o.completion.DispatchStarted(e.Dispatch, e.Elapsed)
+		o.handle.DispatchStarted(e.Dispatch, e.Elapsed)
 	case link.ReservationAnswered:
-		o.completion.ReservationAnswered(e.Dispatch, e.Reserved)
+		o.handle.ReservationAnswered(e.Dispatch, e.Reserved)
 	case link.DispatchEnded:
-		o.completion.DispatchEnded(e.Dispatch, e.Outcome, e.Elapsed, e.Answered, e.CachedTokens, e.Report)
+		o.handle.DispatchEnded(e.Dispatch, e.Outcome, e.Elapsed, e.Answered, e.CachedTokens, e.Report)
 	case link.ClientLeft:
-		o.completion.ClientLeft()
+		o.handle.ClientLeft()
 	}
 	p.closeIfDone(o)
 }
@@ -209,12 +211,12 @@
 	p.open[e.Completion] = o
 	prompt := *e.Prompt
 	prompt.TimeLeft = time.Until(e.Deadline).Seconds()
-	o.completion = p.router.Route(e.Completion, prompt)
+	o.handle = p.router.Route(e.Completion, prompt)
 	p.closeIfDone(o)
 }
 
 func (p *Planner) closeIfDone(o *openCompletion) {
-	if !o.closed && o.completion.Closed() {
+	if !o.closed && o.handle.Closed() {
 		p.close(o)
 	}
 }
@@ -261,7 +263,7 @@
 	}
 	defer p.recoverPanic(t.completion.id)
 	t.completion.pendingTimers--
-	t.completion.completion.TimerFired()
+	t.completion.handle.TimerFired()
 	p.closeIfDone(t.completion)
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -25,10 +25,10 @@
 	commands []link.Command
 }
 
-func (e *recordingEdge) Execute(o link.Command) {
+func (e *recordingEdge) Execute(c link.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.commands = append(e.commands, o)
+	e.commands = append(e.commands, c)
 }
 
 func (e *recordingEdge) ofKind(kind link.CommandKind) (all []link.Command) {
@@ -116,8 +116,8 @@
 	for range 100 {
 		p.Notify(link.Event{Kind: link.ClientLeft, Completion: 99})
 	}
-	waiting, open := p.mailbox.counts()
-	assert.Equal(t, 104, waiting, "no event of an accepted completion is refused")
+	queued, open := p.mailbox.counts()
+	assert.Equal(t, 104, queued, "no event of an accepted completion is refused")
 	assert.Equal(t, 3, open)
 	p.step()
 	assert.True(t, p.Offer(arrival(21, 0, 100, time.Second)))
@@ -202,51 +202,51 @@
 }
 
 func TestEngineTable(t *testing.T) {
-	e := newEngineTable(2, []MachineKind{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
+	table := newEngineTable(2, []MachineKind{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
 	list := func(kind decide.ListKind, entries ...link.EngineEntry) *link.EngineList {
 		return &link.EngineList{Kind: kind, Entries: entries}
 	}
 	engine := engineEntry(1, "read", decide.Ready)
 	engine.StartID, engine.Age = 77, 3
-	facts := e.entries(10, list(decide.ListSnapshot, engine, engineEntry(2, "odd", decide.Ready), engineEntry(3, "read", decide.Ready)))
-	require.Len(t, facts, 2, "the third engine exceeds maxEngines")
-	assert.Equal(t, 7.0, facts[0].StartedAt)
-	assert.Equal(t, decide.Reader, e.records[0].role)
-	assert.Equal(t, 1, facts[0].Zone, "the router's own zone is 0")
-	assert.Equal(t, 1, facts[1].MachineKind, "an unknown machine kind gets the index after the known ones")
-	assert.Equal(t, decide.Mixed, e.records[1].role)
+	entries := table.entries(10, list(decide.ListSnapshot, engine, engineEntry(2, "odd", decide.Ready), engineEntry(3, "read", decide.Ready)))
+	require.Len(t, entries, 2, "the third engine exceeds maxEngines")
+	assert.Equal(t, 7.0, entries[0].StartedAt)
+	assert.Equal(t, decide.Reader, table.records[0].role)
+	assert.Equal(t, 1, entries[0].Zone, "the router's own zone is 0")
+	assert.Equal(t, 1, entries[1].MachineKind, "an unknown machine kind gets the index after the known ones")
+	assert.Equal(t, decide.Mixed, table.records[1].role)
 	engine.Age = 5.5
-	assert.Equal(t, 7.0, e.entries(12, list(decide.ListDelta, engine))[0].StartedAt, "the age is read once per start")
+	assert.Equal(t, 7.0, table.entries(12, list(decide.ListDelta, engine))[0].StartedAt, "the age is read once per start")
 	engine.StartID, engine.Age = 78, 0.5
-	assert.Equal(t, 11.5, e.entries(12, list(decide.ListDelta, engine))[0].StartedAt, "a restart")
-	e.entries(20, list(decide.ListSnapshot, engine)) // 2 is gone
-	again := e.entries(100, list(decide.ListDelta, engineEntry(3, "read", decide.Ready)))
+	assert.Equal(t, 11.5, table.entries(12, list(decide.ListDelta, engine))[0].StartedAt, "a restart")
+	table.entries(20, list(decide.ListSnapshot, engine)) // 2 is gone
+	again := table.entries(100, list(decide.ListDelta, engineEntry(3, "read", decide.Ready)))
 	require.Len(t, again, 1)
 	assert.Equal(t, 1, again[0].Index, "the index of the engine that left")
-	assert.Equal(t, "10.0.0.3:8000", e.addressOf(1))
+	assert.Equal(t, "10.0.0.3:8000", table.addressOf(1))
 }
 
 // TestNamesBounded checks that zone and cell names are dropped with the engines that had them, so that lists with ever
 // new names take bounded memory. A name in use keeps its index, and the index of an unused name is not reused before
 // the delay.
 func TestNamesBounded(t *testing.T) {
-	e := newEngineTable(4, nil, "home", slog.New(slog.DiscardHandler))
-	stays := engineEntry(1, "read", decide.Ready)
-	stays.Zone, stays.Cell = "home", "h1"
+	table := newEngineTable(4, nil, "home", slog.New(slog.DiscardHandler))
+	stable := engineEntry(1, "read", decide.Ready)
+	stable.Zone, stable.Cell = "home", "h1"
 	last, maxIndex := -1, 0
 	for i := range 5000 {
 		other := engineEntry(2+i%3, "read", decide.Ready)
 		other.Zone, other.Cell = fmt.Sprint("zone", i), fmt.Sprint("cell", i)
-		for _, f := range e.entries(float64(i*100), &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{stays, other}}) {
-			maxIndex = max(maxIndex, f.Zone, f.Cell)
-			if f.Index == 0 {
-				require.Zero(t, f.Zone, "the own zone")
-				require.Zero(t, f.Cell)
+		for _, entry := range table.entries(float64(i*100), &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{stable, other}}) {
+			maxIndex = max(maxIndex, entry.Zone, entry.Cell)
+			if entry.Index == 0 {
+				require.Zero(t, entry.Zone, "the own zone")
+				require.Zero(t, entry.Cell)
 				continue
 			}
-			require.NotEqual(t, last, f.Cell, "the index of a name that just went out of use is not reused yet")
-			require.Equal(t, f, e.entries(float64(i*100), &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{other}})[0], "a name keeps its index")
-			last = f.Cell
+			require.NotEqual(t, last, entry.Cell, "the index of a name that just went out of use is not reused yet")
+			require.Equal(t, entry, table.entries(float64(i*100), &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{other}})[0], "a name keeps its index")
+			last = entry.Cell
 		}
 	}
 	assert.LessOrEqual(t, maxIndex, 2*4)
@@ -254,63 +254,63 @@
 	for i := range 50 {
 		other := engineEntry(2, "read", decide.Ready)
 		other.Cell = fmt.Sprint("hasty", i)
-		facts := e.entries(1e6, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{stays, other}})
+		entries := table.entries(1e6, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{stable, other}})
 		if i >= 20 {
-			require.Equal(t, decide.Gone, facts[1].Phase, "it counts as gone, not as still in its old cell")
+			require.Equal(t, decide.Gone, entries[1].Phase, "it counts as gone, not as still in its old cell")
 		}
-		require.LessOrEqual(t, len(e.cells.slots), 2*4+1)
-		require.Zero(t, facts[0].Index)
+		require.LessOrEqual(t, len(table.cells.slots), 2*4+1)
+		require.Zero(t, entries[0].Index)
 	}
 }
 
 // TestIndexReuse checks that a new engine gets the index of the engine gone for longest when all indices are in use,
 // and that a listed engine never loses its index.
 func TestIndexReuse(t *testing.T) {
-	e := newEngineTable(4, []MachineKind{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
+	table := newEngineTable(4, []MachineKind{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
 	for i := range 100 {
 		l := &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{engineEntry(0, "read", decide.Ready), engineEntry(i+1, "read", decide.Ready), engineEntry(i+2, "read", decide.Ready)}}
-		facts := e.entries(float64(i), l)
-		require.Len(t, facts, 3, "all listed engines")
-		require.Zero(t, facts[0].Index)
-		require.NotEqual(t, facts[1].Index, facts[2].Index)
-		for k, f := range facts {
-			require.Equal(t, l.Entries[k].Address, e.addressOf(f.Index))
+		entries := table.entries(float64(i), l)
+		require.Len(t, entries, 3, "all listed engines")
+		require.Zero(t, entries[0].Index)
+		require.NotEqual(t, entries[1].Index, entries[2].Index)
+		for k, entry := range entries {
+			require.Equal(t, l.Entries[k].Address, table.addressOf(entry.Index))
 		}
 	}
 	l := &link.EngineList{Kind: decide.ListSnapshot}
 	for i := range 5 {
 		l.Entries = append(l.Entries, engineEntry(200+i, "read", decide.Ready))
 	}
-	assert.Len(t, e.entries(100, l), 4, "no more than maxEngines")
+	assert.Len(t, table.entries(100, l), 4, "no more than maxEngines")
 }
 
 // TestMissingStart checks which start time an engine gets when the list gives no start ID or no age.
 func TestMissingStart(t *testing.T) {
-	with := func(start int64, age float64, phase decide.Phase) link.EngineEntry {
-		one := engineEntry(1, "read", phase)
-		one.StartID, one.Age = start, age
-		return one
+	withStart := func(start int64, age float64, phase decide.Phase) link.EngineEntry {
+		entry := engineEntry(1, "read", phase)
+		entry.StartID, entry.Age = start, age
+		return entry
 	}
 	for name, c := range map[string]struct {
 		first, next link.EngineEntry
 		want        float64 // StartedAt after the second list, at 100 s; the first comes at 10 s
 	}{
-		"start no longer given":                {with(77, 3, decide.Ready), with(0, -1, decide.Ready), 7},
-		"start given for the first time":       {with(0, -1, decide.Ready), with(77, 200, decide.Ready), -100},
-		"restart of unknown age":               {with(77, 3, decide.Ready), with(78, -1, decide.Ready), 100},
-		"older process at the same address":    {with(77, 3, decide.Ready), with(70, 500, decide.Ready), -400},
-		"back after being gone, start unknown": {with(0, -1, decide.Gone), with(0, -1, decide.Ready), 100},
-		"back after being gone, age given":     {with(0, -1, decide.Gone), with(0, 2, decide.Ready), 98},
-		"ready after draining, start unknown":  {with(0, -1, decide.Draining), with(0, -1, decide.Ready), unknownStartSeconds},
-		"started at time 0 of the planner":     {with(77, 10, decide.Ready), with(77, 200, decide.Ready), 0},
+		"start no longer given":                {withStart(77, 3, decide.Ready), withStart(0, -1, decide.Ready), 7},
+		"start given for the first time":       {withStart(0, -1, decide.Ready), withStart(77, 200, decide.Ready), -100},
+		"restart of unknown age":               {withStart(77, 3, decide.Ready), withStart(78, -1, decide.Ready), 100},
+		"older process at the same address":    {withStart(77, 3, decide.Ready), withStart(70, 500, decide.Ready), -400},
+		"back after being gone, start unknown": {withStart(0, -1, decide.Gone), withStart(0, -1, decide.Ready), 100},
+		"back after being gone, age given":     {withStart(0, -1, decide.Gone), withStart(0, 2, decide.Ready), 98},
+		"ready after draining, start unknown":  {withStart(0, -1, decide.Draining), withStart(0, -1, decide.Ready), unknownStartSeconds},
+		"started at time 0 of the planner":     {withStart(77, 10, decide.Ready), withStart(77, 200, decide.Ready), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngineTable(4, nil, "home", slog.New(slog.DiscardHandler))
+			table := newEngineTable(4, nil, "home", slog.New(slog.DiscardHandler))
 			ready := c.first
 			ready.Phase = decide.Ready
-			e.entries(10, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{ready}})
-			e.entries(50, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{c.first}})
-			assert.Equal(t, c.want, e.entries(100, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{c.next}})[0].StartedAt)
+			table.entries(10, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{ready}})
+			table.entries(50, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{c.first}})
+			assert.Equal(t, c.want, table.entries(100, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{c.next}})[0].StartedAt)
 		})
 	}
 }
@@ -318,19 +318,19 @@
 // TestGoneEntry checks that a list entry for an engine that is gone may leave all other fields empty: it keeps what is
 // known of the engine, and gives no index to an engine that was never listed.
 func TestGoneEntry(t *testing.T) {
-	e := newEngineTable(4, []MachineKind{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
-	there := engineEntry(1, "read", decide.Ready)
-	there.StartID, there.Age = 77, 3
-	first := e.entries(10, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{there}})[0]
-	bare := func(n int) link.EngineEntry {
+	table := newEngineTable(4, []MachineKind{{"read", decide.Reader}}, "home", slog.New(slog.DiscardHandler))
+	listed := engineEntry(1, "read", decide.Ready)
+	listed.StartID, listed.Age = 77, 3
+	first := table.entries(10, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{listed}})[0]
+	goneEntry := func(n int) link.EngineEntry {
 		return link.EngineEntry{Address: engineEntry(n, "", 0).Address, Phase: decide.Gone, Age: -1}
 	}
-	gone := e.entries(20, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{bare(1), bare(2)}})
+	gone := table.entries(20, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{goneEntry(1), goneEntry(2)}})
 	want := first
 	want.Phase = decide.Gone
 	assert.Equal(t, []decide.EngineEntry{want}, gone)
-	assert.Len(t, e.records, 1)
-	assert.Equal(t, first, e.entries(30, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{there}})[0], "the same start of the same engine")
+	assert.Len(t, table.records, 1)
+	assert.Equal(t, first, table.entries(30, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{listed}})[0], "the same start of the same engine")
 }
 
 // TestReusedIndex checks that a late probe result is not credited to the engine that has the probed engine's index by
@@ -339,12 +339,12 @@
 	p, edge := newTestPlanner(t, func(s *decide.Settings, o *Options) { o.MaxEngines = 2; s.ReportColumns = []string{"x0", "x1"} })
 	p.Notify(listEvent(decide.ListSnapshot, engineEntry(1, "write", decide.Ready), engineEntry(2, "write", decide.Ready)))
 	p.step()
-	full := link.Event{Kind: link.ProbeEnded, Address: engineEntry(2, "", 0).Address, Outcome: decide.Finished, Report: []float64{1, 900}}
+	late := link.Event{Kind: link.ProbeEnded, Address: engineEntry(2, "", 0).Address, Outcome: decide.Finished, Report: []float64{1, 900}}
 	p.Notify(listEvent(decide.ListSnapshot, engineEntry(1, "write", decide.Ready)))
 	p.step()
 	p.start = p.start.Add(-time.Minute)
 	p.Notify(listEvent(decide.ListSnapshot, engineEntry(1, "write", decide.Ready), engineEntry(3, "write", decide.Ready)))
-	p.Notify(full)
+	p.Notify(late)
 	for range 4 {
 		p.Notify(link.Event{Kind: link.ProbeEnded, Address: engineEntry(1, "", 0).Address, Outcome: decide.Finished, Report: []float64{0.9, 1}})
 	}
@@ -365,8 +365,8 @@
 		phase := []decide.Phase{decide.Ready, decide.Draining, decide.Gone}[n-1]
 		p.Notify(listEvent(decide.ListDelta, engineEntry(n, "write", phase)))
 	}
-	waiting, _ := p.mailbox.counts()
-	assert.Less(t, waiting, 100)
+	queued, _ := p.mailbox.counts()
+	assert.Less(t, queued, 100)
 	p.step()
 	for id := range uint64(20) {
 		p.Offer(arrival(id+1, 0, 100, time.Second))
@@ -446,21 +446,21 @@
 		checkCommands := func() {
 			p.step()
 			for ; seen < len(edge.commands); seen++ {
-				o := edge.commands[seen]
-				c := all[o.Completion]
-				switch o.Kind {
+				command := edge.commands[seen]
+				c := all[command.Completion]
+				switch command.Kind {
 				case link.Dispatch:
-					require.Equal(t, c.sent, o.Dispatch, "numbered in order")
+					require.Equal(t, c.sent, command.Dispatch, "numbered in order")
 					require.Zero(t, c.finalAnswers, "no dispatch after the final answer")
 					require.False(t, c.done)
-					c.out[o.Dispatch] = true
+					c.out[command.Dispatch] = true
 					c.sent++
 				case link.RateLimit, link.Abort:
 					c.finalAnswers++
 					require.Equal(t, 1, c.finalAnswers, "one final answer")
 					require.False(t, c.started, "no other final answer once an answer has started")
 				case link.Cancel:
-					require.Less(t, o.Dispatch, c.sent, "only a dispatch that was sent is cancelled")
+					require.Less(t, command.Dispatch, c.sent, "only a dispatch that was sent is cancelled")
 				}
 			}
 		}
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -15,76 +15,76 @@
 
 // admissionSetup is the admission configuration at the start of a router.
 type admissionSetup struct {
-	settings    *pb.Admission
+	admission   *pb.Admission
 	config      door.AdmissionConfig
 	descriptors admit.DescriptorBudget // zero if admission is off
 }
 
 // loadAdmission reads the admission settings, raises the process's descriptor limit and divides it. It fails if the
 // settings need more descriptors than the limit allows.
-func loadAdmission(r *pb.Router) (*admissionSetup, error) {
+func loadAdmission(settings *pb.Router) (*admissionSetup, error) {
 	limit, err := door.RaiseDescriptorLimit()
 	if err != nil {
 		return nil, err
 	}
-	a := &admissionSetup{settings: r.GetAdmission()}
-	if file := r.GetAdmissionFile(); file != "" {
-		a.settings = &pb.Admission{}
-		if err := config.Load(file, a.settings); err != nil {
+	setup := &admissionSetup{admission: settings.GetAdmission()}
+	if file := settings.GetAdmissionFile(); file != "" {
+		setup.admission = &pb.Admission{}
+		if err := config.Load(file, setup.admission); err != nil {
 			return nil, err
 		}
 	}
-	if a.settings.GetOff() {
-		return a, nil
+	if setup.admission.GetOff() {
+		return setup, nil
 	}
-	if a.config, a.descriptors, err = config.Rules(r, a.settings, limit); err != nil {
+	if setup.config, setup.descriptors, err = config.Rules(settings, setup.admission, limit); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	return a, nil
+	return setup, nil
 }
 
 // newListener puts admission control in front of the clients' listener. It returns nil if admission is off.
-func (a *admissionSetup) newListener(r *pb.Router, ln net.Listener, log *slog.Logger) (*door.Listener, error) {
-	if a.settings.GetOff() {
+func (s *admissionSetup) newListener(settings *pb.Router, ln net.Listener, log *slog.Logger) (*door.Listener, error) {
+	if s.admission.GetOff() {
 		return nil, nil //nolint:nilnil // nil means that admission is off
 	}
-	o := config.Door(r, a.settings)
-	o.Listener, o.Admission, o.Log = ln.(*net.TCPListener), a.config, log //nolint:forcetypeassert // net.Listen("tcp") returns this type
-	d, err := door.New(o)
+	options := config.Door(settings, s.admission)
+	options.Listener, options.Admission, options.Log = ln.(*net.TCPListener), s.config, log //nolint:forcetypeassert // net.Listen("tcp") returns this type
+	listener, err := door.New(options)
 	if err != nil {
 		return nil, err
 	}
-	log.Info("admission", "descriptors", a.descriptors.String(), "known clients", len(a.config.Clients), "reserve", a.config.Settings.ReservedConnections)
-	return d, nil
+	log.Info("admission", "descriptors", s.descriptors.String(), "known clients", len(s.config.Clients), "reserve", s.config.Settings.ReservedConnections)
+	return listener, nil
 }
 
 // watchAdmissionFile reloads the admission file when it changes. A file with any error changes nothing. The
 // descriptors stay divided as at the start: limits may change within that division.
 func (r *Router) watchAdmissionFile(ctx context.Context, file string) {
 	door.WatchFiles(ctx, []string{file}, admissionPollInterval, func() {
-		a := &pb.Admission{}
-		err := config.Load(file, a)
-		if err == nil && a.GetOff() {
+		admission := &pb.Admission{}
+		err := config.Load(file, admission)
+		if err == nil && admission.GetOff() {
 			err = fmt.Errorf("%s: off: is read only at startup", file)
 		}
-		var rules door.AdmissionConfig
-		var d admit.DescriptorBudget
+		var newConfig door.AdmissionConfig
+		var budget admit.DescriptorBudget
 		if err == nil {
-			rules, d, err = config.Rules(r.settings, a, r.descriptors.Limit)
+			newConfig, budget, err = config.Rules(r.settings, admission, r.descriptors.Limit)
 		}
-		if err == nil && d.Connections+d.Closing > r.descriptors.Connections+r.descriptors.Closing {
+		if err == nil && budget.Connections+budget.Closing > r.descriptors.Connections+r.descriptors.Closing {
 			err = fmt.Errorf("%s: %d connections and %d closing ones exceed the %d that have had descriptors since startup",
-				file, d.Connections, d.Closing, r.descriptors.Connections+r.descriptors.Closing)
+				file, budget.Connections, budget.Closing, r.descriptors.Connections+r.descriptors.Closing)
 		}
 		if err == nil {
-			rules.Settings.MaxCompletions = min(rules.Settings.MaxCompletions, r.descriptors.MaxCompletions)
-			err = r.listener.Reload(rules)
+			newConfig.Settings.MaxCompletions = min(newConfig.Settings.MaxCompletions, r.descriptors.MaxCompletions)
+			err = r.listener.Reload(newConfig)
 		}
 		if err != nil {
 			r.log.Error("admission not reloaded; the previous settings stay in force", "err", err)
 			return
 		}
-		r.log.Info("admission reloaded", "connections", d.Connections, "known clients", len(rules.Clients))
+		r.log.Info("admission reloaded", "connections", budget.Connections, "known clients", len(newConfig.Clients))
 	})
 }
 
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -66,8 +66,8 @@
 			case done <- maxOpen:
 				return
 			case <-time.After(time.Millisecond):
-				f, _ := h.listener.Stats(0)
-				maxOpen = max(maxOpen, f.Connections)
+				stats, _ := h.listener.Stats(0)
+				maxOpen = max(maxOpen, stats.Connections)
 			}
 		}
 	}()
@@ -75,9 +75,9 @@
 		Patience: 3 * time.Second, Known: keys, KnownFrom: sourceAddresses(10, clients), Before: 500 * time.Millisecond, Pause: 300 * time.Millisecond})
 	sum := r.Sum()
 	times, failed := r.KnownTimes()
-	f, _ := h.listener.Stats(0)
+	stats, _ := h.listener.Stats(0)
 	t.Logf("flood %+v, waits p50 %v p99 %v µs; known: %d streams, %d failed, p50 %v p99 %v max %v µs; ended %v refused %v", *sum, sum.Waits.ValueAtQuantile(50),
-		sum.Waits.ValueAtQuantile(99), len(r.Known), failed, times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), f.Evicted, f.Refused)
+		sum.Waits.ValueAtQuantile(99), len(r.Known), failed, times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), stats.Evicted, stats.Refused)
 	assert.LessOrEqual(t, <-done, connections)
 	assert.GreaterOrEqual(t, sum.Tried, 50*connections, "the flood made enough attempts")
 	assert.Zero(t, failed)
@@ -179,8 +179,8 @@
 		buf := make([]byte, 64<<10)
 		require.Eventually(t, func() bool {
 			conn.Read(buf) //nolint:errcheck // only the end of the completion matters
-			f, _ := h.listener.Stats(0)
-			return f.Completions == 0 && h.answerCount("left") > 0
+			stats, _ := h.listener.Stats(0)
+			return stats.Completions == 0 && h.answerCount("left") > 0
 		}, 8*time.Second, 200*time.Millisecond, "the completion no longer occupies an engine")
 	})
 	h.stopAndCheck()
@@ -230,7 +230,7 @@
 	assert.Error(t, err)
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.Less(t, sent, 64<<20)
-	require.Eventually(t, func() bool { f, _ := h.listener.Stats(0); return f.Completions == 0 }, 2*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { stats, _ := h.listener.Stats(0); return stats.Completions == 0 }, 2*time.Second, 10*time.Millisecond)
 	h.stopAndCheck()
 }
 
@@ -279,7 +279,7 @@
 		return limited != ""
 	}, 10*time.Second, time.Millisecond)
 	retryAfter, answeredAt := wait, time.Now()
-	earlyRetries := func() uint64 { f, _ := h.listener.Stats(0); return f.Refused[admit.ReasonEarlyRetry] }
+	earlyRetries := func() uint64 { stats, _ := h.listener.Stats(0); return stats.Refused[admit.ReasonEarlyRetry] }
 	before := earlyRetries()
 	status, text := try(limited)
 	assert.Equal(t, 429, status)
@@ -293,8 +293,8 @@
 	assert.NotContains(t, text, "not before its time")
 	close(stop)
 	busy.Wait()
-	figures, _ := h.listener.Stats(0)
-	assert.Zero(t, figures.Refused[admit.ReasonConnectionRate], "no connection was refused: every 429 was for a completion")
+	stats, _ := h.listener.Stats(0)
+	assert.Zero(t, stats.Refused[admit.ReasonConnectionRate], "no connection was refused: every 429 was for a completion")
 	h.stopAndCheck()
 }
 
@@ -327,17 +327,17 @@
 		text, _, _ := h.exchange(20*time.Second, fmt.Sprintf("%sAuthorization: Bearer secret\r\nContent-Length: %d\r\n\r\n%s", requestHead, len(body), body))
 		stream <- text
 	}()
-	common := func() (int, int) { f, _ := h.listener.Stats(0); return f.Common, f.MaxCommon }
+	common := func() (int, int) { stats, _ := h.listener.Stats(0); return stats.Common, stats.MaxCommon }
 	holders := func() string { return fmt.Sprint(h.admissionStatus().Holders) }
 	require.Eventually(t, func() bool { return strings.Contains(holders(), "one true") }, 2*time.Second, 10*time.Millisecond)
 
 	writeFile("max_connections: 60 no_such_field: 1\n")
 	time.Sleep(2500 * time.Millisecond)
-	used, most := common()
-	assert.Equal(t, 40, most, "unchanged")
+	used, maxCommon := common()
+	assert.Equal(t, 40, maxCommon, "unchanged")
 	assert.GreaterOrEqual(t, used, 30)
 	writeFile("max_connections: 20 reserve_connections: 4 anteroom: 4\nclients { name: \"other\" ranges: \"10.0.0.0/8\" }")
-	require.Eventually(t, func() bool { used, most := common(); return most == 12 && used <= 12 }, 5*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { used, maxCommon := common(); return maxCommon == 12 && used <= 12 }, 5*time.Second, 20*time.Millisecond)
 	assert.NotContains(t, holders(), "one true", "revoked")
 	closed := 0
 	for _, conn := range idle {
@@ -399,7 +399,7 @@
 	assert.Zero(t, failed)
 	assert.Len(t, r.Known, 200)
 	assert.Less(t, times.Max(), int64(2_000_000), "µs")
-	f, _ := h.listener.Stats(0)
-	assert.Zero(t, f.Refused[admit.ReasonConnectionRate]+f.Refused[admit.ReasonAddressLimit]+f.Refused[admit.ReasonPoolFull])
+	stats, _ := h.listener.Stats(0)
+	assert.Zero(t, stats.Refused[admit.ReasonConnectionRate]+stats.Refused[admit.ReasonAddressLimit]+stats.Refused[admit.ReasonPoolFull])
 	h.stopAndCheck()
 }
--- a/internal/router/churn_test.go
+++ b/internal/router/churn_test.go
@@ -82,14 +82,14 @@
 func (c *churn) publish() {
 	c.version++
 	line := fleet.Line{Kind: "full", Epoch: 1, Version: c.version}
-	for _, s := range c.batches {
-		for i, e := range s.fleet.Engines {
-			age, machine := time.Since(s.started).Seconds(), "write"
+	for _, batch := range c.batches {
+		for i, e := range batch.fleet.Engines {
+			age, machine := time.Since(batch.started).Seconds(), "write"
 			if i == 0 {
 				machine = "read"
 			}
-			line.Engines = append(line.Engines, fleet.Engine{Address: e.Address(), Zone: fmt.Sprint("zone", s.n%5), Cell: fmt.Sprint("cell", s.n%20), Machine: machine,
-				Phase: s.phase, Start: s.started.UnixMilli(), Age: &age})
+			line.Engines = append(line.Engines, fleet.Engine{Address: e.Address(), Zone: fmt.Sprint("zone", batch.n%5), Cell: fmt.Sprint("cell", batch.n%20), Machine: machine,
+				Phase: batch.phase, Start: batch.started.UnixMilli(), Age: &age})
 		}
 	}
 	text, err := json.Marshal(line)
@@ -100,11 +100,11 @@
 func (c *churn) startBatch() {
 	f := &pb.Fleet{}
 	require.NoError(c.t, config.Parse("fleet", []byte(churnBatchSettings), f))
-	s := &engineBatch{n: c.version, started: time.Now(), phase: "ready"}
+	batch := &engineBatch{n: c.version, started: time.Now(), phase: "ready"}
 	var err error
-	s.fleet, err = standin.Start(f, c.settings.GetWorkloads(), nil)
+	batch.fleet, err = standin.Start(f, c.settings.GetWorkloads(), nil)
 	require.NoError(c.t, err)
-	c.batches = append(c.batches, s)
+	c.batches = append(c.batches, batch)
 	c.publish()
 }
 
@@ -199,9 +199,9 @@
 	files, goroutines := openResources(c.t)
 	info, err := c.log.Stat()
 	require.NoError(c.t, err)
-	f := c.permanent.Planner.Stats()
+	stats := c.permanent.Planner.Stats()
 	_, releasing := c.permanent.Edge.Active()
-	return sample{m.HeapAlloc, files, goroutines, info.Size(), c.calls.Load(), f.QueuedEvents, f.OpenCompletions, releasing}
+	return sample{m.HeapAlloc, files, goroutines, info.Size(), c.calls.Load(), stats.QueuedEvents, stats.OpenCompletions, releasing}
 }
 
 // TestChurn replaces engines (with new addresses, zones and cells), peer routers, clients, sessions and known keys all
@@ -293,7 +293,7 @@
 	close(stop)
 	workers.Wait()
 	var last sample
-	level := func() bool { // a release to a stopped engine is retried for a minute, with up to one descriptor and three goroutines
+	level := func() bool { // a release to a stopped engine is retried for a minute: it, a dial and what watches the dial remain until then
 		last = c.sample()
 		return last.files <= first.files+last.releasing && last.goroutines <= first.goroutines+3*last.releasing && last.waiting+last.open == 0 &&
 			(last.releasing == 0 || *churnDuration < time.Minute)
@@ -328,10 +328,10 @@
 	listener, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
 	defer listener.Close()
-	at := listener.Addr().String()
+	address := listener.Addr().String()
 	for name, change := range map[string]func(*pb.Router){
-		"listen address in use":      func(r *pb.Router) { r.Listen = &at },
-		"admin address in use":       func(r *pb.Router) { r.AdminListen = &at },
+		"listen address in use":      func(r *pb.Router) { r.Listen = &address },
+		"admin address in use":       func(r *pb.Router) { r.AdminListen = &address },
 		"invalid source address":     func(r *pb.Router) { r.SourceAddress = proto.String("nowhere") },
 		"client without an identity": func(r *pb.Router) { r.Admission.Clients = []*pb.Known{{Name: proto.String("x")}} },
 		"peer weight of 0":           func(r *pb.Router) { r.Peers.Weight = proto.Float64(0) },
--- a/internal/router/limit_test.go
+++ b/internal/router/limit_test.go
@@ -85,18 +85,18 @@
 				time.AfterFunc(1500*time.Millisecond, func() { close(stop) })
 				for range 4 {
 					go func() {
-						var mine []*os.File
+						var opened []*os.File
 						for {
 							select {
 							case <-stop:
-								for _, f := range mine {
+								for _, f := range opened {
 									f.Close()
 								}
 								return
 							default:
 							}
 							if f, err := os.Open(os.DevNull); err == nil {
-								mine = append(mine, f)
+								opened = append(opened, f)
 							}
 						}
 					}()
@@ -105,8 +105,8 @@
 		} else if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &original); err != nil {
 			return err
 		}
-		f, _ := router.listener.Stats(0)
-		fmt.Println("done", f.Refused[admit.ReasonNoDescriptors])
+		stats, _ := router.listener.Stats(0)
+		fmt.Println("done", stats.Refused[admit.ReasonNoDescriptors])
 	}
 	return router.Stop()
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -35,7 +35,7 @@
 	pb "cherryhub/proto"
 )
 
-// Router is a running router.
+// Router is a running router with its parts.
 type Router struct {
 	Edge    *edge.Edge
 	Planner *planner.Planner
@@ -47,76 +47,76 @@
 	client      *engine.Client
 	log         *slog.Logger
 	cancel      context.CancelFunc
-	running     sync.WaitGroup
-	errs        chan error
+	running     sync.WaitGroup // goroutines that end with cancel
+	errs        chan error     // see Errors
 	peer        *peer.Peer     // nil if the settings have no peers
 	listener    *door.Listener // nil if admission is off
 	descriptors admit.DescriptorBudget
 }
 
 // Start starts a router, which serves until Stop. The settings must have been checked.
-func Start(r *pb.Router, log *slog.Logger) (*Router, error) {
-	log = log.With("router", r.GetName())
+func Start(settings *pb.Router, log *slog.Logger) (*Router, error) {
+	log = log.With("router", settings.GetName())
 	var undo []func() error
 	defer func() { // a failed start closes what it opened
 		for _, f := range slices.Backward(undo) {
 			f() //nolint:errcheck // the error of the start is returned
 		}
 	}()
-	setup, err := loadAdmission(r)
+	setup, err := loadAdmission(settings)
 	if err != nil {
-		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
+		return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 	}
-	clientOptions := config.Engine(r)
+	clientOptions := config.Engine(settings)
 	clientOptions.MaxConns = setup.descriptors.Engines
 	client, err := engine.NewClient(clientOptions)
 	if err != nil {
-		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
+		return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 	}
 	undo = append(undo, func() error { client.Close(); return nil })
-	ln, err := net.Listen("tcp", r.GetListen())
+	ln, err := net.Listen("tcp", settings.GetListen())
 	if err != nil {
-		return nil, fmt.Errorf("router %s: listen: %w", r.GetName(), err)
+		return nil, fmt.Errorf("router %s: listen: %w", settings.GetName(), err)
 	}
 	undo = append(undo, ln.Close)
 	var workloadNames []string
-	for _, w := range r.GetWorkloads() {
+	for _, w := range settings.GetWorkloads() {
 		workloadNames = append(workloadNames, w.GetName())
 	}
 	metrics := telemetry.NewMetrics(workloadNames)
-	edgeOptions := config.Edge(r, setup.settings)
+	edgeOptions := config.Edge(settings, setup.admission)
 	edgeOptions.Listener, edgeOptions.Engines, edgeOptions.Log, edgeOptions.Observer = ln, edge.VLLMEngines(client), log, metrics
-	router := &Router{Metrics: metrics, settings: r, address: ln.Addr(), client: client, log: log, errs: make(chan error, 3), descriptors: setup.descriptors}
-	if router.listener, err = setup.newListener(r, ln, log); err != nil {
-		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
+	router := &Router{Metrics: metrics, settings: settings, address: ln.Addr(), client: client, log: log, errs: make(chan error, 3), descriptors: setup.descriptors}
+	if router.listener, err = setup.newListener(settings, ln, log); err != nil {
+		return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 	}
 	if edgeOptions.AdmissionListener = router.listener; router.listener != nil {
 		undo = append(undo, router.listener.Shutdown)
 	}
-	list := r.GetList()
+	list := settings.GetList()
 	follower := fleet.New(fleet.Options{URL: list.GetUrl(), File: list.GetFile(), Poll: config.Seconds(list.GetPollS()), Ask: list.GetAsk(),
-		Retry: config.Seconds(list.GetRetryS()), MaxEngines: int(list.GetMaxEngines()), SourceAddress: r.GetSourceAddress(), Tell: router.updateEngines, Log: log})
-	if peerOptions := config.Peer(r); peerOptions != nil {
+		Retry: config.Seconds(list.GetRetryS()), MaxEngines: int(list.GetMaxEngines()), SourceAddress: settings.GetSourceAddress(), Tell: router.updateEngines, Log: log})
+	if peerOptions := config.Peer(settings); peerOptions != nil {
 		peerOptions.Probe, peerOptions.Log, peerOptions.Observer = client.Probe, log, metrics
-		peerOptions.Notify = func(f link.Event) { router.Planner.Notify(f) }
+		peerOptions.Notify = func(e link.Event) { router.Planner.Notify(e) }
 		if list.GetAsk() {
 			peerOptions.ListRefresh = &peer.ListRefresh{Subject: list.GetUrl(), Interval: list.GetPollS(), Fetch: follower.Ask, Apply: follower.Take}
 		}
 		if router.peer, err = peer.New(*peerOptions); err != nil {
-			return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
+			return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 		}
 		edgeOptions.Probe = router.peer.Probe
 	}
 	e := edge.New(edgeOptions)
-	plannerOptions := config.Planner(r)
+	plannerOptions := config.Planner(settings)
 	plannerOptions.Log, plannerOptions.ObserveDelay = log, metrics.Delay
 	if router.listener != nil {
 		plannerOptions.MaxOpenCompletions = min(plannerOptions.MaxOpenCompletions, setup.descriptors.MaxCompletions)
 		metrics.WatchDoor(router.listener)
 	}
-	p, err := planner.New(config.Decide(r), plannerOptions, e)
+	p, err := planner.New(config.Decide(settings), plannerOptions, e)
 	if err != nil {
-		return nil, fmt.Errorf("router %s: %w", r.GetName(), err)
+		return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 	}
 	e.SetPlanner(p)
 	metrics.Watch(p, e)
@@ -138,7 +138,7 @@
 			}
 		})
 	}
-	if file := r.GetAdmissionFile(); file != "" && router.listener != nil {
+	if file := settings.GetAdmissionFile(); file != "" && router.listener != nil {
 		router.running.Go(func() { router.watchAdmissionFile(ctx, file) })
 	}
 	go func() {
@@ -146,7 +146,7 @@
 			router.errs <- err
 		}
 	}()
-	log.Info("router serves", "address", ln.Addr().String(), "admin", r.GetAdminListen())
+	log.Info("router serves", "address", ln.Addr().String(), "admin", settings.GetAdminListen())
 	return router, nil
 }
 
@@ -160,13 +160,13 @@
 
 // Serve runs a router from a settings file until the context ends or a part of the router fails.
 func Serve(ctx context.Context, file string, logs io.Writer) error {
-	r := &pb.Router{}
-	if err := config.Load(file, r); err != nil {
+	settings := &pb.Router{}
+	if err := config.Load(file, settings); err != nil {
 		return err
 	}
-	log, writer := logwriter.Start(logs, func(w io.Writer) slog.Handler { return telemetry.LogHandler(w, r.GetLog()) })
+	log, writer := logwriter.Start(logs, func(w io.Writer) slog.Handler { return telemetry.LogHandler(w, settings.GetLog()) })
 	defer writer.Close()
-	router, err := Start(r, log)
+	router, err := Start(settings, log)
 	if err != nil {
 		return err
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -87,7 +87,7 @@
 	return h
 }
 
-// stopAndCheck stops the router and the engines, and checks the rules against the record of the engines.
+// stopAndCheck stops the router and the engines, checks the recorded events against the rules and returns them.
 func (h *harness) stopAndCheck() []*pb.Entry {
 	require.NoError(h.t, h.Stop())
 	return h.closeFleet()
--- a/internal/router/tls_test.go
+++ b/internal/router/tls_test.go
@@ -71,13 +71,13 @@
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, &key.PublicKey)
 	der, err := x509.MarshalECPrivateKey(key)
 	require.NoError(a.t, err)
-	put := func(file, kind string, der []byte) {
+	writePEM := func(file, kind string, der []byte) {
 		if file != "" {
 			require.NoError(a.t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 		}
 	}
-	put(certFile, "CERTIFICATE", cert.Raw)
-	put(keyFile, "EC PRIVATE KEY", der)
+	writePEM(certFile, "CERTIFICATE", cert.Raw)
+	writePEM(keyFile, "EC PRIVATE KEY", der)
 	return tls.Certificate{Certificate: [][]byte{cert.Raw}, PrivateKey: key}
 }
 
@@ -118,25 +118,25 @@
 		assert.Equal(t, left+1, h.answerCount("left"))
 	})
 	t.Run("client identified by certificate", func(t *testing.T) {
-		var held []net.Conn
+		var conns []net.Conn
 		defer func() {
-			for _, c := range held {
+			for _, c := range conns {
 				c.Close()
 			}
 		}()
 		for range 8 { // the limit per address; below, half of the provisional connections do no handshake
 			conn, err := dial(&tls.Config{})
 			require.NoError(t, err)
-			held = append(held, conn)
+			conns = append(conns, conn)
 		}
 		for range 2 {
 			conn, err := net.Dial("tcp", h.Address())
 			require.NoError(t, err)
-			held = append(held, conn)
+			conns = append(conns, conn)
 		}
 		conn, err := dial(&tls.Config{Certificates: []tls.Certificate{partner}})
 		require.NoError(t, err)
-		held = append(held, conn)
+		conns = append(conns, conn)
 		fmt.Fprint(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		require.NoError(t, err)
@@ -145,7 +145,7 @@
 
 		other, err := dial(&tls.Config{})
 		require.NoError(t, err)
-		held = append(held, other)
+		conns = append(conns, other)
 		fmt.Fprint(other, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
 		resp, err = http.ReadResponse(bufio.NewReader(other), nil)
 		require.NoError(t, err)
@@ -153,7 +153,7 @@
 		assert.NotEmpty(t, resp.Header.Get("Retry-After"))
 	})
 	t.Run("incomplete handshake", func(t *testing.T) {
-		require.Eventually(t, func() bool { f, _ := h.listener.Stats(0); return f.Provisional == 0 && f.Common <= 1 }, 3*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { stats, _ := h.listener.Stats(0); return stats.Provisional == 0 && stats.Common <= 1 }, 3*time.Second, 10*time.Millisecond)
 		conn, err := net.Dial("tcp", h.Address())
 		require.NoError(t, err)
 		defer conn.Close()
@@ -163,9 +163,9 @@
 		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the router closes the connection")
 	})
 	t.Run("refused by an alert", func(t *testing.T) {
-		var held []net.Conn
+		var conns []net.Conn
 		defer func() {
-			for _, c := range held {
+			for _, c := range conns {
 				c.Close()
 			}
 		}()
@@ -173,7 +173,7 @@
 		for range 30 {
 			var conn net.Conn
 			if conn, err = net.Dial("tcp", h.Address()); err == nil {
-				held = append(held, conn)
+				conns = append(conns, conn)
 			}
 		}
 		require.Eventually(t, func() bool {
@@ -198,8 +198,8 @@
 		a.issue("second.example", certFile, keyFile)
 		require.Eventually(t, func() bool { return served() == "second.example" }, 3*time.Second, 50*time.Millisecond)
 	})
-	f, _ := h.listener.Stats(0)
-	assert.Positive(t, f.Refused[admit.ReasonNotIdentified])
+	stats, _ := h.listener.Stats(0)
+	assert.Positive(t, stats.Refused[admit.ReasonNotIdentified])
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	assert.Equal(t, "finished", streamOutcome(ctx, h, `"y"`, 4))
