--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -34,9 +34,9 @@
 func (e *recordingEdge) ofKind(kind link.CommandKind) (all []link.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, o := range e.commands {
-		if o.Kind == kind {
-			all = append(all, o)
+	for _, c := range e.commands {
+		if c.Kind == kind {
+			all = append(all, c)
 		}
 	}
 	return all
@@ -74,8 +74,8 @@
 
 // step processes all queued events and due timers once, as Run does.
 func (p *Planner) step() {
-	for _, f := range p.mailbox.drain(nil) {
-		p.process(&f)
+	for _, e := range p.mailbox.drain(nil) {
+		p.process(&e)
 	}
 	p.runTimers()
 }
