--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -156,7 +156,7 @@
 	})
 }
 
-// TestReads checks that a long prompt is read by a reader, and that the write then goes to a writer.
+// TestReadThenWrite checks that a long prompt is read by a reader, and that the write then goes to a writer.
 func TestReadThenWrite(t *testing.T) {
 	p, edge := newTestPlanner(t, nil)
 	p.Notify(listEvent(decide.ListSnapshot, engineEntry(1, "read", decide.Ready), engineEntry(2, "write", decide.Ready)))
