--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,8 +1,15 @@
-// Package admit decides which connections, calls and completions an edge lets in while everybody comes at once:
-// caps in all, for an address and for a known client, a reserve for known clients, shares that shrink as room
-// runs out, waits that grow for those who flood. It does no I/O: time, addresses and identities are passed in,
-// verdicts come back, and what must be closed is listed by Evicted. Its memory is bounded by its settings,
-// whatever number of addresses come. internal/door, which owns the sockets, calls it under one lock.
+// Package admit is the admission control of client connections, HTTP requests and completions under overload. It
+// enforces limits in total, per address and per known client, reserves capacity for known clients, lowers the limit
+// of an address as capacity runs out, and lengthens the retry-after of clients that connect too fast.
+//
+// A known client is one listed in the configuration, identified by its address, its certificate or an API key.
+// Connections are counted in three pools: the reserve of the known clients, the common pool, and the provisional
+// pool (the setting "anteroom") for connections that the common pool has no capacity for and that may yet turn out
+// to be a known client's.
+//
+// The package does no I/O: time, addresses and identities are passed in, decisions are returned, and connections to
+// close are returned by TakeEvictions. Its memory is bounded by its settings, however many addresses connect.
+// internal/door, which owns the sockets, calls it under one lock.
 package admit
 
 import (
@@ -11,67 +18,67 @@
 	"net/netip"
 )
 
-// Settings of a gate. Times are seconds.
+// Settings of a controller. Times are in seconds.
 type Settings struct {
-	MaxConnections      int // open at once in all, 3 or more
-	ReservedConnections int // of them kept for known clients, divided among them evenly
-	MaxProvisional      int // of them for those not yet known for whom there is no common room, 0 for none
-	MaxClosing          int // connections told to go that are not closed yet, besides Connections
-	MaxPerAddress       int // open connections of one address that is not known
-	MaxPerClient        int // of one known client
-	IPv6PrefixBits      int // bits of an IPv6 address that tell one holder, 1 to 128
-
-	AddressRate, AddressBurst float64 // new connections a second of one address, and how many may come at once
-	ClientRate, ClientBurst   float64 // of one known client
-	ProvisionalFloodRate      float64 // entries a second to the anteroom of all addresses past their own rate
-	MaxRetryAfter             float64 // a flooding address's wait grows to this
-
-	ProvisionalTimeout       float64 // until the first header is whole, in the anteroom
-	HeaderTimeout            float64 // the same, in the common room
-	IdleTimeout              float64 // between two calls, until the next header is whole
-	MaxRequestsPerConnection int     // of one connection, then it is closed after the answer
-
-	MaxCompletions           int // taken and not over, in all
-	ReservedCompletions      int // of them kept for known clients
-	MaxCompletionsPerClient  int // of one known client
-	MaxCompletionsPerAddress int // of one address
-	MaxRememberedRateLimits  int // rate-limited completions that are remembered
-
-	HashSeed uint64 // of the sketch's hashes, so that nobody can aim at another's cells
-}
-
-// Client is one that is known.
+	MaxConnections      int // open at once in total, 3 or more
+	ReservedConnections int // of these, reserved for known clients and divided evenly among them
+	MaxProvisional      int // of these, for the provisional pool; 0 disables it
+	MaxClosing          int // evicted connections that are not closed yet, in addition to MaxConnections
+	MaxPerAddress       int // open connections of one address outside the clients' ranges
+	MaxPerClient        int // open connections of one known client
+	IPv6PrefixBits      int // IPv6 addresses with the same prefix of this length count as one address, 1 to 128
+
+	AddressRate, AddressBurst float64 // new connections per second of one address, and how many may arrive at once
+	ClientRate, ClientBurst   float64 // the same for one known client
+	ProvisionalFloodRate      float64 // connections per second into the provisional pool from all addresses above their own rate
+	MaxRetryAfter             float64 // the longest retry-after for connecting too fast
+
+	ProvisionalTimeout       float64 // from accept until the first request header is complete, in the provisional pool
+	HeaderTimeout            float64 // the same for other connections
+	IdleTimeout              float64 // from the end of a request until the next header is complete
+	MaxRequestsPerConnection int     // then the connection is closed after the response
+
+	MaxCompletions           int // admitted and not ended, in total
+	ReservedCompletions      int // of these, reserved for known clients
+	MaxCompletionsPerClient  int // open completions of one known client
+	MaxCompletionsPerAddress int // open completions of one address
+	MaxRememberedRateLimits  int // rate-limited completions whose retry time is remembered
+
+	HashSeed uint64 // of the sketch's hashes; random, so that no client can aim at another's cells
+}
+
+// Client is a known client.
 type Client struct {
-	Name string // tells it from others, over reloads too
+	Name string // identifies the client, also across reloads
 }
 
-// Unknown is the client number of one who is not known.
+// UnknownClient is the client index for clients that are not known.
 const UnknownClient = -1
 
-// Conn names a connection that was let in, never 0.
+// ConnID identifies an accepted connection. It is never 0.
 type ConnID uint64
 
-// Reason says why something was refused or ended.
+// Reason says why a connection, request or completion was refused, or a connection evicted.
 type Reason uint8
 
-// The reasons.
+// Reasons.
 const (
 	ReasonNone               Reason = iota
-	ReasonConnectionRate            // new connections of the address or client come too fast
-	ReasonAddressLimit              // the address holds its cap, or its share of what is left
-	ReasonPoolFull                  // no common room
-	ReasonClientLimit               // the known client holds its cap
-	ReasonProvisionalEvicted        // of those not yet known, its address held the most
-	ReasonNotIdentified             // let in to say who it is, and it is not known
-	ReasonHeaderTimeout             // its header did not come in time
-	ReasonIdleTimeout               // no call for too long
-	ReasonPreempted                 // idle while others need room
-	ReasonRequestLimit              // enough calls on one connection
-	ReasonClientRevoked             // its client is known no longer
+	ReasonConnectionRate            // the address or client opens connections too fast
+	ReasonAddressLimit              // the address is at its connection limit
+	ReasonPoolFull                  // the common pool is full
+	ReasonClientLimit               // the known client is at its connection limit
+	ReasonProvisionalEvicted        // the provisional pool was full and the connection's address held the most of it
+	ReasonNotIdentified             // a request on a provisional connection identified no known client
+	ReasonHeaderTimeout             // the request header did not arrive in time
+	ReasonIdleTimeout               // no request arrived in time
+	ReasonPreempted                 // a connection without a request was closed in favour of another
+	ReasonRequestLimit              // the connection had its maximum number of requests
+	ReasonClientRevoked             // the client is no longer configured
 	ReasonCompletionLimit           // too many completions are open
-	ReasonEarlyRetry                // a rate-limited completion came back before its time
-	ReasonNoDescriptors             // the process has none left
-	ReasonStopping                  // this router goes
+	ReasonEarlyRetry                // a rate-limited completion was retried before its retry-after
+	ReasonNoDescriptors             // the process is out of file descriptors
+	ReasonStopping                  // the router is shutting down
 	reasonCount
 )
 
@@ -80,82 +87,82 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons is how many there are.
+// NumReasons is the number of reasons.
 const NumReasons = int(reasonCount)
 
-// Verdict is whether something may be, and if not, why and when to come again.
+// Decision says whether a connection, request or completion is admitted.
 type Decision struct {
 	Reason     Reason
-	RetryAfter float64 // seconds until coming back is worth it, 0 where that isn't known
+	RetryAfter float64 // seconds after which to retry, 0 if unknown
 }
 
-// OK tells whether it may be.
-func (v Decision) Admitted() bool { return v.Reason == ReasonNone }
+// Admitted reports whether the decision is to admit.
+func (d Decision) Admitted() bool { return d.Reason == ReasonNone }
 
-// Evicted is a connection that must be told to go and closed.
+// Eviction is a connection that the caller must close, and the reason to give to the client.
 type Eviction struct {
 	Conn   ConnID
 	Reason Reason
 }
 
-// The places of a connection.
+// States of a connection.
 const (
 	stateFree           = iota
-	stateProvisional    // in the anteroom
-	stateAwaitingHeader // let in, its first header not there yet
+	stateProvisional    // in the provisional pool, first header not received yet
+	stateAwaitingHeader // in the common pool or the reserve, first header not received yet
 	stateInRequest
 	stateIdle
-	stateClosing
+	stateClosing // evicted, not closed yet
 )
 
 type conn struct {
 	generation        uint32
 	state             uint8
-	identified        bool // by address range, certificate or key
-	provisional       bool // counted in the anteroom
-	closeAfterRequest bool // to be closed after its call
+	identified        bool // as a known client's, by address range, certificate or key
+	provisional       bool // counted in the provisional pool
+	closeAfterRequest bool
 	closeReason       Reason
 	holder            int32
-	requestsBegun     int // begun
-	requestsRunning   int // now
-	stateSince        float64
-	links             [2]listLinks // in a list of times, in a list of its holder
+	requestsBegun     int
+	requestsRunning   int
+	waitingSince      float64      // when the wait for a header began
+	links             [2]listLinks // in a timeout queue, in a list of its holder
 }
 
-// holder is an address or a known client with something open.
+// holder is an address or a known client that has connections or completions open.
 type holder struct {
-	address           netip.Addr // masked
-	client            int        // Unknown for an address
+	address           netip.Addr // masked by maskAddress
+	client            int        // UnknownClient for an address
 	name              string
-	admittedConns     int // its connections outside the anteroom
-	commonConns       int // of them in the common room
-	provisionalConns  int // in the anteroom
-	queuedProvisional int // of them on lobby: the others have their refusal and are about to close
-	openCompletions   int // its completions
-	commonCompletions int // of them past its share of the reserve
-	tat               float64
-	preemptible       list // its connections that may be closed for room, oldest first
-	provisionalQueue  list // in the anteroom, oldest first
+	admittedConns     int // connections outside the provisional pool
+	commonConns       int // of these, in the common pool
+	provisionalConns  int // connections in the provisional pool
+	queuedProvisional int // of these, in provisionalQueue; the others were refused a request and are about to close
+	openCompletions   int
+	commonCompletions int     // of these, beyond its share of the reserve
+	tat               float64 // theoretical arrival time of a known client's connections, see gcraArrive
+	preemptible       list    // connections outside the provisional pool that have no request, oldest first
+	provisionalQueue  list    // provisional connections whose first header has not arrived, oldest first
 	rank              [2]rankEntry
-	revoked           bool // a known client that is known no longer
+	revoked           bool // a known client that is no longer configured
 	inUse             bool
 }
 
-// Gate decides. It is not safe for use by many at once.
+// Controller decides on admission. It is not safe for concurrent use.
 type Controller struct {
 	settings           Settings
 	conns              []conn
-	freeSlots          []int32 // free slots of conns
+	freeSlots          []int32 // indexes of unused entries of conns
 	holders            []holder
-	freeHolders        []int32
+	freeHolders        []int32 // indexes of unused entries of holders
 	holderByAddress    map[netip.Addr]int32
-	clientHolders      []int32 // holders of the known clients
+	clientHolders      []int32 // by client index
 	addressRates       *sketch
-	floodTAT           float64 // theoretical arrival time of FloodRate
+	floodTAT           float64 // theoretical arrival time for ProvisionalFloodRate
 	rateLimits         rateLimitRing
-	timeoutQueues      [3]list // waiting, quiet, idle; oldest first
-	commonRanking      ranking // by common, those with a connection to close
-	provisionalRanking ranking // by listed
+	timeoutQueues      [3]list // of stateProvisional, stateAwaitingHeader and stateIdle, oldest first
+	commonRanking      ranking // by commonConns, of holders with a preemptible connection
+	provisionalRanking ranking // by queuedProvisional
 	evictions          []Eviction
 
 	draining                                    bool
@@ -166,213 +173,215 @@
 	accepted                                    uint64
 }
 
-// New makes a gate.
+// New returns a controller.
 func New(s Settings, clients []Client) (*Controller, error) {
 	if err := s.validate(len(clients)); err != nil {
 		return nil, err
 	}
-	g := &Controller{settings: s, holderByAddress: map[netip.Addr]int32{}, addressRates: newSketch(s.HashSeed)}
-	g.timeoutQueues = [3]list{newList(0), newList(0), newList(0)}
-	g.commonRanking, g.provisionalRanking = newRanking(0), newRanking(1)
-	g.rateLimits = newRateLimitRing(s.MaxRememberedRateLimits)
-	g.initClients(clients)
-	return g, nil
+	ctl := &Controller{settings: s, holderByAddress: map[netip.Addr]int32{}, addressRates: newSketch(s.HashSeed)}
+	ctl.timeoutQueues = [3]list{newList(0), newList(0), newList(0)}
+	ctl.commonRanking, ctl.provisionalRanking = newRanking(0), newRanking(1)
+	ctl.rateLimits = newRateLimitRing(s.MaxRememberedRateLimits)
+	ctl.initClients(clients)
+	return ctl, nil
 }
 
-// check tells what does not fit together.
+// validate reports settings that are out of range or contradict each other.
 func (s *Settings) validate(clients int) error {
 	switch {
 	case s.MaxConnections < 3:
-		return fmt.Errorf("connections: %d, wanted 3 or more", s.MaxConnections)
+		return fmt.Errorf("connections: %d, must be 3 or more", s.MaxConnections)
 	case s.ReservedConnections+s.MaxProvisional >= s.MaxConnections:
-		return fmt.Errorf("connections: of %d the reserve of %d and the anteroom of %d leave nothing to others", s.MaxConnections, s.ReservedConnections, s.MaxProvisional)
+		return fmt.Errorf("connections: of %d, the reserve of %d and the anteroom of %d leave none for other clients", s.MaxConnections, s.ReservedConnections, s.MaxProvisional)
 	case clients > 0 && s.ReservedConnections < clients:
-		return fmt.Errorf("reserve: %d connections for %d known clients, wanted one each at least", s.ReservedConnections, clients)
+		return fmt.Errorf("reserve: %d connections for %d known clients, must be at least one for each", s.ReservedConnections, clients)
 	case clients > 0 && s.MaxProvisional < 1:
-		return fmt.Errorf("anteroom: none, wanted 1 or more where %d clients are to be known by what they send", clients)
+		return fmt.Errorf("anteroom: no connections, must be 1 or more as %d clients may identify themselves by their requests", clients)
 	case s.ReservedCompletions >= s.MaxCompletions:
-		return fmt.Errorf("reserve of completions: %d of %d leave nothing to others", s.ReservedCompletions, s.MaxCompletions)
+		return fmt.Errorf("reserve of completions: %d of %d leave none for other clients", s.ReservedCompletions, s.MaxCompletions)
 	case s.IPv6PrefixBits < 1 || s.IPv6PrefixBits > 128:
-		return fmt.Errorf("IPv6 prefix: %d, wanted 1 to 128", s.IPv6PrefixBits)
+		return fmt.Errorf("IPv6 prefix: %d, must be 1 to 128", s.IPv6PrefixBits)
 	case !(s.AddressRate > 0 && s.AddressBurst >= 1 && s.ClientRate > 0 && s.ClientBurst >= 1 && s.ProvisionalFloodRate > 0 && s.MaxRetryAfter >= 0):
-		return fmt.Errorf("rates: wanted above 0, bursts 1 or more")
+		return fmt.Errorf("rates: must be above 0, bursts 1 or more")
 	}
 	return nil
 }
 
-// commonMost is the common room's size.
-func (g *Controller) maxCommon() int {
-	if len(g.clientHolders) == 0 { // nobody for whom to keep anything
-		return g.settings.MaxConnections - g.settings.MaxProvisional
+// maxCommon returns the size of the common pool.
+func (ctl *Controller) maxCommon() int {
+	if len(ctl.clientHolders) == 0 { // the reserve has no users
+		return ctl.settings.MaxConnections - ctl.settings.MaxProvisional
 	}
-	return g.settings.MaxConnections - g.settings.ReservedConnections - g.settings.MaxProvisional
+	return ctl.settings.MaxConnections - ctl.settings.ReservedConnections - ctl.settings.MaxProvisional
 }
 
-// share is what each known client has of the reserve for itself alone.
-func (g *Controller) reservedShare() int {
-	return g.settings.ReservedConnections / max(1, len(g.clientHolders))
+// reservedShare returns the number of connections reserved for each known client.
+func (ctl *Controller) reservedShare() int {
+	return ctl.settings.ReservedConnections / max(1, len(ctl.clientHolders))
 }
 
-func (g *Controller) reservedCompletionShare() int {
-	return g.settings.ReservedCompletions / max(1, len(g.clientHolders))
+func (ctl *Controller) reservedCompletionShare() int {
+	return ctl.settings.ReservedCompletions / max(1, len(ctl.clientHolders))
 }
 
-// mask is the address that stands for one holder.
-func (g *Controller) maskAddress(a netip.Addr) netip.Addr {
+// maskAddress returns the address under which the connections from an address are counted.
+func (ctl *Controller) maskAddress(a netip.Addr) netip.Addr {
 	a = a.Unmap().WithZone("")
 	if a.Is4() || !a.IsValid() {
 		return a
 	}
-	p, err := a.Prefix(g.settings.IPv6PrefixBits)
+	prefix, err := a.Prefix(ctl.settings.IPv6PrefixBits)
 	if err != nil {
 		return a
 	}
-	return p.Addr()
+	return prefix.Addr()
 }
 
-// Accept decides on a new connection from an address, client being Unknown or one known by its address. One
-// that is let in must be told to Closed when it is closed, whatever comes between.
+// Accept decides on a new connection from an address. client is the client that the address identifies, or
+// UnknownClient. ConnClosed must be called when an accepted connection has closed, also if it was evicted.
 //
-// One for whom there is no common room may still be a known client who hasn't yet said so. It is let into the
-// anteroom, where it has AnteroomTime to send a header; if that is full, the oldest there of the address that
-// holds the most of it goes. That guards known clients against a flood by others; a known client behind the
-// address that floods competes with the flood for the anteroom.
-func (g *Controller) Accept(now float64, from netip.Addr, client int) (ConnID, Decision) {
-	if g.draining {
-		return g.refuse(Decision{Reason: ReasonStopping})
-	}
-	address := g.maskAddress(from)
+// A connection that the common pool has no capacity for may still be a known client's that has not identified itself
+// yet. It enters the provisional pool and has ProvisionalTimeout to send a header. If that pool is full, the oldest
+// connection of the address that holds the most of it is evicted. This keeps a flood from other addresses from
+// locking known clients out; a known client behind a flooding address competes with the flood for the pool.
+func (ctl *Controller) Accept(now float64, from netip.Addr, client int) (ConnID, Decision) {
+	if ctl.draining {
+		return ctl.refuse(Decision{Reason: ReasonStopping})
+	}
+	address := ctl.maskAddress(from)
 	if client != UnknownClient {
-		h := g.clientHolders[client]
-		v := g.admitClient(now, h, true)
-		if !v.Admitted() {
-			return g.refuse(v)
+		holderIndex := ctl.clientHolders[client]
+		decision := ctl.admitClient(now, holderIndex, true)
+		if !decision.Admitted() {
+			return ctl.refuse(decision)
 		}
-		return g.addConn(now, h, stateAwaitingHeader, true), Decision{}
+		return ctl.addConn(now, holderIndex, stateAwaitingHeader, true), Decision{}
 	}
-	wait := g.addressRates.arrive(now, address, g.settings.AddressRate, g.settings.AddressBurst, g.settings.MaxRetryAfter)
-	v := Decision{}
+	wait := ctl.addressRates.arrive(now, address, ctl.settings.AddressRate, ctl.settings.AddressBurst, ctl.settings.MaxRetryAfter)
+	decision := Decision{}
 	if wait > 0 {
-		v = Decision{ReasonConnectionRate, wait}
-	} else if v = g.admitAddress(address); v.Admitted() {
-		return g.addConn(now, g.addressHolder(address), stateAwaitingHeader, false), Decision{}
+		decision = Decision{ReasonConnectionRate, wait}
+	} else if decision = ctl.admitAddress(address); decision.Admitted() {
+		return ctl.addConn(now, ctl.addressHolder(address), stateAwaitingHeader, false), Decision{}
 	}
-	if len(g.clientHolders) == 0 || g.settings.MaxProvisional == 0 {
-		return g.refuse(v)
+	if len(ctl.clientHolders) == 0 || ctl.settings.MaxProvisional == 0 {
+		return ctl.refuse(decision)
 	}
 	if wait > 0 {
-		if g.floodTAT > now+floodBurstSeconds {
-			return g.refuse(v)
+		if ctl.floodTAT > now+floodBurstSeconds {
+			return ctl.refuse(decision)
 		}
-		g.floodTAT = math.Max(now, g.floodTAT) + 1/g.settings.ProvisionalFloodRate
-	}
-	h := g.addressHolder(address)
-	if g.provisionalConns >= g.settings.MaxProvisional {
-		top := g.provisionalRanking.top()
-		if top < 0 || g.holders[h].provisionalConns >= g.holders[top].provisionalConns || g.closingConns >= g.settings.MaxClosing {
-			g.freeIfEmpty(h)
-			return g.refuse(v)
+		ctl.floodTAT = math.Max(now, ctl.floodTAT) + 1/ctl.settings.ProvisionalFloodRate
+	}
+	holderIndex := ctl.addressHolder(address)
+	if ctl.provisionalConns >= ctl.settings.MaxProvisional {
+		top := ctl.provisionalRanking.top()
+		if top < 0 || ctl.holders[holderIndex].provisionalConns >= ctl.holders[top].provisionalConns || ctl.closingConns >= ctl.settings.MaxClosing {
+			ctl.freeIfEmpty(holderIndex)
+			return ctl.refuse(decision)
 		}
-		g.evict(g.holders[top].provisionalQueue.head, ReasonProvisionalEvicted)
+		ctl.evict(ctl.holders[top].provisionalQueue.head, ReasonProvisionalEvicted)
 	}
-	return g.addConn(now, h, stateProvisional, false), Decision{}
+	return ctl.addConn(now, holderIndex, stateProvisional, false), Decision{}
 }
 
-// floodBurst is how far entries to the anteroom may run ahead of FloodRate, in seconds: a moment's crowd.
+// floodBurstSeconds is how far entries to the provisional pool may run ahead of ProvisionalFloodRate, to allow bursts.
 const floodBurstSeconds = 0.25
 
-func (g *Controller) refuse(v Decision) (ConnID, Decision) {
-	g.refused[v.Reason]++
-	if v.RetryAfter <= 0 {
-		v.RetryAfter = defaultRetryAfterSeconds
+func (ctl *Controller) refuse(decision Decision) (ConnID, Decision) {
+	ctl.refused[decision.Reason]++
+	if decision.RetryAfter <= 0 {
+		decision.RetryAfter = defaultRetryAfterSeconds
 	}
-	return 0, v
+	return 0, decision
 }
 
-// comeBack is told where nothing better is known, in seconds: idle connections go in about such a time.
+// defaultRetryAfterSeconds is the retry-after if no better estimate exists: idle connections close within about this
+// time.
 const defaultRetryAfterSeconds = 1.0
 
-// addressMay decides on one more connection of an address in the common room, and makes room for it.
-func (g *Controller) admitAddress(address netip.Addr) Decision {
+// admitAddress decides on one more connection of an address in the common pool. It may preempt another for it.
+func (ctl *Controller) admitAddress(address netip.Addr) Decision {
 	held := 0
-	if h, there := g.holderByAddress[address]; there {
-		held = g.holders[h].commonConns
+	if holderIndex, found := ctl.holderByAddress[address]; found {
+		held = ctl.holders[holderIndex].commonConns
 	}
-	if held >= g.addressLimit(held == 0) {
-		if held < g.settings.MaxPerAddress && g.commonConns <= g.maxCommon() && g.preempt(held) {
+	if held >= ctl.addressLimit(held == 0) {
+		if held < ctl.settings.MaxPerAddress && ctl.commonConns <= ctl.maxCommon() && ctl.preempt(held) {
 			return Decision{}
 		}
 		return Decision{Reason: ReasonAddressLimit}
 	}
-	if !g.ensureCommonCapacity(held) {
+	if !ctl.ensureCommonCapacity(held) {
 		return Decision{Reason: ReasonPoolFull}
 	}
 	return Decision{}
 }
 
-// allowed is what an address may hold: PerAddress while there is much room, less and less down to an even
-// share as there is none. fresh: the address holds nothing yet.
-func (g *Controller) addressLimit(fresh bool) int {
-	most := g.maxCommon()
-	holders := g.commonRanking.nonEmptyHolders
-	if fresh {
+// addressLimit returns how many connections of the common pool an address may hold: MaxPerAddress while the pool has
+// much free capacity, falling to an even share as the pool fills. newAddress says that the address holds none yet.
+func (ctl *Controller) addressLimit(newAddress bool) int {
+	maxConns := ctl.maxCommon()
+	holders := ctl.commonRanking.nonEmptyHolders
+	if newAddress {
 		holders++
 	}
-	even := max(1, most/max(1, holders))
-	if even >= g.settings.MaxPerAddress {
-		return g.settings.MaxPerAddress
+	evenShare := max(1, maxConns/max(1, holders))
+	if evenShare >= ctl.settings.MaxPerAddress {
+		return ctl.settings.MaxPerAddress
 	}
-	used := float64(g.commonConns) / float64(most)
-	if used <= shrinkAboveUsedFraction {
-		return g.settings.MaxPerAddress
+	usedFraction := float64(ctl.commonConns) / float64(maxConns)
+	if usedFraction <= shrinkAboveUsedFraction {
+		return ctl.settings.MaxPerAddress
 	}
-	left := math.Max(0, (1-used)/(1-shrinkAboveUsedFraction))
-	return even + int(left*float64(g.settings.MaxPerAddress-even))
+	remaining := math.Max(0, (1-usedFraction)/(1-shrinkAboveUsedFraction))
+	return evenShare + int(remaining*float64(ctl.settings.MaxPerAddress-evenShare))
 }
 
-// shrinkFrom is the share of the common room in use past which an address's cap shrinks: half of it is for
-// whoever is there, the other half is shared more evenly the less is left.
+// shrinkAboveUsedFraction is the used fraction of the common pool above which the limit of an address shrinks. The
+// first half of the pool goes to any address; the second half is shared the more evenly, the less of it is free.
 const shrinkAboveUsedFraction = 0.5
 
-// makeRoom sees to a place in the common room for one who holds so many: a free one, or another's.
-func (g *Controller) ensureCommonCapacity(held int) bool {
-	return g.commonConns < g.maxCommon() || g.commonConns == g.maxCommon() && g.preempt(held)
+// ensureCommonCapacity reports whether a holder of the given number of common connections may have one more. If the
+// pool is full, it preempts another holder's.
+func (ctl *Controller) ensureCommonCapacity(held int) bool {
+	return ctl.commonConns < ctl.maxCommon() || ctl.commonConns == ctl.maxCommon() && ctl.preempt(held)
 }
 
-// swap ends an idle connection of the one who holds the most, if that is more than one who holds so many would
-// have with another. It never ends a call.
-func (g *Controller) preempt(held int) bool {
-	top := g.commonRanking.top()
-	if top < 0 || g.holders[top].commonConns <= held+1 || g.closingConns >= g.settings.MaxClosing {
+// preempt evicts a connection without a request of the holder with the most common connections, if that holder has
+// more than one with the given number would have after gaining a connection. It never ends a request.
+func (ctl *Controller) preempt(held int) bool {
+	top := ctl.commonRanking.top()
+	if top < 0 || ctl.holders[top].commonConns <= held+1 || ctl.closingConns >= ctl.settings.MaxClosing {
 		return false
 	}
-	g.evict(g.holders[top].preemptible.head, ReasonPreempted)
+	ctl.evict(ctl.holders[top].preemptible.head, ReasonPreempted)
 	return true
 }
 
-// clientMay decides on one more connection of a known client. New ones pay its rate; one that the anteroom or
-// the common room held already pays too, as it was not known to be this client's.
-func (g *Controller) admitClient(now float64, at int32, fresh bool) Decision {
-	h := &g.holders[at]
-	if h.admittedConns >= g.settings.MaxPerClient {
+// admitClient decides on one more connection of a known client. chargeRate counts it against the client's connection
+// rate: for a new connection, and for one that was accepted before it was identified as this client's.
+func (ctl *Controller) admitClient(now float64, holderIndex int32, chargeRate bool) Decision {
+	h := &ctl.holders[holderIndex]
+	if h.admittedConns >= ctl.settings.MaxPerClient {
 		return Decision{Reason: ReasonClientLimit}
 	}
-	if fresh {
-		next, wait := gcraArrive(now, h.tat, g.settings.ClientRate, g.settings.ClientBurst, g.settings.MaxRetryAfter)
+	if chargeRate {
+		next, wait := gcraArrive(now, h.tat, ctl.settings.ClientRate, ctl.settings.ClientBurst, ctl.settings.MaxRetryAfter)
 		if h.tat = next; wait > 0 {
 			return Decision{ReasonConnectionRate, wait}
 		}
 	}
-	if h.admittedConns >= g.reservedShare() && !g.ensureCommonCapacity(h.commonConns) {
+	if h.admittedConns >= ctl.reservedShare() && !ctl.ensureCommonCapacity(h.commonConns) {
 		return Decision{Reason: ReasonPoolFull}
 	}
 	return Decision{}
 }
 
-// Call begins a call on a connection whose header came, of the client that it says it is or Unknown. If it may
-// not be, the connection must be closed after the refusal. CallOver must follow, refused or not.
-func (g *Controller) BeginRequest(now float64, id ConnID, client int) Decision {
-	c := g.lookup(id)
+// BeginRequest decides on a request whose header was read. client is the client that the request identifies, or
+// UnknownClient. After a refusal the connection must be closed. EndRequest must follow in either case.
+func (ctl *Controller) BeginRequest(now float64, id ConnID, client int) Decision {
+	c := ctl.lookup(id)
 	if c == nil {
 		return Decision{Reason: ReasonPoolFull}
 	}
@@ -381,283 +390,286 @@
 		return Decision{c.closeReason, defaultRetryAfterSeconds}
 	}
 	slot := int32(uint32(id)) - 1
-	g.removeFromLists(slot)
+	ctl.removeFromLists(slot)
 	c.requestsRunning++
 	c.requestsBegun++
 	c.state = stateInRequest
-	v := Decision{}
-	h := &g.holders[c.holder]
+	decision := Decision{}
+	h := &ctl.holders[c.holder]
 	switch {
 	case client != UnknownClient && h.client != client:
-		v = g.reassign(now, slot, g.clientHolders[client])
+		decision = ctl.reassign(now, slot, ctl.clientHolders[client])
 	case c.provisional:
-		v = Decision{ReasonNotIdentified, g.addressRates.waitTime(now, h.address, g.settings.AddressRate, g.settings.AddressBurst)}
+		decision = Decision{ReasonNotIdentified, ctl.addressRates.waitTime(now, h.address, ctl.settings.AddressRate, ctl.settings.AddressBurst)}
 	case h.revoked:
-		v = Decision{Reason: ReasonClientRevoked}
+		decision = Decision{Reason: ReasonClientRevoked}
 	}
-	if !v.Admitted() {
-		_, v = g.refuse(v)
-		c.closeAfterRequest, c.closeReason = true, v.Reason
-	} else if c.requestsBegun >= g.settings.MaxRequestsPerConnection {
+	if !decision.Admitted() {
+		_, decision = ctl.refuse(decision)
+		c.closeAfterRequest, c.closeReason = true, decision.Reason
+	} else if c.requestsBegun >= ctl.settings.MaxRequestsPerConnection {
 		c.closeAfterRequest, c.closeReason = true, ReasonRequestLimit
 	}
-	return v
+	return decision
 }
 
-// Last tells whether a connection is to be closed after its call.
-func (g *Controller) ShouldClose(id ConnID) bool {
-	c := g.lookup(id)
-	return c == nil || c.closeAfterRequest || c.state == stateClosing || g.draining || g.holders[c.holder].revoked
+// ShouldClose reports whether a connection is to be closed after its current request.
+func (ctl *Controller) ShouldClose(id ConnID) bool {
+	c := ctl.lookup(id)
+	return c == nil || c.closeAfterRequest || c.state == stateClosing || ctl.draining || ctl.holders[c.holder].revoked
 }
 
-// become makes a connection another holder's. If it may not be, it stays what it was until it has its refusal.
-func (g *Controller) reassign(now float64, slot, to int32) Decision {
-	c := &g.conns[slot]
-	from := c.holder
-	g.uncountConn(slot)
-	v := g.admitClient(now, to, !c.identified)
-	if !v.Admitted() {
-		g.countConn(slot)
-		return v
+// reassign moves a connection to another holder. If that holder may not have it, the connection remains with the old one
+// until it has been refused.
+func (ctl *Controller) reassign(now float64, slot, toHolder int32) Decision {
+	c := &ctl.conns[slot]
+	fromHolder := c.holder
+	ctl.uncountConn(slot)
+	decision := ctl.admitClient(now, toHolder, !c.identified)
+	if !decision.Admitted() {
+		ctl.countConn(slot)
+		return decision
 	}
-	c.holder, c.identified, c.provisional = to, true, false
-	g.countConn(slot)
-	g.freeIfEmpty(from)
-	return v
+	c.holder, c.identified, c.provisional = toHolder, true, false
+	ctl.countConn(slot)
+	ctl.freeIfEmpty(fromHolder)
+	return decision
 }
 
-// CallOver ends a call.
-func (g *Controller) EndRequest(now float64, id ConnID) {
-	c := g.lookup(id)
+// EndRequest records the end of a request.
+func (ctl *Controller) EndRequest(now float64, id ConnID) {
+	c := ctl.lookup(id)
 	if c == nil {
 		return
 	}
 	if c.requestsRunning--; c.requestsRunning > 0 || c.state != stateInRequest {
 		return
 	}
-	// One that had its last call closes by itself; should it not, it is idle too long in the end.
+	// The caller closes a connection after its last request. If it does not, the idle timeout applies.
 	slot := int32(uint32(id)) - 1
-	c.state, c.stateSince = stateIdle, now
-	g.timeoutQueues[2].push(g, slot)
+	c.state, c.waitingSince = stateIdle, now
+	ctl.timeoutQueues[2].push(ctl, slot)
 	if !c.provisional {
-		g.holders[c.holder].preemptible.push(g, slot)
-		g.holders[c.holder].updateRank(g, c.holder)
+		ctl.holders[c.holder].preemptible.push(ctl, slot)
+		ctl.holders[c.holder].updateRank(ctl, c.holder)
 	}
 }
 
-// Closed forgets a connection. Its completions, if any are not over, go on to count.
-func (g *Controller) ConnClosed(id ConnID) {
-	c := g.lookup(id)
+// ConnClosed records that a connection has closed. Its open completions still count until EndCompletion.
+func (ctl *Controller) ConnClosed(id ConnID) {
+	c := ctl.lookup(id)
 	if c == nil {
 		return
 	}
 	slot := int32(uint32(id)) - 1
 	if c.state == stateClosing {
-		g.closingConns--
+		ctl.closingConns--
 	} else {
-		g.removeFromLists(slot)
-		g.uncountConn(slot)
-		g.freeIfEmpty(c.holder)
+		ctl.removeFromLists(slot)
+		ctl.uncountConn(slot)
+		ctl.freeIfEmpty(c.holder)
 	}
 	c.state = stateFree
 	c.generation++
-	g.freeSlots = append(g.freeSlots, slot)
+	ctl.freeSlots = append(ctl.freeSlots, slot)
 }
 
-// Evicted lists the connections to be told to go since it was last called. The list is the caller's until the
-// next call.
-func (g *Controller) TakeEvictions() []Eviction {
-	all := g.evictions
-	g.evictions = nil
-	return all
+// TakeEvictions returns the connections evicted since its last call. The caller must close them.
+func (ctl *Controller) TakeEvictions() []Eviction {
+	evictions := ctl.evictions
+	ctl.evictions = nil
+	return evictions
 }
 
-// Due ends what has waited too long, and tells when it is to be called again at the latest.
-func (g *Controller) EvictExpired(now float64) (next float64) {
+// EvictExpired evicts connections whose timeout has passed, connections without a request while draining, and those above
+// a limit that a reload lowered. It returns when it has to be called again at the latest.
+func (ctl *Controller) EvictExpired(now float64) (next float64) {
 	next = math.Inf(1)
-	for i := range g.timeoutQueues {
-		for g.draining && g.timeoutQueues[i].head >= 0 && g.closingConns < g.settings.MaxClosing {
-			g.evict(g.timeoutQueues[i].head, ReasonStopping)
+	for i := range ctl.timeoutQueues {
+		for ctl.draining && ctl.timeoutQueues[i].head >= 0 && ctl.closingConns < ctl.settings.MaxClosing {
+			ctl.evict(ctl.timeoutQueues[i].head, ReasonStopping)
 		}
 	}
-	for i, most := range [...]float64{g.settings.ProvisionalTimeout, g.settings.HeaderTimeout, g.settings.IdleTimeout} {
-		for g.timeoutQueues[i].head >= 0 && g.closingConns < g.settings.MaxClosing {
-			slot := g.timeoutQueues[i].head
-			if until := g.conns[slot].stateSince + most; until > now {
-				next = math.Min(next, until)
+	for i, timeout := range [...]float64{ctl.settings.ProvisionalTimeout, ctl.settings.HeaderTimeout, ctl.settings.IdleTimeout} {
+		for ctl.timeoutQueues[i].head >= 0 && ctl.closingConns < ctl.settings.MaxClosing {
+			slot := ctl.timeoutQueues[i].head
+			if deadline := ctl.conns[slot].waitingSince + timeout; deadline > now {
+				next = math.Min(next, deadline)
 				break
 			}
-			why := ReasonHeaderTimeout
+			reason := ReasonHeaderTimeout
 			if i == 2 {
-				why = ReasonIdleTimeout
+				reason = ReasonIdleTimeout
 			}
-			g.evict(slot, why)
+			ctl.evict(slot, reason)
 		}
 	}
-	for g.commonConns > g.maxCommon() && g.commonRanking.top() >= 0 && g.closingConns < g.settings.MaxClosing { // settings were lowered
-		g.evict(g.holders[g.commonRanking.top()].preemptible.head, ReasonPreempted)
+	for ctl.commonConns > ctl.maxCommon() && ctl.commonRanking.top() >= 0 && ctl.closingConns < ctl.settings.MaxClosing { // after a reload with lower limits
+		ctl.evict(ctl.holders[ctl.commonRanking.top()].preemptible.head, ReasonPreempted)
 	}
 	return next
 }
 
-// Drain lets nobody in any more. Connections without a call go with the next Due, others after their call.
-func (g *Controller) Drain() { g.draining = true }
+// Drain refuses all new connections. Connections without a request are evicted by the next EvictExpired, the others
+// close after their request.
+func (ctl *Controller) Drain() { ctl.draining = true }
 
-// enter gives a connection a place.
-func (g *Controller) addConn(now float64, at int32, place uint8, known bool) ConnID {
+// addConn adds a connection in the given state.
+func (ctl *Controller) addConn(now float64, holderIndex int32, state uint8, identified bool) ConnID {
 	var slot int32
-	if n := len(g.freeSlots); n > 0 {
-		slot, g.freeSlots = g.freeSlots[n-1], g.freeSlots[:n-1]
+	if n := len(ctl.freeSlots); n > 0 {
+		slot, ctl.freeSlots = ctl.freeSlots[n-1], ctl.freeSlots[:n-1]
 	} else {
-		slot = int32(len(g.conns))
-		g.conns = append(g.conns, conn{})
+		slot = int32(len(ctl.conns))
+		ctl.conns = append(ctl.conns, conn{})
 	}
-	c := &g.conns[slot]
-	*c = conn{generation: c.generation, state: place, identified: known, holder: at, stateSince: now}
-	h := &g.holders[at]
-	if place == stateProvisional {
+	c := &ctl.conns[slot]
+	*c = conn{generation: c.generation, state: state, identified: identified, holder: holderIndex, waitingSince: now}
+	h := &ctl.holders[holderIndex]
+	if state == stateProvisional {
 		c.provisional = true
-		g.timeoutQueues[0].push(g, slot)
-		h.provisionalQueue.push(g, slot)
+		ctl.timeoutQueues[0].push(ctl, slot)
+		h.provisionalQueue.push(ctl, slot)
 		h.queuedProvisional++
-		g.provisionalRanking.set(g, at, h.queuedProvisional)
+		ctl.provisionalRanking.set(ctl, holderIndex, h.queuedProvisional)
 	} else {
-		g.timeoutQueues[1].push(g, slot)
-		h.preemptible.push(g, slot)
+		ctl.timeoutQueues[1].push(ctl, slot)
+		h.preemptible.push(ctl, slot)
 	}
-	g.countConn(slot)
-	g.accepted++
+	ctl.countConn(slot)
+	ctl.accepted++
 	return ConnID(uint64(c.generation)<<32 | uint64(slot+1))
 }
 
-// join counts a connection at its holder.
-func (g *Controller) countConn(slot int32) {
-	c := &g.conns[slot]
-	h := &g.holders[c.holder]
+// countConn adds a connection to the counts of its holder.
+func (ctl *Controller) countConn(slot int32) {
+	c := &ctl.conns[slot]
+	h := &ctl.holders[c.holder]
 	if c.provisional {
 		h.provisionalConns++
-		g.provisionalConns++
+		ctl.provisionalConns++
 		return
 	}
 	h.admittedConns++
-	g.recountCommon(c.holder)
+	ctl.recountCommon(c.holder)
 }
 
-// leave counts it no more.
-func (g *Controller) uncountConn(slot int32) {
-	c := &g.conns[slot]
-	h := &g.holders[c.holder]
+// uncountConn removes a connection from the counts of its holder.
+func (ctl *Controller) uncountConn(slot int32) {
+	c := &ctl.conns[slot]
+	h := &ctl.holders[c.holder]
 	if c.provisional {
 		h.provisionalConns--
-		g.provisionalConns--
+		ctl.provisionalConns--
 		return
 	}
 	h.admittedConns--
-	g.recountCommon(c.holder)
+	ctl.recountCommon(c.holder)
 }
 
-// recount finds what a holder has in the common room: a known client only what goes past its share.
-func (g *Controller) recountCommon(at int32) {
-	h := &g.holders[at]
+// recountCommon updates the number of a holder's connections in the common pool. Of a known client only those beyond
+// its share of the reserve count.
+func (ctl *Controller) recountCommon(holderIndex int32) {
+	h := &ctl.holders[holderIndex]
 	common := h.admittedConns
 	if h.client != UnknownClient && !h.revoked {
-		common = max(0, h.admittedConns-g.reservedShare())
+		common = max(0, h.admittedConns-ctl.reservedShare())
 	}
-	g.commonConns += common - h.commonConns
+	ctl.commonConns += common - h.commonConns
 	h.commonConns = common
-	h.updateRank(g, at)
+	h.updateRank(ctl, holderIndex)
 }
 
-// ranked keeps a holder's place among the greatest.
-func (h *holder) updateRank(g *Controller, at int32) {
-	n := h.commonConns
+// updateRank updates a holder's position in commonRanking.
+func (h *holder) updateRank(ctl *Controller, holderIndex int32) {
+	count := h.commonConns
 	if h.preemptible.head < 0 {
-		n = 0
+		count = 0
 	}
-	g.commonRanking.countHolder(h, h.commonConns)
-	g.commonRanking.set(g, at, n)
+	ctl.commonRanking.countHolder(h, h.commonConns)
+	ctl.commonRanking.set(ctl, holderIndex, count)
 }
 
-// unlist takes a connection off the lists of times and of what may be closed.
-func (g *Controller) removeFromLists(slot int32) {
-	c := &g.conns[slot]
-	h := &g.holders[c.holder]
+// removeFromLists removes a connection from its timeout queue and its holder's list.
+func (ctl *Controller) removeFromLists(slot int32) {
+	c := &ctl.conns[slot]
+	h := &ctl.holders[c.holder]
 	switch c.state {
 	case stateProvisional:
-		g.timeoutQueues[0].remove(g, slot)
-		h.provisionalQueue.remove(g, slot)
+		ctl.timeoutQueues[0].remove(ctl, slot)
+		h.provisionalQueue.remove(ctl, slot)
 		h.queuedProvisional--
-		g.provisionalRanking.set(g, c.holder, h.queuedProvisional)
+		ctl.provisionalRanking.set(ctl, c.holder, h.queuedProvisional)
 	case stateAwaitingHeader:
-		g.timeoutQueues[1].remove(g, slot)
-		h.preemptible.remove(g, slot)
-		h.updateRank(g, c.holder)
+		ctl.timeoutQueues[1].remove(ctl, slot)
+		h.preemptible.remove(ctl, slot)
+		h.updateRank(ctl, c.holder)
 	case stateIdle:
-		g.timeoutQueues[2].remove(g, slot)
+		ctl.timeoutQueues[2].remove(ctl, slot)
 		if !c.provisional {
-			h.preemptible.remove(g, slot)
-			h.updateRank(g, c.holder)
+			h.preemptible.remove(ctl, slot)
+			h.updateRank(ctl, c.holder)
 		}
 	}
 }
 
-// evict has a connection told to go. It is counted as leaving until it is closed.
-func (g *Controller) evict(slot int32, why Reason) {
-	c := &g.conns[slot]
-	g.removeFromLists(slot)
-	g.uncountConn(slot)
-	c.state, c.closeReason = stateClosing, why
-	g.freeIfEmpty(c.holder)
-	g.closingConns++
-	g.evicted[why]++
-	g.evictions = append(g.evictions, Eviction{ConnID(uint64(c.generation)<<32 | uint64(slot+1)), why})
+// evict adds a connection to the evictions. It counts as closing until ConnClosed.
+func (ctl *Controller) evict(slot int32, reason Reason) {
+	c := &ctl.conns[slot]
+	ctl.removeFromLists(slot)
+	ctl.uncountConn(slot)
+	c.state, c.closeReason = stateClosing, reason
+	ctl.freeIfEmpty(c.holder)
+	ctl.closingConns++
+	ctl.evicted[reason]++
+	ctl.evictions = append(ctl.evictions, Eviction{ConnID(uint64(c.generation)<<32 | uint64(slot+1)), reason})
 }
 
-// find is a connection by its name, nil if it is closed.
-func (g *Controller) lookup(id ConnID) *conn {
+// lookup returns a connection, nil if it has closed.
+func (ctl *Controller) lookup(id ConnID) *conn {
 	slot := int64(uint32(id)) - 1
-	if slot < 0 || slot >= int64(len(g.conns)) {
+	if slot < 0 || slot >= int64(len(ctl.conns)) {
 		return nil
 	}
-	c := &g.conns[slot]
+	c := &ctl.conns[slot]
 	if c.state == stateFree || c.generation != uint32(id>>32) {
 		return nil
 	}
 	return c
 }
 
-// holderOf is the record of an address, made where there is none.
-func (g *Controller) addressHolder(address netip.Addr) int32 {
-	if at, there := g.holderByAddress[address]; there {
-		return at
+// addressHolder returns the index of the holder of an address, adding one if there is none.
+func (ctl *Controller) addressHolder(address netip.Addr) int32 {
+	if holderIndex, found := ctl.holderByAddress[address]; found {
+		return holderIndex
 	}
-	at := g.newHolder()
-	g.holders[at].address = address
-	g.holderByAddress[address] = at
-	return at
+	holderIndex := ctl.newHolder()
+	ctl.holders[holderIndex].address = address
+	ctl.holderByAddress[address] = holderIndex
+	return holderIndex
 }
 
-func (g *Controller) newHolder() int32 {
-	var at int32
-	if n := len(g.freeHolders); n > 0 {
-		at, g.freeHolders = g.freeHolders[n-1], g.freeHolders[:n-1]
+func (ctl *Controller) newHolder() int32 {
+	var holderIndex int32
+	if n := len(ctl.freeHolders); n > 0 {
+		holderIndex, ctl.freeHolders = ctl.freeHolders[n-1], ctl.freeHolders[:n-1]
 	} else {
-		at = int32(len(g.holders))
-		g.holders = append(g.holders, holder{})
+		holderIndex = int32(len(ctl.holders))
+		ctl.holders = append(ctl.holders, holder{})
 	}
-	g.holders[at] = holder{client: UnknownClient, preemptible: newList(1), provisionalQueue: newList(1), inUse: true}
-	return at
+	ctl.holders[holderIndex] = holder{client: UnknownClient, preemptible: newList(1), provisionalQueue: newList(1), inUse: true}
+	return holderIndex
 }
 
-// tidy forgets a holder that holds nothing.
-func (g *Controller) freeIfEmpty(at int32) {
-	h := &g.holders[at]
+// freeIfEmpty frees a holder that has nothing open, unless it is a configured client.
+func (ctl *Controller) freeIfEmpty(holderIndex int32) {
+	h := &ctl.holders[holderIndex]
 	if h.admittedConns+h.provisionalConns+h.openCompletions > 0 || !h.inUse || h.client != UnknownClient && !h.revoked {
 		return
 	}
 	if h.client == UnknownClient {
-		delete(g.holderByAddress, h.address)
+		delete(ctl.holderByAddress, h.address)
 	}
 	h.inUse = false
-	g.freeHolders = append(g.freeHolders, at)
+	ctl.freeHolders = append(ctl.freeHolders, holderIndex)
 }
--- a/internal/admit/clients.go
+++ b/internal/admit/clients.go
@@ -1,55 +1,55 @@
 package admit
 
-// setClients makes the first clients' records.
-func (g *Controller) initClients(clients []Client) {
-	g.clientHolders = g.clientHolders[:0:0]
+// initClients adds the holders of the initial clients.
+func (ctl *Controller) initClients(clients []Client) {
+	ctl.clientHolders = ctl.clientHolders[:0:0]
 	for _, c := range clients {
-		at := g.newHolder()
-		h := &g.holders[at]
-		h.client, h.name = len(g.clientHolders), c.Name
-		g.clientHolders = append(g.clientHolders, at)
+		holderIndex := ctl.newHolder()
+		h := &ctl.holders[holderIndex]
+		h.client, h.name = len(ctl.clientHolders), c.Name
+		ctl.clientHolders = append(ctl.clientHolders, holderIndex)
 	}
 }
 
-// Reload puts other settings and clients in force. A client of a name that was there goes on with what it has,
-// at its new number; one that is there no longer counts among those not known, its calls go on, and its
-// connections close after them. Where caps are lower than what is open nothing that runs is ended: idle
-// connections of the greatest holders go, and nothing new comes until there is room.
-func (g *Controller) Reload(s Settings, clients []Client) error {
+// Reload replaces the settings and the clients. A client whose name remains keeps its connections and completions
+// under its new index. A client that was removed counts as unknown: its requests go on, and its connections close
+// after them. If a new limit is below what is open, no request or completion is ended: connections without a request of
+// the largest holders are evicted, and nothing new is admitted until the limit is met.
+func (ctl *Controller) Reload(s Settings, clients []Client) error {
 	if err := s.validate(len(clients)); err != nil {
 		return err
 	}
-	old := map[string]int32{}
-	for _, at := range g.clientHolders {
-		old[g.holders[at].name] = at
+	unmatched := map[string]int32{}
+	for _, holderIndex := range ctl.clientHolders {
+		unmatched[ctl.holders[holderIndex].name] = holderIndex
 	}
-	before := g.clientHolders
-	g.settings = s
-	if len(g.rateLimits.entries) != s.MaxRememberedRateLimits {
-		g.rateLimits = newRateLimitRing(s.MaxRememberedRateLimits)
+	previous := ctl.clientHolders
+	ctl.settings = s
+	if len(ctl.rateLimits.entries) != s.MaxRememberedRateLimits {
+		ctl.rateLimits = newRateLimitRing(s.MaxRememberedRateLimits)
 	}
-	g.clientHolders = make([]int32, 0, len(clients))
+	ctl.clientHolders = make([]int32, 0, len(clients))
 	for _, c := range clients {
-		at, there := old[c.Name]
-		if !there {
-			at = g.newHolder()
-			g.holders[at].name = c.Name
+		holderIndex, found := unmatched[c.Name]
+		if !found {
+			holderIndex = ctl.newHolder()
+			ctl.holders[holderIndex].name = c.Name
 		}
-		delete(old, c.Name)
-		g.holders[at].client = len(g.clientHolders)
-		g.clientHolders = append(g.clientHolders, at)
+		delete(unmatched, c.Name)
+		ctl.holders[holderIndex].client = len(ctl.clientHolders)
+		ctl.clientHolders = append(ctl.clientHolders, holderIndex)
 	}
-	for _, at := range before {
-		if gone, is := old[g.holders[at].name]; is && gone == at {
-			g.holders[at].revoked = true
-			g.recountCommon(at)
-			g.recountCommonCompletions(at)
-			g.freeIfEmpty(at)
+	for _, holderIndex := range previous {
+		if unmatchedIndex, ok := unmatched[ctl.holders[holderIndex].name]; ok && unmatchedIndex == holderIndex {
+			ctl.holders[holderIndex].revoked = true
+			ctl.recountCommon(holderIndex)
+			ctl.recountCommonCompletions(holderIndex)
+			ctl.freeIfEmpty(holderIndex)
 		}
 	}
-	for _, at := range g.clientHolders {
-		g.recountCommon(at)
-		g.recountCommonCompletions(at)
+	for _, holderIndex := range ctl.clientHolders {
+		ctl.recountCommon(holderIndex)
+		ctl.recountCommonCompletions(holderIndex)
 	}
 	return nil
 }
--- a/internal/admit/completions.go
+++ b/internal/admit/completions.go
@@ -1,65 +1,65 @@
 package admit
 
-// Ticket stands for a completion that was let in; Over gives it back.
-type CompletionPermit struct{ holder int32 }
+// CompletionPermit is held by an admitted completion and returned with EndCompletion.
+type CompletionPermit struct{ holder int32 } // index of its holder plus 1, 0 for none
 
-// Take lets a completion in on a connection that has a call, or refuses it. What it answers is whether this
-// router has a place and descriptors for one more of this holder; whether it is worth its work now is decide's
-// question, asked afterwards, and never about one that was refused here.
-func (g *Controller) AdmitCompletion(id ConnID) (CompletionPermit, Decision) {
-	c := g.lookup(id)
+// AdmitCompletion decides on a completion of a connection that has a request. It checks only this router's limits and
+// descriptors. Whether the completion is worth its work is decided afterwards by package decide, which never sees a
+// completion that was refused here.
+func (ctl *Controller) AdmitCompletion(id ConnID) (CompletionPermit, Decision) {
+	c := ctl.lookup(id)
 	if c == nil || c.state != stateInRequest {
-		_, v := g.refuse(Decision{Reason: ReasonPoolFull})
-		return CompletionPermit{}, v
+		_, decision := ctl.refuse(Decision{Reason: ReasonPoolFull})
+		return CompletionPermit{}, decision
 	}
-	h := &g.holders[c.holder]
-	most, share := g.settings.MaxCompletionsPerAddress, 0
+	h := &ctl.holders[c.holder]
+	limit, share := ctl.settings.MaxCompletionsPerAddress, 0
 	if h.client != UnknownClient && !h.revoked {
-		most, share = g.settings.MaxCompletionsPerClient, g.reservedCompletionShare()
+		limit, share = ctl.settings.MaxCompletionsPerClient, ctl.reservedCompletionShare()
 	}
-	if h.openCompletions >= most || h.openCompletions >= share && g.commonCompletions >= g.maxCommonCompletions() {
-		_, v := g.refuse(Decision{Reason: ReasonCompletionLimit})
-		return CompletionPermit{}, v
+	if h.openCompletions >= limit || h.openCompletions >= share && ctl.commonCompletions >= ctl.maxCommonCompletions() {
+		_, decision := ctl.refuse(Decision{Reason: ReasonCompletionLimit})
+		return CompletionPermit{}, decision
 	}
-	g.addCompletions(c.holder, 1)
+	ctl.addCompletions(c.holder, 1)
 	return CompletionPermit{c.holder + 1}, Decision{}
 }
 
-// Over ends a completion. Calling it for the zero Ticket does nothing.
-func (g *Controller) EndCompletion(t CompletionPermit) {
-	if t.holder == 0 {
+// EndCompletion records the end of a completion. It does nothing for the zero CompletionPermit.
+func (ctl *Controller) EndCompletion(permit CompletionPermit) {
+	if permit.holder == 0 {
 		return
 	}
-	g.addCompletions(t.holder-1, -1)
-	g.freeIfEmpty(t.holder - 1)
+	ctl.addCompletions(permit.holder-1, -1)
+	ctl.freeIfEmpty(permit.holder - 1)
 }
 
-func (g *Controller) addCompletions(at int32, n int) {
-	g.holders[at].openCompletions += n
-	g.openCompletions += n
-	g.recountCommonCompletions(at)
+func (ctl *Controller) addCompletions(holderIndex int32, delta int) {
+	ctl.holders[holderIndex].openCompletions += delta
+	ctl.openCompletions += delta
+	ctl.recountCommonCompletions(holderIndex)
 }
 
-func (g *Controller) recountCommonCompletions(at int32) {
-	h := &g.holders[at]
+func (ctl *Controller) recountCommonCompletions(holderIndex int32) {
+	h := &ctl.holders[holderIndex]
 	common := h.openCompletions
 	if h.client != UnknownClient && !h.revoked {
-		common = max(0, h.openCompletions-g.reservedCompletionShare())
+		common = max(0, h.openCompletions-ctl.reservedCompletionShare())
 	}
-	g.commonCompletions += common - h.commonCompletions
+	ctl.commonCompletions += common - h.commonCompletions
 	h.commonCompletions = common
 }
 
-// completionsCommon is how many completions there may be besides those in known clients' shares.
-func (g *Controller) maxCommonCompletions() int {
-	if len(g.clientHolders) == 0 {
-		return g.settings.MaxCompletions
+// maxCommonCompletions returns how many completions may be open beyond the known clients' shares of the reserve.
+func (ctl *Controller) maxCommonCompletions() int {
+	if len(ctl.clientHolders) == 0 {
+		return ctl.settings.MaxCompletions
 	}
-	return g.settings.MaxCompletions - g.settings.ReservedCompletions
+	return ctl.settings.MaxCompletions - ctl.settings.ReservedCompletions
 }
 
-// returns remembers until when completions that were rate-limited were told to stay away: a ring of the last
-// so many, found by their key. A forgotten one is asked of decide again, which harms nothing.
+// rateLimitRing remembers the retry times of the last rate-limited completions by their keys. A completion that has been
+// overwritten is decided on again by package decide when it is retried early, which does no harm.
 type rateLimitRing struct {
 	entries   []rateLimitEntry
 	nextSlot  int
@@ -71,35 +71,35 @@
 	retryAt float64
 }
 
-func newRateLimitRing(n int) rateLimitRing {
-	return rateLimitRing{entries: make([]rateLimitEntry, n), slotByKey: map[uint64]int{}}
+func newRateLimitRing(size int) rateLimitRing {
+	return rateLimitRing{entries: make([]rateLimitEntry, size), slotByKey: map[uint64]int{}}
 }
 
-// RateLimited hears that a completion was told to come back after some seconds. key tells the completion: its
-// holder, workload and content, so that another of the same client is not judged by it.
-func (g *Controller) RecordRateLimit(now float64, key uint64, comeBack float64) {
-	r := &g.rateLimits
-	if len(r.entries) == 0 || comeBack <= 0 {
+// RecordRateLimit records that a completion was rate-limited with a retry-after in seconds. key identifies the
+// completion by its holder, workload and content, so that other completions of the client are not affected.
+func (ctl *Controller) RecordRateLimit(now float64, key uint64, retryAfter float64) {
+	ring := &ctl.rateLimits
+	if len(ring.entries) == 0 || retryAfter <= 0 {
 		return
 	}
-	if at, there := r.slotByKey[key]; there {
-		r.entries[at].retryAt = now + comeBack
+	if slot, found := ring.slotByKey[key]; found {
+		ring.entries[slot].retryAt = now + retryAfter
 		return
 	}
-	if old := r.entries[r.nextSlot]; old.retryAt > 0 {
-		delete(r.slotByKey, old.key)
+	if oldest := ring.entries[ring.nextSlot]; oldest.retryAt > 0 {
+		delete(ring.slotByKey, oldest.key)
 	}
-	r.entries[r.nextSlot] = rateLimitEntry{key, now + comeBack}
-	r.slotByKey[key] = r.nextSlot
-	r.nextSlot = (r.nextSlot + 1) % len(r.entries)
+	ring.entries[ring.nextSlot] = rateLimitEntry{key, now + retryAfter}
+	ring.slotByKey[key] = ring.nextSlot
+	ring.nextSlot = (ring.nextSlot + 1) % len(ring.entries)
 }
 
-// Early refuses a completion that was told to come back later than now. From its time on it is let through.
-func (g *Controller) CheckRetry(now float64, key uint64) Decision {
-	if at, there := g.rateLimits.slotByKey[key]; there {
-		if left := g.rateLimits.entries[at].retryAt - now; left > 0 {
-			_, v := g.refuse(Decision{ReasonEarlyRetry, left})
-			return v
+// CheckRetry refuses a rate-limited completion that is retried before its retry-after has passed.
+func (ctl *Controller) CheckRetry(now float64, key uint64) Decision {
+	if slot, found := ctl.rateLimits.slotByKey[key]; found {
+		if wait := ctl.rateLimits.entries[slot].retryAt - now; wait > 0 {
+			_, decision := ctl.refuse(Decision{ReasonEarlyRetry, wait})
+			return decision
 		}
 	}
 	return Decision{}
--- a/internal/admit/directory.go
+++ b/internal/admit/directory.go
@@ -9,20 +9,20 @@
 	"slices"
 )
 
-// Entry is how one client is known. It must have at least one of the three.
+// ClientConfig says how a known client is identified. At least one of the three lists must not be empty.
 type ClientConfig struct {
 	Name             string
 	KeyHashes        [][sha256.Size]byte // SHA-256 of its API keys
-	AddressRanges    []netip.Prefix      // of its addresses
-	CertificateNames []string            // names in its client certificate: a DNS name, a URI, or the subject's common name
+	AddressRanges    []netip.Prefix      // ranges of its addresses
+	CertificateNames []string            // names in its client certificate: DNS name, URI or subject common name
 }
 
-// Book finds known clients. It never changes: a reload makes a new one, whole.
+// ClientDirectory finds known clients. It is immutable: a reload makes a new one.
 type ClientDirectory struct {
 	clients           []Client
 	secret            [16]byte
 	byKeyHash         map[uint64][]keyEntry
-	byRange           []rangeEntry // the longest prefix first
+	byRange           []rangeEntry // longest prefix first
 	byCertificateName map[string]int
 }
 
@@ -36,88 +36,89 @@
 	client int
 }
 
-// NewBook makes a book. secret is chance of the process: with it nobody can tell from the time of a lookup how
-// near a guessed key came.
-func NewClientDirectory(entries []ClientConfig, secret [16]byte) (*ClientDirectory, error) {
-	b := &ClientDirectory{secret: secret, byKeyHash: map[uint64][]keyEntry{}, byCertificateName: map[string]int{}}
-	named := map[string]bool{}
-	for i, e := range entries {
-		if e.Name == "" || named[e.Name] {
-			return nil, fmt.Errorf("clients[%d]: name %q: wanted one that no other has", i, e.Name)
+// NewClientDirectory returns a directory of the given clients. secret is random: it keeps a client from learning from
+// the time of a lookup how close a guessed key came.
+func NewClientDirectory(configs []ClientConfig, secret [16]byte) (*ClientDirectory, error) {
+	dir := &ClientDirectory{secret: secret, byKeyHash: map[uint64][]keyEntry{}, byCertificateName: map[string]int{}}
+	seenNames := map[string]bool{}
+	for i, config := range configs {
+		if config.Name == "" || seenNames[config.Name] {
+			return nil, fmt.Errorf("clients[%d]: name %q: must be unique and not empty", i, config.Name)
 		}
-		named[e.Name] = true
-		if len(e.KeyHashes)+len(e.AddressRanges)+len(e.CertificateNames) == 0 {
-			return nil, fmt.Errorf("clients[%d] %s: wanted a key, an address range or a certificate's name", i, e.Name)
+		seenNames[config.Name] = true
+		if len(config.KeyHashes)+len(config.AddressRanges)+len(config.CertificateNames) == 0 {
+			return nil, fmt.Errorf("clients[%d] %s: has no key, address range or certificate name", i, config.Name)
 		}
-		b.clients = append(b.clients, Client{Name: e.Name})
-		for _, k := range e.KeyHashes {
-			at := b.keySlot(k)
-			for _, other := range b.byKeyHash[at] {
-				if other.sum == k {
-					return nil, fmt.Errorf("clients[%d] %s: a key that %s has too", i, e.Name, entries[other.client].Name)
+		dir.clients = append(dir.clients, Client{Name: config.Name})
+		for _, keyHash := range config.KeyHashes {
+			slot := dir.keySlot(keyHash)
+			for _, other := range dir.byKeyHash[slot] {
+				if other.sum == keyHash {
+					return nil, fmt.Errorf("clients[%d] %s: has a key of %s", i, config.Name, configs[other.client].Name)
 				}
 			}
-			b.byKeyHash[at] = append(b.byKeyHash[at], keyEntry{k, i})
+			dir.byKeyHash[slot] = append(dir.byKeyHash[slot], keyEntry{keyHash, i})
 		}
-		for _, r := range e.AddressRanges {
-			b.byRange = append(b.byRange, rangeEntry{r.Masked(), i})
+		for _, addrRange := range config.AddressRanges {
+			dir.byRange = append(dir.byRange, rangeEntry{addrRange.Masked(), i})
 		}
-		for _, n := range e.CertificateNames {
-			if other, there := b.byCertificateName[n]; there {
-				return nil, fmt.Errorf("clients[%d] %s: the certificate's name %q is %s's too", i, e.Name, n, entries[other].Name)
+		for _, certName := range config.CertificateNames {
+			if other, found := dir.byCertificateName[certName]; found {
+				return nil, fmt.Errorf("clients[%d] %s: certificate name %q belongs to %s", i, config.Name, certName, configs[other].Name)
 			}
-			b.byCertificateName[n] = i
+			dir.byCertificateName[certName] = i
 		}
 	}
-	slices.SortStableFunc(b.byRange, func(x, y rangeEntry) int { return y.prefix.Bits() - x.prefix.Bits() })
-	for i := 1; i < len(b.byRange); i++ {
+	slices.SortStableFunc(dir.byRange, func(x, y rangeEntry) int { return y.prefix.Bits() - x.prefix.Bits() })
+	for i := 1; i < len(dir.byRange); i++ {
 		for j := 0; j < i; j++ {
-			if b.byRange[i].prefix == b.byRange[j].prefix {
-				return nil, fmt.Errorf("the range %s is of two clients", b.byRange[i].prefix)
+			if dir.byRange[i].prefix == dir.byRange[j].prefix {
+				return nil, fmt.Errorf("address range %s belongs to two clients", dir.byRange[i].prefix)
 			}
 		}
 	}
-	return b, nil
+	return dir, nil
 }
 
-func (b *ClientDirectory) keySlot(sum [sha256.Size]byte) uint64 {
-	mixed := sha256.Sum256(append(append([]byte(nil), b.secret[:]...), sum[:]...))
-	return binary.LittleEndian.Uint64(mixed[:])
+func (dir *ClientDirectory) keySlot(sum [sha256.Size]byte) uint64 {
+	hash := sha256.Sum256(append(append([]byte(nil), dir.secret[:]...), sum[:]...))
+	return binary.LittleEndian.Uint64(hash[:])
 }
 
-// Clients lists them by number.
-func (b *ClientDirectory) Clients() []Client { return b.clients }
+// Clients returns the known clients by client index.
+func (dir *ClientDirectory) Clients() []Client { return dir.clients }
 
-// ByKey finds the client of an API key, Unknown if it is nobody's. An empty key is nobody's.
-func (b *ClientDirectory) ByKey(key string) int {
+// ByKey returns the client of an API key, UnknownClient if there is none. An empty key belongs to no client.
+func (dir *ClientDirectory) ByKey(key string) int {
 	if key == "" {
 		return UnknownClient
 	}
 	sum := sha256.Sum256([]byte(key))
 	client := UnknownClient
-	for _, k := range b.byKeyHash[b.keySlot(sum)] {
-		if subtle.ConstantTimeCompare(k.sum[:], sum[:]) == 1 {
-			client = k.client
+	for _, entry := range dir.byKeyHash[dir.keySlot(sum)] {
+		if subtle.ConstantTimeCompare(entry.sum[:], sum[:]) == 1 {
+			client = entry.client
 		}
 	}
 	return client
 }
 
-// ByAddress finds the client whose range holds an address; the narrowest range counts.
-func (b *ClientDirectory) ByAddress(a netip.Addr) int {
+// ByAddress returns the client of the narrowest range that contains an address, UnknownClient if there is none.
+func (dir *ClientDirectory) ByAddress(a netip.Addr) int {
 	a = a.Unmap().WithZone("")
-	for _, r := range b.byRange {
-		if r.prefix.Contains(a) {
-			return r.client
+	for _, entry := range dir.byRange {
+		if entry.prefix.Contains(a) {
+			return entry.client
 		}
 	}
 	return UnknownClient
 }
 
-// ByCertificate finds the client of one of a certificate's names. The certificate must have been verified.
-func (b *ClientDirectory) ByCertificateNames(names []string) int {
-	for _, n := range names {
-		if client, there := b.byCertificateName[n]; there {
+// ByCertificateNames returns the client of the first known name of a verified certificate, UnknownClient if there is
+// none.
+func (dir *ClientDirectory) ByCertificateNames(names []string) int {
+	for _, name := range names {
+		if client, found := dir.byCertificateName[name]; found {
 			return client
 		}
 	}
--- a/internal/admit/lists.go
+++ b/internal/admit/lists.go
@@ -1,113 +1,113 @@
 package admit
 
-// links are a connection's neighbours in a list, as slots; -1 for none.
+// listLinks are a connection's neighbours in a list, as indexes of Controller.conns; -1 for none.
 type listLinks struct{ prev, next int32 }
 
-// list is a list of connections in the order in which they came to it. Which of their links it uses is fixed.
+// list is a doubly linked list of connections in order of insertion. linkIndex says which of conn.links it uses.
 type list struct {
 	head, tail int32
 	linkIndex  uint8
 }
 
-func newList(by uint8) list { return list{-1, -1, by} }
+func newList(linkIndex uint8) list { return list{-1, -1, linkIndex} }
 
-func (l *list) push(g *Controller, slot int32) {
-	g.conns[slot].links[l.linkIndex] = listLinks{l.tail, -1}
+func (l *list) push(ctl *Controller, slot int32) {
+	ctl.conns[slot].links[l.linkIndex] = listLinks{l.tail, -1}
 	if l.tail >= 0 {
-		g.conns[l.tail].links[l.linkIndex].next = slot
+		ctl.conns[l.tail].links[l.linkIndex].next = slot
 	} else {
 		l.head = slot
 	}
 	l.tail = slot
 }
 
-func (l *list) remove(g *Controller, slot int32) {
-	at := g.conns[slot].links[l.linkIndex]
-	if at.prev >= 0 {
-		g.conns[at.prev].links[l.linkIndex].next = at.next
+func (l *list) remove(ctl *Controller, slot int32) {
+	neighbours := ctl.conns[slot].links[l.linkIndex]
+	if neighbours.prev >= 0 {
+		ctl.conns[neighbours.prev].links[l.linkIndex].next = neighbours.next
 	} else {
-		l.head = at.next
+		l.head = neighbours.next
 	}
-	if at.next >= 0 {
-		g.conns[at.next].links[l.linkIndex].prev = at.prev
+	if neighbours.next >= 0 {
+		ctl.conns[neighbours.next].links[l.linkIndex].prev = neighbours.prev
 	} else {
-		l.tail = at.prev
+		l.tail = neighbours.prev
 	}
 }
 
-// rankPlace is a holder's place in a ranks: its count, and its neighbours of the same count.
+// rankEntry is a holder's position in a ranking: its count, and its neighbours among the holders with the same count.
 type rankEntry struct {
 	count      int
 	prev, next int32
-	counted    bool
+	counted    bool // in nonEmptyHolders
 }
 
-// ranks finds who holds the most: holders in lists by their count, so that a change by one costs the same
-// however many there are. A holder with count 0 is in none. Of several with the same count the one that has had it
-// longest comes first: where each address holds one, it is the oldest that goes, not the one that came just now.
+// ranking finds the holder with the highest count. It keeps holders in one list per count, so that the cost of a change
+// by one does not depend on their number. A holder with count 0 is in no list. Among holders with the same count the one
+// that has had it longest comes first: where each address holds one connection, the oldest is evicted, not the newest.
 type ranking struct {
-	buckets         [][2]int32 // by count: who came to it first, and last
-	maxCount        int        // no holder has more
+	buckets         [][2]int32 // by count: the first and the last holder, -1 for none
+	maxCount        int        // upper bound of the counts
 	rankIndex       uint8
-	nonEmptyHolders int // that hold anything, whether or not they are ranked
+	nonEmptyHolders int // holders with a common connection, whether or not they are ranked
 }
 
-func newRanking(by uint8) ranking { return ranking{rankIndex: by} }
+func newRanking(rankIndex uint8) ranking { return ranking{rankIndex: rankIndex} }
 
-// set moves a holder to a count.
-func (r *ranking) set(g *Controller, at int32, count int) {
-	p := &g.holders[at].rank[r.rankIndex]
-	if p.count == count {
+// set changes a holder's count.
+func (rk *ranking) set(ctl *Controller, holderIndex int32, count int) {
+	entry := &ctl.holders[holderIndex].rank[rk.rankIndex]
+	if entry.count == count {
 		return
 	}
-	if p.count > 0 {
-		if p.prev >= 0 {
-			g.holders[p.prev].rank[r.rankIndex].next = p.next
+	if entry.count > 0 {
+		if entry.prev >= 0 {
+			ctl.holders[entry.prev].rank[rk.rankIndex].next = entry.next
 		} else {
-			r.buckets[p.count][0] = p.next
+			rk.buckets[entry.count][0] = entry.next
 		}
-		if p.next >= 0 {
-			g.holders[p.next].rank[r.rankIndex].prev = p.prev
+		if entry.next >= 0 {
+			ctl.holders[entry.next].rank[rk.rankIndex].prev = entry.prev
 		} else {
-			r.buckets[p.count][1] = p.prev
+			rk.buckets[entry.count][1] = entry.prev
 		}
 	}
-	p.count = count
+	entry.count = count
 	if count == 0 {
 		return
 	}
-	for len(r.buckets) <= count {
-		r.buckets = append(r.buckets, [2]int32{-1, -1})
+	for len(rk.buckets) <= count {
+		rk.buckets = append(rk.buckets, [2]int32{-1, -1})
 	}
-	p.prev, p.next = r.buckets[count][1], -1
-	if p.prev >= 0 {
-		g.holders[p.prev].rank[r.rankIndex].next = at
+	entry.prev, entry.next = rk.buckets[count][1], -1
+	if entry.prev >= 0 {
+		ctl.holders[entry.prev].rank[rk.rankIndex].next = holderIndex
 	} else {
-		r.buckets[count][0] = at
+		rk.buckets[count][0] = holderIndex
 	}
-	r.buckets[count][1] = at
-	r.maxCount = max(r.maxCount, count)
+	rk.buckets[count][1] = holderIndex
+	rk.maxCount = max(rk.maxCount, count)
 }
 
-// count keeps how many hold anything.
-func (r *ranking) countHolder(h *holder, n int) {
-	p := &h.rank[r.rankIndex]
-	if holds := n > 0; holds != p.counted {
-		if p.counted = holds; holds {
-			r.nonEmptyHolders++
+// countHolder updates nonEmptyHolders for a holder that now has the given number of connections.
+func (rk *ranking) countHolder(h *holder, count int) {
+	entry := &h.rank[rk.rankIndex]
+	if nonEmpty := count > 0; nonEmpty != entry.counted {
+		if entry.counted = nonEmpty; nonEmpty {
+			rk.nonEmptyHolders++
 		} else {
-			r.nonEmptyHolders--
+			rk.nonEmptyHolders--
 		}
 	}
 }
 
-// top is one of those with the greatest count, -1 if there is none.
-func (r *ranking) top() int32 {
-	for r.maxCount > 0 {
-		if at := r.buckets[r.maxCount][0]; at >= 0 {
-			return at
+// top returns the first holder with the highest count, -1 if there is none.
+func (rk *ranking) top() int32 {
+	for rk.maxCount > 0 {
+		if holderIndex := rk.buckets[rk.maxCount][0]; holderIndex >= 0 {
+			return holderIndex
 		}
-		r.maxCount--
+		rk.maxCount--
 	}
 	return -1
 }
--- a/internal/admit/race_off_test.go
+++ b/internal/admit/race_off_test.go
@@ -2,5 +2,5 @@
 
 package admit
 
-// floodSize is how many addresses come in the test of memory.
-const floodSize = 10_000_000
+// floodAddresses is the number of addresses in TestMemoryBoundedOverMillionsOfAddresses.
+const floodAddresses = 10_000_000
--- a/internal/admit/race_on_test.go
+++ b/internal/admit/race_on_test.go
@@ -2,5 +2,5 @@
 
 package admit
 
-// floodSize is smaller where each step costs ten times as much.
-const floodSize = 1_000_000
+// floodAddresses is smaller under the race detector, where each step costs ten times as much.
+const floodAddresses = 1_000_000
--- a/internal/admit/responses.go
+++ b/internal/admit/responses.go
@@ -1,6 +1,6 @@
 package admit
 
-// Answer is how a refusal is told to a client: HTTP status, OpenAI's error type and code, and words.
+// ErrorResponse is the response to what was refused: HTTP status, and type, code and message of the OpenAI error object.
 type ErrorResponse struct {
 	Status              int
 	Type, Code, Message string
@@ -24,5 +24,5 @@
 	ReasonStopping:           {503, "server_error", "stopping", "this router is stopping"},
 }
 
-// Answer is what a refusal for a reason says.
+// Response returns the response for a reason.
 func (r Reason) Response() ErrorResponse { return errorResponses[r] }
--- a/internal/admit/stats.go
+++ b/internal/admit/stats.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Figures are a gate's totals.
+// Stats are a controller's totals.
 type Stats struct {
 	Connections, Common, MaxCommon, Reserved, Provisional, MaxProvisional, Closing int
 	Completions, MaxCompletions, Addresses                                         int
@@ -14,94 +14,96 @@
 	Refused, Evicted                                                               [NumReasons]uint64 // by Reason
 }
 
-// RoomUse is how much of a room is used.
+// PoolUsage is the usage of a pool.
 type PoolUsage struct {
 	Name string `json:"name"`
 	Used int    `json:"used"`
 	Max  int    `json:"most"`
 }
 
-// Rooms are those of a gate. What is not in the common room or the anteroom is in the reserve.
-func (f *Stats) Pools() []PoolUsage {
-	return []PoolUsage{{"common", f.Common, f.MaxCommon}, {"reserve", f.Connections - f.Common - f.Provisional, f.Reserved},
-		{"anteroom", f.Provisional, f.MaxProvisional}, {"completions", f.Completions, f.MaxCompletions}}
+// Pools returns the usage of each pool. Connections that are in neither the common nor the provisional pool are in the
+// reserve.
+func (s *Stats) Pools() []PoolUsage {
+	return []PoolUsage{{"common", s.Common, s.MaxCommon}, {"reserve", s.Connections - s.Common - s.Provisional, s.Reserved},
+		{"anteroom", s.Provisional, s.MaxProvisional}, {"completions", s.Completions, s.MaxCompletions}}
 }
 
-// Figures tells the totals.
-func (g *Controller) Stats() Stats {
-	f := Stats{Common: g.commonConns, MaxCommon: g.maxCommon(), Reserved: g.settings.ReservedConnections, Provisional: g.provisionalConns, MaxProvisional: g.settings.MaxProvisional,
-		Closing: g.closingConns, Completions: g.openCompletions, MaxCompletions: g.settings.MaxCompletions, Addresses: len(g.holderByAddress), Accepted: g.accepted,
-		Refused: g.refused, Evicted: g.evicted}
-	f.Connections = len(g.conns) - len(g.freeSlots) - g.closingConns
-	return f
+// Stats returns the totals.
+func (ctl *Controller) Stats() Stats {
+	stats := Stats{Common: ctl.commonConns, MaxCommon: ctl.maxCommon(), Reserved: ctl.settings.ReservedConnections, Provisional: ctl.provisionalConns, MaxProvisional: ctl.settings.MaxProvisional,
+		Closing: ctl.closingConns, Completions: ctl.openCompletions, MaxCompletions: ctl.settings.MaxCompletions, Addresses: len(ctl.holderByAddress), Accepted: ctl.accepted,
+		Refused: ctl.refused, Evicted: ctl.evicted}
+	stats.Connections = len(ctl.conns) - len(ctl.freeSlots) - ctl.closingConns
+	return stats
 }
 
-// Holder is one who holds connections.
+// Holder is the usage of an address or a known client.
 type Holder struct {
-	Name        string // of the known client, or the address
+	Name        string // the known client's name, or the address
 	Known       bool
 	Connections int
 	Provisional int
 	Completions int
 }
 
-// Top lists those who hold the most, n at most.
-func (g *Controller) TopHolders(n int) []Holder {
-	var all []Holder
-	for i := range g.holders {
-		h := &g.holders[i]
+// TopHolders returns the n holders with the most connections.
+func (ctl *Controller) TopHolders(n int) []Holder {
+	var holders []Holder
+	for i := range ctl.holders {
+		h := &ctl.holders[i]
 		if !h.inUse || h.admittedConns+h.provisionalConns+h.openCompletions == 0 {
 			continue
 		}
-		one := Holder{h.name, h.client != UnknownClient && !h.revoked, h.admittedConns, h.provisionalConns, h.openCompletions}
+		entry := Holder{h.name, h.client != UnknownClient && !h.revoked, h.admittedConns, h.provisionalConns, h.openCompletions}
 		if h.client == UnknownClient {
-			one.Name = h.address.String()
+			entry.Name = h.address.String()
 		}
-		all = append(all, one)
+		holders = append(holders, entry)
 	}
-	slices.SortStableFunc(all, func(a, b Holder) int {
-		if d := b.Connections + b.Provisional - a.Connections - a.Provisional; d != 0 {
-			return d
+	slices.SortStableFunc(holders, func(a, b Holder) int {
+		if diff := b.Connections + b.Provisional - a.Connections - a.Provisional; diff != 0 {
+			return diff
 		}
 		return strings.Compare(a.Name, b.Name)
 	})
-	return all[:min(n, len(all))]
+	return holders[:min(n, len(holders))]
 }
 
-// Descriptors is how a process divides the descriptors that it may have.
+// DescriptorBudget divides the process's file descriptor limit.
 type DescriptorBudget struct {
-	Limit          int // the process's
-	Process        int // standard streams, pollers, logs, listeners, the engine list, the spare one
+	Limit          int // of the process
+	Process        int // standard streams, pollers, logs, listeners, the engine list, the spare descriptors
 	Admin          int
 	Peers          int
-	Connections    int // of clients
-	Closing        int // clients on their way out, and refusals that linger
-	Engines        int // the rest
-	MaxCompletions int // that may be open by it: each is sure of PerCompletion
+	Connections    int // to clients
+	Closing        int // evicted and refused connections that are still open
+	Engines        int // to engines: the rest
+	MaxCompletions int // each has DescriptorsPerCompletion descriptors
 }
 
-// PerCompletion is how many descriptors towards engines are kept for each completion: its dispatch, and the
-// release of a state or a dispatch that follows one still ending.
+// DescriptorsPerCompletion is the number of descriptors to engines reserved for each completion: one for its dispatch,
+// one for the release of a state or for a dispatch that starts while the previous one still closes.
 const DescriptorsPerCompletion = 2
 
-// Divide divides a limit. It fails where nothing sensible is left for engines, and says the sum.
+// DivideDescriptors divides a descriptor limit. It fails if too few are left for engines; the error shows the division.
 func DivideDescriptors(limit, admin, peers int, s Settings) (DescriptorBudget, error) {
-	d := DescriptorBudget{Limit: limit, Process: ProcessDescriptors, Admin: admin, Peers: peers, Connections: s.MaxConnections, Closing: s.MaxClosing}
-	d.Engines = limit - d.Process - d.Admin - d.Peers - d.Connections - d.Closing
-	d.MaxCompletions = min(s.MaxCompletions, d.Engines/DescriptorsPerCompletion)
-	if d.MaxCompletions < 1 {
-		return d, fmt.Errorf("%s: nothing is left for engines; wanted fewer connections or a higher limit", d)
+	budget := DescriptorBudget{Limit: limit, Process: ProcessDescriptors, Admin: admin, Peers: peers, Connections: s.MaxConnections, Closing: s.MaxClosing}
+	budget.Engines = limit - budget.Process - budget.Admin - budget.Peers - budget.Connections - budget.Closing
+	budget.MaxCompletions = min(s.MaxCompletions, budget.Engines/DescriptorsPerCompletion)
+	if budget.MaxCompletions < 1 {
+		return budget, fmt.Errorf("%s: nothing is left for engines; lower the connection limit or raise the descriptor limit", budget)
 	}
-	if d.MaxCompletions <= s.ReservedCompletions {
-		return d, fmt.Errorf("%s: the reserve of %d completions leaves none to others", d, s.ReservedCompletions)
+	if budget.MaxCompletions <= s.ReservedCompletions {
+		return budget, fmt.Errorf("%s: the reserve of %d completions leaves none for other clients", budget, s.ReservedCompletions)
 	}
-	return d, nil
+	return budget, nil
 }
 
-// OwnDescriptors is what the process needs for itself, with room: it had 23 open at its start.
+// ProcessDescriptors is the number of descriptors reserved for the process itself, with a margin: it has 23 open after
+// its start.
 const ProcessDescriptors = 64
 
-// String is the sum as an operator reads it.
+// String returns the division in one line, for operators.
 func (d DescriptorBudget) String() string {
 	return fmt.Sprintf("%d descriptors = %d own + %d admin + %d peers + %d client connections + %d leaving + %d towards engines, %d for each of %d completions",
 		d.Limit, d.Process, d.Admin, d.Peers, d.Connections, d.Closing, d.Engines, DescriptorsPerCompletion, d.MaxCompletions)
