--- a/internal/door/descriptors.go
+++ b/internal/door/descriptors.go
@@ -13,27 +13,28 @@
 	"cherryhub/internal/admit"
 )
 
-// RaiseLimit raises the process's soft limit of descriptors to the hard one and tells it.
+// RaiseDescriptorLimit raises the process's soft limit of file descriptors to the hard limit and returns the new limit, at
+// most maxDescriptorLimit.
 func RaiseDescriptorLimit() (int, error) {
-	var l unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil {
-		return 0, fmt.Errorf("limit of descriptors: %w", err)
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
+		return 0, fmt.Errorf("file descriptor limit: %w", err)
 	}
-	if l.Cur < l.Max {
-		raised := unix.Rlimit{Cur: l.Max, Max: l.Max}
+	if limit.Cur < limit.Max {
+		raised := unix.Rlimit{Cur: limit.Max, Max: limit.Max}
 		if unix.Setrlimit(unix.RLIMIT_NOFILE, &raised) == nil {
-			l = raised
+			limit = raised
 		}
 	}
-	return int(min(l.Cur, maxDescriptorLimit)), nil
+	return int(min(limit.Cur, maxDescriptorLimit)), nil
 }
 
-// limitMost is where a limit is as good as none.
+// maxDescriptorLimit caps the limit that is used; a higher one is as good as none.
 const maxDescriptorLimit = 1 << 20
 
-// spare is some descriptors kept for the moment in which there is none: one is closed, the connection accepted in
-// its place is refused and closed, and it is opened again. Whoever else waits for a descriptor may be quicker, so
-// there are some.
+// spareDescriptors are descriptors kept open for when the process runs out of them: one is closed, a connection is
+// accepted in its place, refused and closed, and the spare is opened again. There are several, as another part of the
+// process may take a descriptor that was just closed.
 type spareDescriptors struct {
 	mu    sync.Mutex
 	files []*os.File
@@ -45,14 +46,13 @@
 	s := &spareDescriptors{}
 	s.fill()
 	if len(s.files) == 0 {
-		return nil, fmt.Errorf("none can be opened: %w", unix.EMFILE)
+		return nil, fmt.Errorf("no descriptor could be opened: %w", unix.EMFILE)
 	}
 	return s, nil
 }
 
-// refuse accepts one connection at a listener in a spare one's place and refuses it. Where there is none left it
-// waits a moment: the listener stays readable and would have the poller spin. That slows the streams that share
-// the poller, which is why it is short.
+// refuse accepts a connection with a spare descriptor and refuses it. If no spare is left it waits for noSpareDelay, as
+// the poller would spin on a listener that stays readable. The wait delays the streams that share the poller.
 func (s *spareDescriptors) refuse(listener int) (refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,13 +69,13 @@
 	if err != nil {
 		return false
 	}
-	unix.SetNonblock(fd, true)                                                                        //nolint:errcheck // it is read once
-	unix.Write(fd, refusalResponse(admit.Decision{Reason: admit.ReasonNoDescriptors, RetryAfter: 1})) //nolint:errcheck // told as well as can be
+	unix.SetNonblock(fd, true)                                                                        //nolint:errcheck // does not fail for a socket
+	unix.Write(fd, refusalResponse(admit.Decision{Reason: admit.ReasonNoDescriptors, RetryAfter: 1})) //nolint:errcheck // best effort
 	unix.Shutdown(fd, unix.SHUT_WR)                                                                   //nolint:errcheck // as above
-	// It can't linger: the next one needs the spare. What the client sent so far is read, which in most cases is
-	// its whole call, so that the close is no reset.
+	// The connection cannot linger, as the next one needs the spare. What the client has sent is read, in most cases
+	// its whole request, so that the close does not cause a reset.
 	var buf [4096]byte
-	for begun := time.Now(); time.Since(begun) < spareLingerTimeout; {
+	for start := time.Now(); time.Since(start) < spareLingerTimeout; {
 		n, err := unix.Read(fd, buf[:])
 		if n == 0 || err != nil && err != unix.EAGAIN {
 			break
@@ -84,11 +84,11 @@
 			time.Sleep(spareLingerTimeout / 10)
 		}
 	}
-	unix.Close(fd) //nolint:errcheck // done with it
+	unix.Close(fd) //nolint:errcheck // not used again
 	return true
 }
 
-// Both are short: the poller waits.
+// Both are short, as they block the poller.
 const (
 	spareLingerTimeout = time.Millisecond
 	noSpareDelay       = 2 * time.Millisecond
@@ -104,7 +104,7 @@
 	}
 }
 
-// renew opens spare ones again where others took their place.
+// refill reopens spare descriptors that could not be reopened after their use.
 func (s *spareDescriptors) refill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,13 +121,13 @@
 	return err
 }
 
-// lingering holds refused connections until their clients have closed them or a time is over, and reads what
-// they send, so that closing doesn't reset the answer away. Its size is fixed: when it is full the oldest goes.
+// lingerQueue keeps refused connections open until their clients close them or a timeout passes, and discards what they
+// send, so that a reset does not discard the response. Its size is fixed: when it is full, the oldest is closed.
 type lingerQueue struct {
 	timeout time.Duration
 	mu      sync.Mutex
 	ring    []lingeringConn
-	head    int // the oldest
+	head    int // index of the oldest
 	count   int
 }
 
@@ -136,25 +136,25 @@
 	deadline time.Time
 }
 
-func newLingerQueue(n int, most time.Duration) *lingerQueue {
-	return &lingerQueue{timeout: most, ring: make([]lingeringConn, n)}
+func newLingerQueue(size int, timeout time.Duration) *lingerQueue {
+	return &lingerQueue{timeout: timeout, ring: make([]lingeringConn, size)}
 }
 
 func (l *lingerQueue) add(fd int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.count == len(l.ring) {
-		old := l.ring[l.head]
+		oldest := l.ring[l.head]
 		l.head, l.count = (l.head+1)%len(l.ring), l.count-1
-		drainSocket(old.fd)
-		unix.Close(old.fd) //nolint:errcheck // done with it
+		drainSocket(oldest.fd)
+		unix.Close(oldest.fd) //nolint:errcheck // not used again
 	}
 	l.ring[(l.head+l.count)%len(l.ring)] = lingeringConn{fd, time.Now().Add(l.timeout)}
 	l.count++
 }
 
-// drain reads what there is, and tells whether the client has closed.
-func drainSocket(fd int) (over bool) {
+// drainSocket discards received bytes, up to 64 KiB, and reports whether the client has closed.
+func drainSocket(fd int) (closed bool) {
 	var buf [4096]byte
 	for range 16 {
 		n, err := unix.Read(fd, buf[:])
@@ -169,17 +169,17 @@
 	return false
 }
 
-// lingerEvery is how often lingering connections are read.
+// lingerPollInterval is how often lingering connections are read.
 const lingerPollInterval = 5 * time.Millisecond
 
 func (l *lingerQueue) run(ctx context.Context) {
-	tick := time.NewTicker(lingerPollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(lingerPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			l.poll(now)
 		}
 	}
@@ -190,12 +190,12 @@
 	defer l.mu.Unlock()
 	kept := 0
 	for i := range l.count {
-		one := l.ring[(l.head+i)%len(l.ring)]
-		if drainSocket(one.fd) || now.After(one.deadline) {
-			unix.Close(one.fd) //nolint:errcheck // done with it
+		conn := l.ring[(l.head+i)%len(l.ring)]
+		if drainSocket(conn.fd) || now.After(conn.deadline) {
+			unix.Close(conn.fd) //nolint:errcheck // not used again
 			continue
 		}
-		l.ring[(l.head+kept)%len(l.ring)] = one
+		l.ring[(l.head+kept)%len(l.ring)] = conn
 		kept++
 	}
 	l.count = kept
@@ -205,7 +205,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.count {
-		unix.Close(l.ring[(l.head+i)%len(l.ring)].fd) //nolint:errcheck // done with it
+		unix.Close(l.ring[(l.head+i)%len(l.ring)].fd) //nolint:errcheck // not used again
 	}
 	l.count = 0
 }
--- a/internal/door/listener.go
+++ b/internal/door/listener.go
@@ -1,7 +1,7 @@
-// Package door owns the clients' sockets until a call is read from them: it accepts, lets internal/admit decide,
-// refuses at the least cost, ends connections that admit wants gone, watches descriptors, speaks TLS and reloads
-// certificates and known clients. It decides nothing by itself and reads no call. internal/edge serves what it
-// lets in; internal/router makes it.
+// Package door owns the clients' sockets until a request is read from them. It accepts connections, has internal/admit
+// decide on them, refuses them cheaply, closes the connections that admit evicts, handles file descriptor exhaustion,
+// terminates TLS, and reloads certificates and known clients. It makes no decisions and reads no requests.
+// internal/edge serves the accepted connections; internal/router creates the listener.
 package door
 
 import (
@@ -28,30 +28,30 @@
 	"cherryhub/internal/admit"
 )
 
-// Rules are what is in force, and is replaced whole at a reload.
+// AdmissionConfig is the part of the configuration that a reload replaces as a whole.
 type AdmissionConfig struct {
 	Settings      admit.Settings
 	Clients       []admit.ClientConfig
-	ClientTenants []int // by client: its tenant for the edge, or -1
+	ClientTenants []int // by client index: the client's tenant, or -1
 }
 
-// Options of a door.
+// Options of a listener.
 type Options struct {
 	Listener       *net.TCPListener
 	Admission      AdmissionConfig
-	KeyHashSecret  [16]byte      // chance of the process
-	MaxUnreadBytes int           // bytes that a client may send ahead of what is read, then it is cut off
-	LingerTimeout  time.Duration // a refused connection is read on so long, so that its answer isn't lost to a reset
-	TLS            *TLSOptions   // nil: plain
+	KeyHashSecret  [16]byte      // random; see admit.NewClientDirectory
+	MaxUnreadBytes int           // that a client may send ahead of what is read; then its connection is closed
+	LingerTimeout  time.Duration // how long a refused or evicted connection is still read, so that a reset does not discard the response
+	TLS            *TLSOptions   // nil for plain TCP
 	Log            *slog.Logger
 }
 
-// Door lets clients in. It is a netpoll.Listener where there is no TLS; else it is a net.Listener whose
-// connections have shaken hands.
+// Listener accepts clients' connections subject to admission. Without TLS it is a netpoll.Listener. With TLS it is a
+// net.Listener whose connections have completed the handshake.
 type Listener struct {
 	options   Options
 	startedAt time.Time
-	fd        int // the listener's descriptor
+	fd        int // of the listening socket, without TLS
 	closer    interface{ Close() error }
 	spare     *spareDescriptors
 	lingering *lingerQueue
@@ -62,299 +62,299 @@
 	clients    *clientTable
 	conns      map[admit.ConnID]*Conn
 
-	noDescriptors atomic.Uint64 // refused for want of descriptors
+	noDescriptors atomic.Uint64 // connections refused because descriptors ran out
 	closed        atomic.Bool
 	cancel        context.CancelFunc
 	running       sync.WaitGroup
 }
 
-// known is the clients in force.
+// clientTable holds the configured clients.
 type clientTable struct {
 	directory     *admit.ClientDirectory
 	clientTenants []int
 }
 
-func newClientTable(r AdmissionConfig, secret [16]byte) (*clientTable, error) {
-	book, err := admit.NewClientDirectory(r.Clients, secret)
+func newClientTable(config AdmissionConfig, secret [16]byte) (*clientTable, error) {
+	directory, err := admit.NewClientDirectory(config.Clients, secret)
 	if err != nil {
 		return nil, err
 	}
-	return &clientTable{book, r.ClientTenants}, nil
+	return &clientTable{directory, config.ClientTenants}, nil
 }
 
-// New makes a door at a listener, which becomes its own.
-func New(o Options) (*Listener, error) {
-	k, err := newClientTable(o.Admission, o.KeyHashSecret)
+// New returns a Listener that takes ownership of options.Listener.
+func New(options Options) (*Listener, error) {
+	clients, err := newClientTable(options.Admission, options.KeyHashSecret)
 	if err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	gate, err := admit.New(o.Admission.Settings, k.directory.Clients())
+	ctl, err := admit.New(options.Admission.Settings, clients.directory.Clients())
 	if err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	d := &Listener{options: o, startedAt: time.Now(), controller: gate, clients: k, conns: map[admit.ConnID]*Conn{}}
-	if d.spare, err = newSpareDescriptors(); err != nil {
+	l := &Listener{options: options, startedAt: time.Now(), controller: ctl, clients: clients, conns: map[admit.ConnID]*Conn{}}
+	if l.spare, err = newSpareDescriptors(); err != nil {
 		return nil, fmt.Errorf("admission: spare descriptor: %w", err)
 	}
-	if o.TLS != nil {
-		if d.tls, err = newTLSListener(d, o.TLS); err != nil {
-			return nil, errors.Join(err, d.spare.close())
+	if options.TLS != nil {
+		if l.tls, err = newTLSListener(l, options.TLS); err != nil {
+			return nil, errors.Join(err, l.spare.close())
 		}
-		d.closer = o.Listener
+		l.closer = options.Listener
 	} else {
-		// The descriptor is duplicated, as the listener's own belongs to the runtime's poller.
-		f, err := o.Listener.File()
+		// The descriptor is duplicated, as the original belongs to the runtime's poller.
+		file, err := options.Listener.File()
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("admission: listener: %w", err), d.spare.close())
+			return nil, errors.Join(fmt.Errorf("admission: listener: %w", err), l.spare.close())
 		}
-		d.closer, d.fd = f, int(f.Fd())
-		if err := unix.SetNonblock(d.fd, true); err != nil {
-			return nil, errors.Join(fmt.Errorf("admission: listener: %w", err), f.Close(), d.spare.close())
+		l.closer, l.fd = file, int(file.Fd())
+		if err := unix.SetNonblock(l.fd, true); err != nil {
+			return nil, errors.Join(fmt.Errorf("admission: listener: %w", err), file.Close(), l.spare.close())
 		}
 	}
-	d.lingering = newLingerQueue(max(1, o.Admission.Settings.MaxClosing), o.LingerTimeout)
-	ctx, end := context.WithCancel(context.Background())
-	d.cancel = end
-	d.running.Go(func() { d.lingering.run(ctx) })
-	d.running.Go(func() { d.maintain(ctx) })
-	if d.tls != nil {
-		d.running.Go(func() { d.tls.acceptLoop(ctx) })
+	l.lingering = newLingerQueue(max(1, options.Admission.Settings.MaxClosing), options.LingerTimeout)
+	ctx, cancel := context.WithCancel(context.Background())
+	l.cancel = cancel
+	l.running.Go(func() { l.lingering.run(ctx) })
+	l.running.Go(func() { l.maintain(ctx) })
+	if l.tls != nil {
+		l.running.Go(func() { l.tls.acceptLoop(ctx) })
 	}
-	return d, nil
+	return l, nil
 }
 
-func (d *Listener) now() float64 { return time.Since(d.startedAt).Seconds() }
+func (l *Listener) now() float64 { return time.Since(l.startedAt).Seconds() }
 
-// tendEvery is how often connections are looked at: what waited too long, what sends without being read, who
-// left while its answer is made. Refusals and room are decided at once, not here.
+// maintenanceInterval is how often connections are checked for timeouts, for too many unread bytes, and for clients that
+// disconnected during their request. Admission does not wait for it.
 const maintenanceInterval = 50 * time.Millisecond
 
-func (d *Listener) maintain(ctx context.Context) {
-	tick := time.NewTicker(maintenanceInterval)
-	defer tick.Stop()
-	watch := newRefusalLogger(d.options.Log)
+func (l *Listener) maintain(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
+	defer ticker.Stop()
+	refusalLog := newRefusalLogger(l.options.Log)
 	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		d.mu.Lock()
-		d.controller.EvictExpired(d.now())
-		off := d.pendingCloses()
-		var calling []*Conn
-		for _, c := range d.conns {
+		l.mu.Lock()
+		l.controller.EvictExpired(l.now())
+		closes := l.takePendingCloses()
+		var requestConns []*Conn
+		for _, c := range l.conns {
 			if c.inRequest.Load() {
-				calling = append(calling, c)
+				requestConns = append(requestConns, c)
 			}
 		}
-		d.mu.Unlock()
-		d.closeConns(off)
-		for _, c := range calling {
-			if c.unreadBytes() > d.options.MaxUnreadBytes {
-				d.options.Log.Warn("client sends without bound during its call", "address", c.String())
+		l.mu.Unlock()
+		l.closeConns(closes)
+		for _, c := range requestConns {
+			if c.unreadBytes() > l.options.MaxUnreadBytes {
+				l.options.Log.Warn("client sent too much during its request; connection closed", "address", c.String())
 				c.closeNow()
 			}
 		}
-		if d.tls != nil && round%disconnectCheckRounds == 0 {
-			notifyDisconnects(calling)
+		if l.tls != nil && round%disconnectCheckRounds == 0 {
+			notifyDisconnects(requestConns)
 		}
-		d.spare.refill()
+		l.spare.refill()
 		if round%20 == 0 {
-			d.mu.Lock()
-			f, top := d.controller.Stats(), d.controller.TopHolders(1)
-			d.mu.Unlock()
-			f.Refused[admit.ReasonNoDescriptors] += d.noDescriptors.Load()
-			watch.logChanges(f, top)
+			l.mu.Lock()
+			stats, top := l.controller.Stats(), l.controller.TopHolders(1)
+			l.mu.Unlock()
+			stats.Refused[admit.ReasonNoDescriptors] += l.noDescriptors.Load()
+			refusalLog.logChanges(stats, top)
 		}
 	}
 }
 
-// off is a connection to be told to go.
-type closeRequest struct {
+// closeRequest is an evicted connection that has to be closed.
+type pendingClose struct {
 	conn         *Conn
 	reason       admit.Reason
-	noRequestYet bool // it never had a call: it gets an answer
+	noRequestYet bool // then it gets a response before it is closed
 }
 
-// sendOff collects what the gate wants gone; the lock is held.
-func (d *Listener) pendingCloses() []closeRequest {
-	var all []closeRequest
-	for _, e := range d.controller.TakeEvictions() {
-		if c := d.conns[e.Conn]; c != nil {
-			all = append(all, closeRequest{c, e.Reason, !c.hadRequest})
+// pendingCloses collects the evicted connections. The caller holds the lock.
+func (l *Listener) takePendingCloses() []pendingClose {
+	var pending []pendingClose
+	for _, eviction := range l.controller.TakeEvictions() {
+		if c := l.conns[eviction.Conn]; c != nil {
+			pending = append(pending, pendingClose{c, eviction.Reason, !c.hadRequest})
 		}
 	}
-	return all
+	return pending
 }
 
-// tellOff tells connections to go, without the lock.
-func (d *Listener) closeConns(all []closeRequest) {
-	for _, o := range all {
-		o.conn.closeGracefully(o.reason, o.noRequestYet)
+// closeConns closes connections gracefully. The caller does not hold the lock.
+func (l *Listener) closeConns(pending []pendingClose) {
+	for _, p := range pending {
+		p.conn.closeGracefully(p.reason, p.noRequestYet)
 	}
 }
 
-// Reload puts other rules in force, whole or not at all.
-func (d *Listener) Reload(r AdmissionConfig) error {
-	k, err := newClientTable(r, d.options.KeyHashSecret)
+// Reload replaces the admission configuration as a whole, or changes nothing and returns an error.
+func (l *Listener) Reload(config AdmissionConfig) error {
+	clients, err := newClientTable(config, l.options.KeyHashSecret)
 	if err != nil {
 		return fmt.Errorf("admission: %w", err)
 	}
-	d.mu.Lock()
-	if err := d.controller.Reload(r.Settings, k.directory.Clients()); err != nil {
-		d.mu.Unlock()
+	l.mu.Lock()
+	if err := l.controller.Reload(config.Settings, clients.directory.Clients()); err != nil {
+		l.mu.Unlock()
 		return fmt.Errorf("admission: %w", err)
 	}
-	d.clients = k
-	off := d.pendingCloses()
-	d.mu.Unlock()
-	d.closeConns(off)
+	l.clients = clients
+	closes := l.takePendingCloses()
+	l.mu.Unlock()
+	l.closeConns(closes)
 	return nil
 }
 
-// Drain refuses whoever comes, and has connections without a call go at once, others after their call. Without it
-// clients would find out that this router stops by a broken connection.
-func (d *Listener) Drain() {
-	d.mu.Lock()
-	d.controller.Drain()
-	d.controller.EvictExpired(d.now())
-	off := d.pendingCloses()
-	d.mu.Unlock()
-	d.closeConns(off)
+// Drain refuses new connections and closes connections without a request at once, the others after their request.
+// Without it clients would learn of the shutdown from a broken connection.
+func (l *Listener) Drain() {
+	l.mu.Lock()
+	l.controller.Drain()
+	l.controller.EvictExpired(l.now())
+	closes := l.takePendingCloses()
+	l.mu.Unlock()
+	l.closeConns(closes)
 }
 
-// Figures tells the totals, and who holds the most.
-func (d *Listener) Stats(top int) (admit.Stats, []admit.Holder) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f := d.controller.Stats()
-	f.Refused[admit.ReasonNoDescriptors] += d.noDescriptors.Load()
-	return f, d.controller.TopHolders(top)
+// Stats returns the totals and the given number of holders with the most connections.
+func (l *Listener) Stats(top int) (admit.Stats, []admit.Holder) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	stats := l.controller.Stats()
+	stats.Refused[admit.ReasonNoDescriptors] += l.noDescriptors.Load()
+	return stats, l.controller.TopHolders(top)
 }
 
-// Secure tells whether clients speak TLS.
-func (d *Listener) UsesTLS() bool { return d.options.TLS != nil }
+// UsesTLS reports whether clients connect with TLS.
+func (l *Listener) UsesTLS() bool { return l.options.TLS != nil }
 
-// Addr is of net.Listener.
-func (d *Listener) Addr() net.Addr { return d.options.Listener.Addr() }
+// Addr implements net.Listener.
+func (l *Listener) Addr() net.Addr { return l.options.Listener.Addr() }
 
-// Fd is of netpoll.Listener.
-func (d *Listener) Fd() int { return d.fd }
+// Fd implements netpoll.Listener.
+func (l *Listener) Fd() int { return l.fd }
 
-// Close stops accepting. Connections that were let in go on.
-func (d *Listener) Close() error {
-	if d.closed.Swap(true) {
+// Close stops accepting. Accepted connections stay open.
+func (l *Listener) Close() error {
+	if l.closed.Swap(true) {
 		return nil
 	}
-	return errors.Join(d.options.Listener.Close(), d.closeDuplicate())
+	return errors.Join(l.options.Listener.Close(), l.closeDuplicate())
 }
 
-func (d *Listener) closeDuplicate() error {
-	if d.tls != nil {
+func (l *Listener) closeDuplicate() error {
+	if l.tls != nil {
 		return nil
 	}
-	return d.closer.Close()
+	return l.closer.Close()
 }
 
-// End ends the door's own work, after Close and once what it let in is over.
-func (d *Listener) Shutdown() error {
-	err := d.Close()
-	d.cancel()
-	d.running.Wait()
-	d.lingering.closeAll()
-	return errors.Join(err, d.spare.close())
+// Shutdown closes the listener and stops its goroutines. It is called when the accepted connections have closed.
+func (l *Listener) Shutdown() error {
+	err := l.Close()
+	l.cancel()
+	l.running.Wait()
+	l.lingering.closeAll()
+	return errors.Join(err, l.spare.close())
 }
 
-// acceptMost bounds what one wake of the poller refuses, so that a flood doesn't hold up the connections that
-// share the poller. The listener stays readable, so the rest comes at its next wake.
+// maxAcceptsPerWake bounds the connections refused in one wake of the poller, so that a flood does not delay the
+// connections that share the poller. The listener stays readable, so the rest is accepted at the next wake.
 const maxAcceptsPerWake = 64
 
-// Accept is of netpoll.Listener: it returns nil and no error where nobody waits who may come in.
-func (d *Listener) Accept() (net.Conn, error) {
-	if d.tls != nil {
-		return d.tls.accept()
+// Accept implements netpoll.Listener: it returns nil and no error if no admitted connection is waiting.
+func (l *Listener) Accept() (net.Conn, error) {
+	if l.tls != nil {
+		return l.tls.accept()
 	}
 	for range maxAcceptsPerWake {
-		fd, sa, err := unix.Accept(d.fd)
+		fd, sockaddr, err := unix.Accept(l.fd)
 		switch {
 		case err == nil:
 		case errors.Is(err, unix.EAGAIN):
-			return nil, nil //nolint:nilnil // as netpoll wants it
+			return nil, nil //nolint:nilnil // netpoll's convention
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 			continue
 		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE):
-			// Out of descriptors, whoever took them. A spare one takes the connection, refuses and closes it, so
-			// that the client is told and the poller doesn't spin on a listener that stays readable. Netpoll's own
-			// way, to try again after up to a second, would leave clients hanging.
-			if !d.spare.refuse(d.fd) {
-				return nil, nil //nolint:nilnil // it asks again
+			// Out of descriptors. A spare one accepts the connection, refuses and closes it, so that the client gets a
+			// response and the poller does not spin on a listener that stays readable. Netpoll's own handling, to
+			// retry after up to a second, would leave clients waiting.
+			if !l.spare.refuse(l.fd) {
+				return nil, nil //nolint:nilnil // netpoll calls again
 			}
-			d.noDescriptors.Add(1)
+			l.noDescriptors.Add(1)
 			continue
 		default:
-			if d.closed.Load() {
+			if l.closed.Load() {
 				return nil, net.ErrClosed
 			}
 			return nil, fmt.Errorf("accept: %w", err)
 		}
 		unix.CloseOnExec(fd)
 		if err := unix.SetNonblock(fd, true); err != nil {
-			unix.Close(fd) //nolint:errcheck // of no use
+			unix.Close(fd) //nolint:errcheck // unused
 			continue
 		}
-		from := addrPortOf(sa)
-		c, v := d.admitConn(from)
+		remote := addrPortOf(sockaddr)
+		c, decision := l.admitConn(remote)
 		if c == nil {
-			d.refuse(fd, v)
+			l.refuse(fd, decision)
 			continue
 		}
-		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) //nolint:errcheck // slower without
+		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) //nolint:errcheck // only slower without
 		c.fd = fd
 		return &netpollConn{conn: c}, nil
 	}
-	return nil, nil //nolint:nilnil // as netpoll wants it: it asks again at once
+	return nil, nil //nolint:nilnil // netpoll's convention: it calls again at once
 }
 
-// enter asks the gate for a connection that came, and has those go for whose place it is.
-func (d *Listener) admitConn(from netip.AddrPort) (*Conn, admit.Decision) {
-	d.mu.Lock()
-	client := d.clients.directory.ByAddress(from.Addr())
-	id, v := d.controller.Accept(d.now(), from.Addr(), client)
+// admitConn has the controller decide on a new connection, and closes the connections evicted for it.
+func (l *Listener) admitConn(remote netip.AddrPort) (*Conn, admit.Decision) {
+	l.mu.Lock()
+	client := l.clients.directory.ByAddress(remote.Addr())
+	id, decision := l.controller.Accept(l.now(), remote.Addr(), client)
 	var c *Conn
-	if v.Admitted() {
-		c = &Conn{listener: d, id: id, remote: from, fd: -1}
-		d.conns[id] = c
+	if decision.Admitted() {
+		c = &Conn{listener: l, id: id, remote: remote, fd: -1}
+		l.conns[id] = c
 	}
-	off := d.pendingCloses()
-	d.mu.Unlock()
-	d.closeConns(off)
-	return c, v
+	closes := l.takePendingCloses()
+	l.mu.Unlock()
+	l.closeConns(closes)
+	return c, decision
 }
 
-// refuse answers a connection that is not let in and leaves it to linger. Nothing is parsed, no goroutine made.
-func (d *Listener) refuse(fd int, v admit.Decision) {
-	answer := refusalResponse(v)
-	if d.tls != nil {
-		answer = accessDeniedAlert
+// refuse writes the refusal to a connection and lets it linger. It parses nothing and starts no goroutine.
+func (l *Listener) refuse(fd int, decision admit.Decision) {
+	response := refusalResponse(decision)
+	if l.tls != nil {
+		response = accessDeniedAlert
 	}
-	unix.Write(fd, answer)          //nolint:errcheck // a fresh socket's buffer takes it, or the client is gone
+	unix.Write(fd, response)        //nolint:errcheck // a new socket's buffer holds it, or the client has closed
 	unix.Shutdown(fd, unix.SHUT_WR) //nolint:errcheck // as above
-	d.lingering.add(fd)
+	l.lingering.add(fd)
 }
 
-// Prepared takes a connection that netpoll made of one that was accepted.
-func (d *Listener) AttachConn(conn net.Conn) {
-	c, mine := conn.RemoteAddr().(*Conn)
-	if !mine {
+// AttachConn attaches netpoll's connection to the Conn that it was accepted as.
+func (l *Listener) AttachConn(conn net.Conn) {
+	c, ok := conn.RemoteAddr().(*Conn)
+	if !ok {
 		return
 	}
-	if h, is := conn.(*hertz.Conn); is {
+	if hertzConn, ok := conn.(*hertz.Conn); ok {
 		c.mu.Lock()
-		c.conn = h
+		c.conn = hertzConn
 		c.mu.Unlock()
-		if n, is := h.Conn.(netpoll.Connection); is {
-			n.AddCloseCallback(func(netpoll.Connection) error { //nolint:errcheck // never fails
+		if pollConn, ok := hertzConn.Conn.(netpoll.Connection); ok {
+			pollConn.AddCloseCallback(func(netpoll.Connection) error { //nolint:errcheck // never fails
 				c.forget()
 				return nil
 			})
@@ -362,158 +362,158 @@
 	}
 }
 
-// Call begins a call of a connection whose header was read; key is its API key, empty for none.
-// CallOver must follow. A call that is refused must be answered and its connection closed. tenant is the caller's
-// for the edge, -1 where it is not known.
-func (d *Listener) BeginRequest(from net.Addr, key string) (tenant int, v admit.Decision) {
-	c, mine := from.(*Conn)
-	if !mine {
+// BeginRequest decides on a request whose header was read. apiKey is its API key, empty for none. EndRequest must follow.
+// After a refusal the caller must respond and close the connection. tenant is the client's tenant, -1 if unknown.
+func (l *Listener) BeginRequest(remote net.Addr, apiKey string) (tenant int, decision admit.Decision) {
+	c, ok := remote.(*Conn)
+	if !ok {
 		return -1, admit.Decision{}
 	}
-	d.mu.Lock()
-	book := d.clients.directory
-	d.mu.Unlock()
-	client := book.ByKey(key) // hashes; outside the lock
-	d.mu.Lock()
-	if d.clients.directory != book { // reloaded meanwhile
-		book = d.clients.directory
-		client = book.ByKey(key)
+	l.mu.Lock()
+	directory := l.clients.directory
+	l.mu.Unlock()
+	client := directory.ByKey(apiKey) // outside the lock, as it hashes
+	l.mu.Lock()
+	if l.clients.directory != directory { // reloaded in between
+		directory = l.clients.directory
+		client = directory.ByKey(apiKey)
 	}
 	if client == admit.UnknownClient && len(c.certificateNames) > 0 {
-		client = book.ByCertificateNames(c.certificateNames)
+		client = directory.ByCertificateNames(c.certificateNames)
 	}
 	if client == admit.UnknownClient {
-		client = book.ByAddress(c.remote.Addr())
+		client = directory.ByAddress(c.remote.Addr())
 	}
-	v = d.controller.BeginRequest(d.now(), c.id, client)
+	decision = l.controller.BeginRequest(l.now(), c.id, client)
 	c.hadRequest = true
 	tenant = -1
-	if client != admit.UnknownClient && client < len(d.clients.clientTenants) {
-		tenant = d.clients.clientTenants[client]
+	if client != admit.UnknownClient && client < len(l.clients.clientTenants) {
+		tenant = l.clients.clientTenants[client]
 	}
-	off := d.pendingCloses()
-	d.mu.Unlock()
+	closes := l.takePendingCloses()
+	l.mu.Unlock()
 	c.inRequest.Store(true)
-	d.closeConns(off)
-	return tenant, v
+	l.closeConns(closes)
+	return tenant, decision
 }
 
-// Last tells whether a connection is to be closed after its call, which a reload may have changed during it.
-func (d *Listener) ShouldClose(from net.Addr) bool {
-	c, mine := from.(*Conn)
-	if !mine {
+// ShouldClose reports whether a connection is to be closed after its current request. A reload during the request may
+// change that.
+func (l *Listener) ShouldClose(remote net.Addr) bool {
+	c, ok := remote.(*Conn)
+	if !ok {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.controller.ShouldClose(c.id)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.controller.ShouldClose(c.id)
 }
 
-// CallOver ends a call.
-func (d *Listener) EndRequest(from net.Addr) {
-	c, mine := from.(*Conn)
-	if !mine {
+// EndRequest records the end of a request.
+func (l *Listener) EndRequest(remote net.Addr) {
+	c, ok := remote.(*Conn)
+	if !ok {
 		return
 	}
 	c.inRequest.Store(false)
 	c.onDisconnect.Store(nil)
-	d.mu.Lock()
-	d.controller.EndRequest(d.now(), c.id)
-	d.mu.Unlock()
+	l.mu.Lock()
+	l.controller.EndRequest(l.now(), c.id)
+	l.mu.Unlock()
 }
 
-// WhenLeft has a function called when the client is seen to have left during its call. Where netpoll sees that
-// by itself it is not called.
-func (d *Listener) OnDisconnect(from net.Addr, f func()) {
-	if c, mine := from.(*Conn); mine && d.tls != nil {
-		c.onDisconnect.Store(&f)
+// OnDisconnect sets a function to call when the client disconnects during its request. It has no effect without TLS,
+// where netpoll detects that itself.
+func (l *Listener) OnDisconnect(remote net.Addr, callback func()) {
+	if c, ok := remote.(*Conn); ok && l.tls != nil {
+		c.onDisconnect.Store(&callback)
 	}
 }
 
-// Take lets a completion in, and gives what ends it.
-func (d *Listener) AdmitCompletion(from net.Addr) (over func(), v admit.Decision) { // over may be called again
-	c, mine := from.(*Conn)
-	if !mine {
+// AdmitCompletion decides on a completion. done ends an admitted one and may be called more than once.
+func (l *Listener) AdmitCompletion(remote net.Addr) (done func(), decision admit.Decision) {
+	c, ok := remote.(*Conn)
+	if !ok {
 		return func() {}, admit.Decision{}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	ticket, v := d.controller.AdmitCompletion(c.id)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	permit, decision := l.controller.AdmitCompletion(c.id)
 	return sync.OnceFunc(func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.controller.EndCompletion(ticket)
-	}), v
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.controller.EndCompletion(permit)
+	}), decision
 }
 
-// Early refuses a completion that comes back before it was told to.
-func (d *Listener) CheckRetry(key uint64) admit.Decision {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.controller.CheckRetry(d.now(), key)
+// CheckRetry refuses a rate-limited completion that is retried before its retry-after has passed.
+func (l *Listener) CheckRetry(key uint64) admit.Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.controller.CheckRetry(l.now(), key)
 }
 
-// RateLimited hears what a completion was told.
-func (d *Listener) RecordRateLimit(key uint64, comeBack time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.controller.RecordRateLimit(d.now(), key, comeBack.Seconds())
+// RecordRateLimit records the retry-after of a rate-limited completion.
+func (l *Listener) RecordRateLimit(key uint64, retryAfter time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.controller.RecordRateLimit(l.now(), key, retryAfter.Seconds())
 }
 
-// Conn is a connection that was let in. It is the remote address of what is made of it, which is how its calls
-// are told apart.
+// Conn is an accepted connection. It is also the remote address of the connection that the server makes of it, by which
+// requests are matched to their Conn.
 type Conn struct {
 	listener         *Listener
 	id               admit.ConnID
 	remote           netip.AddrPort
-	certificateNames []string // of a verified certificate
-	hadRequest       bool     // guarded by the door's lock
+	certificateNames []string // of a verified client certificate
+	hadRequest       bool     // guarded by Listener.mu
 
 	inRequest    atomic.Bool
 	onDisconnect atomic.Pointer[func()]
 
-	mu        sync.Mutex
-	fd        int
-	conn      network.Conn // of netpoll
-	tlsConn   *tls.Conn
-	rawConn   net.Conn
-	closed    bool
-	closeSent bool
+	mu      sync.Mutex
+	fd      int
+	conn    network.Conn // attached by AttachConn, without TLS
+	tlsConn *tls.Conn
+	rawConn net.Conn
+	closed  bool
+	closing bool
 }
 
-// Network is of net.Addr.
+// Network implements net.Addr.
 func (c *Conn) Network() string { return "tcp" }
 
-// String is of net.Addr.
+// String implements net.Addr.
 func (c *Conn) String() string { return c.remote.String() }
 
-// accepted is a Conn as netpoll.Conn: netpoll takes the descriptor and the addresses from it and nothing else.
+// netpollConn passes a Conn to netpoll as netpoll.Conn. Netpoll takes only the descriptor and the addresses from it.
 type netpollConn struct {
-	net.Conn // none: netpoll calls nothing else
+	net.Conn // nil; its methods are not called
 	conn     *Conn
 }
 
-func (a *netpollConn) Fd() int              { return a.conn.fd }
-func (a *netpollConn) LocalAddr() net.Addr  { return a.conn.listener.Addr() }
-func (a *netpollConn) RemoteAddr() net.Addr { return a.conn }
+func (n *netpollConn) Fd() int              { return n.conn.fd }
+func (n *netpollConn) LocalAddr() net.Addr  { return n.conn.listener.Addr() }
+func (n *netpollConn) RemoteAddr() net.Addr { return n.conn }
 
-// over forgets a connection whose descriptor is about to be closed.
+// forget removes a connection whose descriptor is about to be closed.
 func (c *Conn) forget() {
 	c.mu.Lock()
-	was := c.closed
+	alreadyClosed := c.closed
 	c.closed = true
 	c.mu.Unlock()
-	if was {
+	if alreadyClosed {
 		return
 	}
-	d := c.listener
-	d.mu.Lock()
-	delete(d.conns, c.id)
-	d.controller.ConnClosed(c.id)
-	d.mu.Unlock()
+	l := c.listener
+	l.mu.Lock()
+	delete(l.conns, c.id)
+	l.controller.ConnClosed(c.id)
+	l.mu.Unlock()
 }
 
-// unread is how much the client sent that nobody has read.
+// unreadBytes returns the number of bytes received and not read yet.
 func (c *Conn) unreadBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -523,70 +523,70 @@
 	return c.conn.Len()
 }
 
-// cut closes the connection outright.
+// closeNow closes the connection without a response.
 func (c *Conn) closeNow() {
 	c.mu.Lock()
-	conn, raw, closed := c.conn, c.rawConn, c.closed
+	conn, rawConn, closed := c.conn, c.rawConn, c.closed
 	c.mu.Unlock()
 	switch {
 	case closed:
 	case conn != nil:
-		conn.Close() //nolint:errcheck // done with it
-	case raw != nil:
-		raw.Close() //nolint:errcheck // done with it
+		conn.Close() //nolint:errcheck // not used again
+	case rawConn != nil:
+		rawConn.Close() //nolint:errcheck // not used again
 	}
 }
 
-// sendOff tells a connection that has no call to go. One that never had one gets an answer; one between two
-// calls is closed as HTTP allows at any time. What it sends now is read on for a moment, so that the answer
-// isn't lost to a reset. The lock keeps the descriptor from being closed, and so from being another's.
-func (c *Conn) closeGracefully(reason admit.Reason, fresh bool) {
+// closeGracefully closes a connection that has no request. A connection that never had a request gets a response; one
+// between two requests is closed without, as HTTP allows at any time. It is still read for LingerTimeout, so that a
+// reset does not discard the response. The lock keeps the descriptor from being closed and reused meanwhile.
+func (c *Conn) closeGracefully(reason admit.Reason, noRequestYet bool) {
 	c.mu.Lock()
-	if c.closed || c.closeSent {
+	if c.closed || c.closing {
 		c.mu.Unlock()
 		return
 	}
-	c.closeSent = true
+	c.closing = true
 	if c.rawConn != nil {
-		secure := c.tlsConn
+		tlsConn := c.tlsConn
 		c.mu.Unlock()
-		closeTLSGracefully(secure, c.rawConn, reason, fresh)
+		closeTLSGracefully(tlsConn, c.rawConn, reason, noRequestYet)
 		time.AfterFunc(c.listener.options.LingerTimeout, c.closeNow)
 		return
 	}
-	if fresh {
-		unix.Write(c.fd, refusalResponse(admit.Decision{Reason: reason, RetryAfter: 1})) //nolint:errcheck // nothing else was written, or it is gone
+	if noRequestYet {
+		unix.Write(c.fd, refusalResponse(admit.Decision{Reason: reason, RetryAfter: 1})) //nolint:errcheck // nothing else was written, or the client has closed
 	}
 	unix.Shutdown(c.fd, unix.SHUT_WR) //nolint:errcheck // as above
 	c.mu.Unlock()
 	time.AfterFunc(c.listener.options.LingerTimeout, c.closeNow)
 }
 
-func addrPortOf(sa unix.Sockaddr) netip.AddrPort {
-	switch a := sa.(type) {
+func addrPortOf(sockaddr unix.Sockaddr) netip.AddrPort {
+	switch addr := sockaddr.(type) {
 	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
+		return netip.AddrPortFrom(netip.AddrFrom4(addr.Addr), uint16(addr.Port))
 	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port))
+		return netip.AddrPortFrom(netip.AddrFrom16(addr.Addr).Unmap(), uint16(addr.Port))
 	}
 	return netip.AddrPort{}
 }
 
-// refusal is a whole HTTP answer.
-func refusalResponse(v admit.Decision) []byte {
-	a := v.Reason.Response()
-	body := fmt.Sprintf(`{"error":{"message":%q,"type":%q,"param":null,"code":%q}}`, a.Message, a.Type, a.Code)
+// refusalResponse returns the complete HTTP response to a refusal.
+func refusalResponse(decision admit.Decision) []byte {
+	response := decision.Reason.Response()
+	body := fmt.Sprintf(`{"error":{"message":%q,"type":%q,"param":null,"code":%q}}`, response.Message, response.Type, response.Code)
 	var b strings.Builder
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n", a.Status, http.StatusText(a.Status), len(body))
-	if v.RetryAfter > 0 && a.Status != 408 {
-		fmt.Fprintf(&b, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", int(math.Ceil(v.RetryAfter)), int(math.Ceil(v.RetryAfter*1000)))
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n", response.Status, http.StatusText(response.Status), len(body))
+	if decision.RetryAfter > 0 && response.Status != 408 {
+		fmt.Fprintf(&b, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", int(math.Ceil(decision.RetryAfter)), int(math.Ceil(decision.RetryAfter*1000)))
 	}
 	b.WriteString("\r\n")
 	b.WriteString(body)
 	return []byte(b.String())
 }
 
-// watch logs refusals: a line a second and reason at most, however many there are.
+// refusalLogger logs refusals and evictions, at most one line per second and reason.
 type refusalLogger struct {
 	log  *slog.Logger
 	last admit.Stats
@@ -594,18 +594,18 @@
 
 func newRefusalLogger(log *slog.Logger) *refusalLogger { return &refusalLogger{log: log} }
 
-func (w *refusalLogger) logChanges(f admit.Stats, top []admit.Holder) {
+func (logger *refusalLogger) logChanges(stats admit.Stats, top []admit.Holder) {
 	var holder string
 	if len(top) > 0 {
 		holder = fmt.Sprintf("%s (%d)", top[0].Name, top[0].Connections+top[0].Provisional)
 	}
-	for r := range admit.Reason(admit.NumReasons) {
-		if n := f.Refused[r] - w.last.Refused[r]; n > 0 {
-			w.log.Info("refused in the last second", "reason", r.String(), "count", n, "holds the most", holder)
+	for reason := range admit.Reason(admit.NumReasons) {
+		if count := stats.Refused[reason] - logger.last.Refused[reason]; count > 0 {
+			logger.log.Info("refused in the last second", "reason", reason.String(), "count", count, "holds the most", holder)
 		}
-		if n := f.Evicted[r] - w.last.Evicted[r]; n > 0 && !slices.Contains([]admit.Reason{admit.ReasonIdleTimeout}, r) {
-			w.log.Info("connections ended in the last second", "reason", r.String(), "count", n, "holds the most", holder)
+		if count := stats.Evicted[reason] - logger.last.Evicted[reason]; count > 0 && !slices.Contains([]admit.Reason{admit.ReasonIdleTimeout}, reason) {
+			logger.log.Info("connections ended in the last second", "reason", reason.String(), "count", count, "holds the most", holder)
 		}
 	}
-	w.last = f
+	logger.last = stats
 }
--- a/internal/door/door_test.go
+++ b/internal/door/listener_test.go
@@ -18,18 +18,18 @@
 	"cherryhub/internal/crowd"
 )
 
-func TestEveryRefusalIsWhole(t *testing.T) {
-	for r := admit.Reason(1); int(r) < admit.NumReasons; r++ {
-		a := r.Response()
-		require.NotZero(t, a.Status, r.String())
-		status, wrong := crowd.Judge(refusalResponse(admit.Decision{Reason: r, RetryAfter: 0.2}))
-		assert.Equal(t, a.Status, status)
-		assert.Empty(t, wrong, r.String())
+func TestRefusalResponsesAreComplete(t *testing.T) {
+	for reason := admit.Reason(1); int(reason) < admit.NumReasons; reason++ {
+		response := reason.Response()
+		require.NotZero(t, response.Status, reason.String())
+		status, problem := crowd.Judge(refusalResponse(admit.Decision{Reason: reason, RetryAfter: 0.2}))
+		assert.Equal(t, response.Status, status)
+		assert.Empty(t, problem, reason.String())
 	}
 }
 
-// pair is a client's connection and the descriptor of its other end.
-func pair(t *testing.T) (client net.Conn, fd int) {
+// tcpPair returns a client's connection and the descriptor of its other end.
+func tcpPair(t *testing.T) (client net.Conn, fd int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -48,76 +48,76 @@
 	return client, fd
 }
 
-// A refused client that is still sending gets its answer: without lingering the close would be a reset.
-func TestLingeringKeepsTheAnswer(t *testing.T) {
-	l := newLingerQueue(4, 500*time.Millisecond)
+// Guards against a refused client that is still sending losing the response: without lingering, the close causes a reset.
+func TestLingeringDeliversResponse(t *testing.T) {
+	queue := newLingerQueue(4, 500*time.Millisecond)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go l.run(ctx)
-	client, fd := pair(t)
-	text := refusalResponse(admit.Decision{Reason: admit.ReasonPoolFull, RetryAfter: 1})
-	unix.Write(fd, text)
+	go queue.run(ctx)
+	client, fd := tcpPair(t)
+	response := refusalResponse(admit.Decision{Reason: admit.ReasonPoolFull, RetryAfter: 1})
+	unix.Write(fd, response)
 	unix.Shutdown(fd, unix.SHUT_WR)
-	l.add(fd)
+	queue.add(fd)
 	for range 20 {
 		_, err := client.Write(make([]byte, 10000))
 		require.NoError(t, err)
 		time.Sleep(time.Millisecond)
 	}
-	all, err := io.ReadAll(client)
+	received, err := io.ReadAll(client)
 	require.NoError(t, err)
-	assert.Equal(t, string(text), string(all))
+	assert.Equal(t, string(response), string(received))
 	client.Close()
-	require.Eventually(t, func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.count == 0 }, 400*time.Millisecond, time.Millisecond, "its client closed")
+	require.Eventually(t, func() bool { queue.mu.Lock(); defer queue.mu.Unlock(); return queue.count == 0 }, 400*time.Millisecond, time.Millisecond, "removed when its client closes")
 }
 
 func TestLingeringIsBounded(t *testing.T) {
-	l := newLingerQueue(3, time.Hour)
+	queue := newLingerQueue(3, time.Hour)
 	var clients []net.Conn
 	for range 5 {
-		client, fd := pair(t)
+		client, fd := tcpPair(t)
 		clients = append(clients, client)
-		l.add(fd)
+		queue.add(fd)
 	}
-	assert.Equal(t, 3, l.count)
+	assert.Equal(t, 3, queue.count)
 	for i, c := range clients {
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := c.Read(make([]byte, 1))
 		if i < 2 {
-			assert.ErrorIs(t, err, io.EOF, "the oldest went")
+			assert.ErrorIs(t, err, io.EOF, "the oldest are closed")
 		} else {
 			assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		}
 	}
-	l.poll(time.Now().Add(2 * time.Hour))
-	assert.Zero(t, l.count)
-	l.closeAll()
+	queue.poll(time.Now().Add(2 * time.Hour))
+	assert.Zero(t, queue.count)
+	queue.closeAll()
 }
 
-func TestFollow(t *testing.T) {
+func TestWatchFiles(t *testing.T) {
 	dir := t.TempDir()
 	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
-	put := func(file, text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
-	put(one, "1")
-	put(two, "1")
+	write := func(file, text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
+	write(one, "1")
+	write(two, "1")
 	var changed atomic.Int32
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go WatchFiles(ctx, []string{one, two}, 20*time.Millisecond, func() { changed.Add(1) })
 	time.Sleep(100 * time.Millisecond)
 	assert.Zero(t, changed.Load())
-	put(one, "22")
+	write(one, "22")
 	time.Sleep(5 * time.Millisecond)
-	put(two, "22")
+	write(two, "22")
 	require.Eventually(t, func() bool { return changed.Load() > 0 }, time.Second, time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
-	assert.LessOrEqual(t, changed.Load(), int32(2), "seldom more than once for both")
+	assert.LessOrEqual(t, changed.Load(), int32(2), "at most two calls for both changes")
 	require.NoError(t, os.Remove(one))
-	require.Eventually(t, func() bool { return changed.Load() > 1 }, time.Second, time.Millisecond, "one that is gone is a change too")
+	require.Eventually(t, func() bool { return changed.Load() > 1 }, time.Second, time.Millisecond, "a removed file is a change too")
 }
 
-func TestSpareOnesComeBack(t *testing.T) {
-	s, err := newSpareDescriptors()
+func TestSpareDescriptorsAreReopened(t *testing.T) {
+	spares, err := newSpareDescriptors()
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -129,12 +129,12 @@
 	client, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer client.Close()
-	require.Eventually(t, func() bool { return s.refuse(int(f.Fd())) }, time.Second, time.Millisecond)
-	all, err := io.ReadAll(client)
+	require.Eventually(t, func() bool { return spares.refuse(int(f.Fd())) }, time.Second, time.Millisecond)
+	received, err := io.ReadAll(client)
 	require.NoError(t, err)
-	status, wrong := crowd.Judge(all)
+	status, problem := crowd.Judge(received)
 	assert.Equal(t, 503, status)
-	assert.Empty(t, wrong)
-	assert.Len(t, s.files, spareDescriptorCount)
-	assert.NoError(t, s.close())
+	assert.Empty(t, problem)
+	assert.Len(t, spares.files, spareDescriptorCount)
+	assert.NoError(t, spares.close())
 }
--- a/internal/door/tls.go
+++ b/internal/door/tls.go
@@ -16,14 +16,14 @@
 	"cherryhub/internal/admit"
 )
 
-// TLS is where a door's certificate is. Netpoll has no TLS, so a door with it is served by Hertz's standard
-// transport, with a goroutine a connection.
+// TLSOptions configure TLS for clients. Netpoll has no TLS, so Hertz's standard transport serves a listener with TLS, with
+// a goroutine per connection.
 type TLSOptions struct {
-	CertificateFile, KeyFile string        // PEM files, read again when they change
-	ClientCAFile             string        // PEM file of who signs clients' certificates, empty: none is asked for
+	CertificateFile, KeyFile string        // PEM files, reloaded when they change
+	ClientCAFile             string        // PEM file of the CA of client certificates; empty: none are requested
 	MinVersion               uint16        // such as tls.VersionTLS12
-	PollInterval             time.Duration // how often the files are looked at
-	HandshakeTimeout         time.Duration // it must be over within
+	PollInterval             time.Duration // for changes of the files
+	HandshakeTimeout         time.Duration
 }
 
 type tlsListener struct {
@@ -35,137 +35,137 @@
 	files    []string
 }
 
-// alert is a TLS record that refuses before any handshake: fatal, access_denied (RFC 8446, 6.2). It costs no
-// cryptography, and a client reports it as the server's word.
+// accessDeniedAlert is a TLS record that refuses a connection before the handshake: fatal, access_denied (RFC 8446, 6.2).
+// It needs no cryptography, and clients report it as the server's error.
 var accessDeniedAlert = []byte{21, 3, 3, 0, 2, 2, 49}
 
-func newTLSListener(d *Listener, o *TLSOptions) (*tlsListener, error) {
-	t := &tlsListener{listener: d, options: o, ready: make(chan net.Conn), done: make(chan struct{}), files: []string{o.CertificateFile, o.KeyFile}}
-	if o.ClientCAFile != "" {
-		t.files = append(t.files, o.ClientCAFile)
+func newTLSListener(listener *Listener, options *TLSOptions) (*tlsListener, error) {
+	l := &tlsListener{listener: listener, options: options, ready: make(chan net.Conn), done: make(chan struct{}), files: []string{options.CertificateFile, options.KeyFile}}
+	if options.ClientCAFile != "" {
+		l.files = append(l.files, options.ClientCAFile)
 	}
-	if err := t.loadConfig(); err != nil {
+	if err := l.loadConfig(); err != nil {
 		return nil, err
 	}
-	return t, nil
+	return l, nil
 }
 
-// load reads the files, whole or not at all.
-func (t *tlsListener) loadConfig() error {
-	cert, err := tls.LoadX509KeyPair(t.options.CertificateFile, t.options.KeyFile)
+// loadConfig loads the files. On an error the previous configuration remains.
+func (l *tlsListener) loadConfig() error {
+	cert, err := tls.LoadX509KeyPair(l.options.CertificateFile, l.options.KeyFile)
 	if err != nil {
 		return fmt.Errorf("tls: %w", err)
 	}
-	c := &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: t.options.MinVersion, NextProtos: []string{"http/1.1"}}
-	if t.options.ClientCAFile != "" {
-		text, err := os.ReadFile(t.options.ClientCAFile)
+	config := &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: l.options.MinVersion, NextProtos: []string{"http/1.1"}}
+	if l.options.ClientCAFile != "" {
+		pem, err := os.ReadFile(l.options.ClientCAFile)
 		if err != nil {
 			return fmt.Errorf("tls: %w", err)
 		}
-		c.ClientCAs = x509.NewCertPool()
-		if !c.ClientCAs.AppendCertsFromPEM(text) {
-			return fmt.Errorf("tls: %s holds no certificate", t.options.ClientCAFile)
+		config.ClientCAs = x509.NewCertPool()
+		if !config.ClientCAs.AppendCertsFromPEM(pem) {
+			return fmt.Errorf("tls: %s contains no certificate", l.options.ClientCAFile)
 		}
-		c.ClientAuth = tls.VerifyClientCertIfGiven
+		config.ClientAuth = tls.VerifyClientCertIfGiven
 	}
-	t.config.Store(c)
+	l.config.Store(config)
 	return nil
 }
 
-// run accepts until the door is closed, and looks at the files.
-func (t *tlsListener) acceptLoop(ctx context.Context) {
-	defer close(t.done)
-	go t.watchFiles(ctx)
+// acceptLoop accepts connections until the listener is closed, and watches the files.
+func (l *tlsListener) acceptLoop(ctx context.Context) {
+	defer close(l.done)
+	go l.watchFiles(ctx)
 	for {
-		conn, err := t.listener.options.Listener.Accept()
+		conn, err := l.listener.options.Listener.Accept()
 		switch {
 		case err == nil:
-			t.handleAccepted(ctx, conn.(*net.TCPConn)) //nolint:forcetypeassert // of a TCPListener
-		case t.listener.closed.Load() || ctx.Err() != nil:
+			l.handleAccepted(ctx, conn.(*net.TCPConn)) //nolint:forcetypeassert // from a TCPListener
+		case l.listener.closed.Load() || ctx.Err() != nil:
 			return
 		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE):
-			t.refuseWithSpare()
+			l.refuseWithSpare()
 		default:
-			t.listener.options.Log.Warn("accept failed", "err", err)
+			l.listener.options.Log.Warn("accept failed", "err", err)
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// spare refuses one in a spare descriptor's place, or waits a moment for one.
-func (t *tlsListener) refuseWithSpare() {
-	raw, err := t.listener.options.Listener.SyscallConn()
-	done := false
+// refuseWithSpare refuses a connection with a spare descriptor, or waits briefly if there is none.
+func (l *tlsListener) refuseWithSpare() {
+	rawConn, err := l.listener.options.Listener.SyscallConn()
+	refused := false
 	if err == nil {
-		raw.Control(func(fd uintptr) { done = t.listener.spare.refuse(int(fd)) }) //nolint:errcheck // done says it
+		rawConn.Control(func(fd uintptr) { refused = l.listener.spare.refuse(int(fd)) }) //nolint:errcheck // then refused is false
 	}
-	if done {
-		t.listener.noDescriptors.Add(1)
+	if refused {
+		l.listener.noDescriptors.Add(1)
 	}
 }
 
-func (t *tlsListener) handleAccepted(ctx context.Context, conn *net.TCPConn) {
-	from := conn.RemoteAddr().(*net.TCPAddr).AddrPort() //nolint:forcetypeassert // of a TCPConn
-	c, v := t.listener.admitConn(from)
+func (l *tlsListener) handleAccepted(ctx context.Context, conn *net.TCPConn) {
+	remote := conn.RemoteAddr().(*net.TCPAddr).AddrPort() //nolint:forcetypeassert // from a TCPConn
+	c, decision := l.listener.admitConn(remote)
 	if c == nil {
-		f, err := conn.File() // a copy, which may linger
-		conn.Close()          //nolint:errcheck // the copy goes on
+		file, err := conn.File() // a duplicate, which may linger
+		conn.Close()             //nolint:errcheck // the duplicate stays open
 		if err == nil {
-			if fd, err := unix.Dup(int(f.Fd())); err == nil {
-				unix.SetNonblock(fd, true) //nolint:errcheck // a socket can
-				t.listener.refuse(fd, v)
+			if fd, err := unix.Dup(int(file.Fd())); err == nil {
+				unix.SetNonblock(fd, true) //nolint:errcheck // does not fail for a socket
+				l.listener.refuse(fd, decision)
 			}
-			f.Close() //nolint:errcheck // as above
+			file.Close() //nolint:errcheck // as above
 		}
 		return
 	}
-	raw := &tlsSocket{TCPConn: conn, conn: c}
+	sock := &tlsSocket{TCPConn: conn, conn: c}
 	c.mu.Lock()
-	c.rawConn = raw
+	c.rawConn = sock
 	c.mu.Unlock()
-	go t.handshake(ctx, c, raw)
+	go l.handshake(ctx, c, sock)
 }
 
-// shake has a connection shake hands and gives it to be served.
-func (t *tlsListener) handshake(ctx context.Context, c *Conn, raw *tlsSocket) {
-	limit, cancel := context.WithTimeout(ctx, t.options.HandshakeTimeout)
+// handshake performs the TLS handshake and passes the connection to accept.
+func (l *tlsListener) handshake(ctx context.Context, c *Conn, sock *tlsSocket) {
+	handshakeCtx, cancel := context.WithTimeout(ctx, l.options.HandshakeTimeout)
 	defer cancel()
-	secure := tls.Server(raw, t.config.Load())
-	if err := secure.HandshakeContext(limit); err != nil {
-		t.listener.options.Log.Debug("no handshake", "from", c.String(), "err", err)
-		raw.Close() //nolint:errcheck // done with it
+	tlsConn := tls.Server(sock, l.config.Load())
+	if err := tlsConn.HandshakeContext(handshakeCtx); err != nil {
+		l.listener.options.Log.Debug("TLS handshake failed", "from", c.String(), "err", err)
+		sock.Close() //nolint:errcheck // not used again
 		return
 	}
-	if certs := secure.ConnectionState().PeerCertificates; len(certs) > 0 {
+	if certs := tlsConn.ConnectionState().PeerCertificates; len(certs) > 0 {
 		names := append([]string(nil), certs[0].DNSNames...)
 		for _, u := range certs[0].URIs {
 			names = append(names, u.String())
 		}
-		t.listener.mu.Lock()
+		l.listener.mu.Lock()
 		c.certificateNames = append(names, certs[0].Subject.CommonName)
-		t.listener.mu.Unlock()
+		l.listener.mu.Unlock()
 	}
 	c.mu.Lock()
-	c.tlsConn = secure
+	c.tlsConn = tlsConn
 	c.mu.Unlock()
 	select {
-	case t.ready <- secure:
-	case <-t.done:
-		raw.Close() //nolint:errcheck // nobody serves it
+	case l.ready <- tlsConn:
+	case <-l.done:
+		sock.Close() //nolint:errcheck // no longer accepting
 	}
 }
 
-// accept gives the next connection that has shaken hands.
-func (t *tlsListener) accept() (net.Conn, error) {
+// accept returns the next connection that has completed its handshake.
+func (l *tlsListener) accept() (net.Conn, error) {
 	select {
-	case conn := <-t.ready:
+	case conn := <-l.ready:
 		return conn, nil
-	case <-t.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// secured is the socket under TLS.
+// tlsSocket is the TCP connection below TLS.
 type tlsSocket struct {
 	*net.TCPConn
 	conn *Conn
@@ -173,109 +173,110 @@
 
 func (s *tlsSocket) RemoteAddr() net.Addr { return s.conn }
 
-// Close forgets the connection first: its descriptor may be another's afterwards.
+// Close removes the connection from its listener first, as its descriptor may be reused after the close.
 func (s *tlsSocket) Close() error {
 	s.conn.forget()
 	return s.TCPConn.Close()
 }
 
-// sendOffTLS tells a connection under TLS to go: before the handshake by an alert, after it by an answer.
-func closeTLSGracefully(secure *tls.Conn, raw net.Conn, reason admit.Reason, fresh bool) {
-	raw.SetWriteDeadline(time.Now().Add(tlsCloseWriteTimeout)) //nolint:errcheck // a closed one
+// closeTLSGracefully tells the client that the connection closes: before the end of the handshake by an alert, after it by
+// a response if there was no request yet, and by close_notify.
+func closeTLSGracefully(tlsConn *tls.Conn, rawConn net.Conn, reason admit.Reason, noRequestYet bool) {
+	rawConn.SetWriteDeadline(time.Now().Add(tlsCloseWriteTimeout)) //nolint:errcheck // fails only if it is closed
 	switch {
-	case secure == nil:
-		raw.Write(accessDeniedAlert) //nolint:errcheck // it is gone, or shakes hands too slowly
-	case fresh:
-		secure.Write(refusalResponse(admit.Decision{Reason: reason, RetryAfter: 1})) //nolint:errcheck // as above
-		secure.CloseWrite()                                                          //nolint:errcheck // as above
+	case tlsConn == nil:
+		rawConn.Write(accessDeniedAlert) //nolint:errcheck // the client has closed, or the handshake is too slow
+	case noRequestYet:
+		tlsConn.Write(refusalResponse(admit.Decision{Reason: reason, RetryAfter: 1})) //nolint:errcheck // as above
+		tlsConn.CloseWrite()                                                          //nolint:errcheck // as above
 	default:
-		secure.CloseWrite() //nolint:errcheck // as above
+		tlsConn.CloseWrite() //nolint:errcheck // as above
 	}
 }
 
-// sendOffWait bounds the write of an answer to one that is sent off.
+// tlsCloseWriteTimeout bounds the write of the last response.
 const tlsCloseWriteTimeout = 50 * time.Millisecond
 
-// leftEvery is in which of the door's rounds it is looked who left: each quarter of a second.
+// disconnectCheckRounds is the number of maintenance rounds between checks for disconnected clients: 250 ms.
 const disconnectCheckRounds = 5
 
-// leftDuringCall finds clients that closed their connection while their call runs. The standard transport reads
-// nothing then and would see it only with the next write. It is a client's half-close too: no HTTP client of
-// note sends one and still reads.
-func notifyDisconnects(all []*Conn) {
-	for _, c := range all {
-		f := c.onDisconnect.Load()
-		if f == nil {
+// notifyDisconnects calls the OnDisconnect functions of clients that closed their connection during their request. The
+// standard transport does not read then and would notice only at the next write. A client's half-close counts as a
+// disconnect too: no common HTTP client half-closes and then still reads.
+func notifyDisconnects(conns []*Conn) {
+	for _, c := range conns {
+		callback := c.onDisconnect.Load()
+		if callback == nil {
 			continue
 		}
 		c.mu.Lock()
-		raw, closed := c.rawConn, c.closed
+		rawConn, closed := c.rawConn, c.closed
 		c.mu.Unlock()
-		s, is := raw.(*tlsSocket)
-		if !is || closed {
+		sock, ok := rawConn.(*tlsSocket)
+		if !ok || closed {
 			continue
 		}
-		sys, err := s.TCPConn.SyscallConn()
+		syscallConn, err := sock.TCPConn.SyscallConn()
 		if err != nil {
 			continue
 		}
-		gone := false
-		if err := sys.Control(func(fd uintptr) {
-			p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-			n, err := unix.Poll(p, 0)
-			gone = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-		}); err == nil && gone {
-			(*f)()
+		hungUp := false
+		if err := syscallConn.Control(func(fd uintptr) {
+			pollFds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+			n, err := unix.Poll(pollFds, 0)
+			hungUp = err == nil && n > 0 && pollFds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		}); err == nil && hungUp {
+			(*callback)()
 		}
 	}
 }
 
-// follow reads the files again when they change. Files that don't fit leave all as it was.
-func (t *tlsListener) watchFiles(ctx context.Context) {
-	WatchFiles(ctx, t.files, t.options.PollInterval, func() {
-		if err := t.loadConfig(); err != nil {
-			t.listener.options.Log.Error("certificate not reloaded", "err", err)
+// watchFiles reloads the files when they change. If they are invalid the previous configuration remains.
+func (l *tlsListener) watchFiles(ctx context.Context) {
+	WatchFiles(ctx, l.files, l.options.PollInterval, func() {
+		if err := l.loadConfig(); err != nil {
+			l.listener.options.Log.Error("certificate not reloaded", "err", err)
 			return
 		}
-		t.listener.options.Log.Info("certificate reloaded")
+		l.listener.options.Log.Info("certificate reloaded")
 	})
 }
 
-// stamp tells a file's state.
+// fileStamp is a file's modification time and size, zero if the file does not exist.
 type fileStamp struct {
 	modTime time.Time
 	size    int64
 }
 
 func fileStamps(files []string) []fileStamp {
-	all := make([]fileStamp, len(files))
+	stamps := make([]fileStamp, len(files))
 	for i, f := range files {
 		if info, err := os.Stat(f); err == nil {
-			all[i] = fileStamp{info.ModTime(), info.Size()}
+			stamps[i] = fileStamp{info.ModTime(), info.Size()}
 		}
 	}
-	return all
+	return stamps
 }
 
-// Follow calls changed once files differ from what they were at the call, and have then stayed the same for one
-// more look: they may be written one after the other.
-func WatchFiles(ctx context.Context, files []string, poll time.Duration, changed func()) {
-	before := fileStamps(files)
-	used := before
-	tick := time.NewTicker(poll)
-	defer tick.Stop()
+// WatchFiles calls onChange when files have changed since its start or the last call of onChange, and then have stayed the
+// same for one interval, as several files may be written one after the other.
+func WatchFiles(ctx context.Context, files []string, interval time.Duration, onChange func()) {
+	previous := fileStamps(files)
+	applied := previous
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		now := fileStamps(files)
-		if sameStamps(now, before) && !sameStamps(now, used) {
-			used = now
-			changed()
+		current := fileStamps(files)
+		if sameStamps(current, previous) && !sameStamps(current, applied) {
+			applied = current
+			onChange()
 		}
-		before = now
+		previous = current
 	}
 }
 
