--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -419,8 +419,8 @@
 	return c == nil || c.closeAfterRequest || c.state == stateClosing || ctl.draining || ctl.holders[c.holder].revoked
 }
 
-// reassign moves a connection to another holder. If that holder may not have it, the connection remains with the old one
-// until it has been refused.
+// reassign moves a connection to another holder. If that holder may not have it, the connection remains with the old
+// one until it has been refused.
 func (ctl *Controller) reassign(now float64, slot, toHolder int32) Decision {
 	c := &ctl.conns[slot]
 	fromHolder := c.holder
@@ -481,8 +481,8 @@
 	return evictions
 }
 
-// EvictExpired evicts connections whose timeout has passed, connections without a request while draining, and those above
-// a limit that a reload lowered. It returns when it has to be called again at the latest.
+// EvictExpired evicts connections whose timeout has passed, connections without a request while draining, and those
+// above a limit that a reload lowered. It returns when it has to be called again at the latest.
 func (ctl *Controller) EvictExpired(now float64) (next float64) {
 	next = math.Inf(1)
 	for i := range ctl.timeoutQueues {
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -14,8 +14,9 @@
 )
 
 func smallSettings() Settings {
-	return Settings{MaxConnections: 20, ReservedConnections: 6, MaxProvisional: 4, MaxClosing: 6, MaxPerAddress: 8, MaxPerClient: 10, IPv6PrefixBits: 64, AddressRate: 10, AddressBurst: 20,
-		ClientRate: 10, ClientBurst: 20, ProvisionalFloodRate: 20, MaxRetryAfter: 5, ProvisionalTimeout: 0.5, HeaderTimeout: 1, IdleTimeout: 4, MaxRequestsPerConnection: 50,
+	return Settings{MaxConnections: 20, ReservedConnections: 6, MaxProvisional: 4, MaxClosing: 6, MaxPerAddress: 8, MaxPerClient: 10,
+		IPv6PrefixBits: 64, AddressRate: 10, AddressBurst: 20, ClientRate: 10, ClientBurst: 20, ProvisionalFloodRate: 20, MaxRetryAfter: 5,
+		ProvisionalTimeout: 0.5, HeaderTimeout: 1, IdleTimeout: 4, MaxRequestsPerConnection: 50,
 		MaxCompletions: 12, ReservedCompletions: 4, MaxCompletionsPerClient: 8, MaxCompletionsPerAddress: 5, MaxRememberedRateLimits: 4, HashSeed: 1}
 }
 
@@ -382,8 +383,8 @@
 	})
 }
 
-// Guards against a flood from a few addresses locking out a known client that identifies itself by its request: the client
-// enters through the provisional pool.
+// Guards against a flood from a few addresses locking out a known client that identifies itself by its request. The
+// client enters through the provisional pool.
 func TestKnownClientConnectsDuringFlood(t *testing.T) {
 	s := smallSettings()
 	s.ClientBurst = 100
--- a/internal/admit/completions.go
+++ b/internal/admit/completions.go
@@ -58,8 +58,8 @@
 	return ctl.settings.MaxCompletions - ctl.settings.ReservedCompletions
 }
 
-// rateLimitRing remembers the retry times of the last rate-limited completions by their keys. A completion that has been
-// overwritten is decided on again by package decide when it is retried early, which does no harm.
+// rateLimitRing remembers the retry times of the last rate-limited completions by their keys. A completion that has
+// been overwritten is decided on again by package decide when it is retried early, which does no harm.
 type rateLimitRing struct {
 	entries   []rateLimitEntry
 	nextSlot  int
--- a/internal/admit/lists.go
+++ b/internal/admit/lists.go
@@ -43,8 +43,9 @@
 }
 
 // ranking finds the holder with the highest count. It keeps holders in one list per count, so that the cost of a change
-// by one does not depend on their number. A holder with count 0 is in no list. Among holders with the same count the one
-// that has had it longest comes first: where each address holds one connection, the oldest is evicted, not the newest.
+// by one does not depend on their number. A holder with count 0 is in no list. Among holders with the same count the
+// one that has had it longest comes first: where each address holds one connection, the oldest is evicted, not the
+// newest.
 type ranking struct {
 	buckets         [][2]int32 // by count: the first and the last holder, -1 for none
 	maxCount        int        // upper bound of the counts
--- a/internal/admit/responses.go
+++ b/internal/admit/responses.go
@@ -1,6 +1,6 @@
 package admit
 
-// ErrorResponse is the response to what was refused: HTTP status, and type, code and message of the OpenAI error object.
+// ErrorResponse is the response to a refusal: HTTP status, and type, code and message of the OpenAI error object.
 type ErrorResponse struct {
 	Status              int
 	Type, Code, Message string
--- a/internal/admit/sketch.go
+++ b/internal/admit/sketch.go
@@ -10,14 +10,14 @@
 
 // A sketch holds a rate limiter for every address in a fixed amount of memory (a count-min sketch with conservative
 // update). A limiter is one number, the theoretical arrival time of the generic cell rate algorithm (ITU-T I.371). An
-// address has a cell in each row; its value is the minimum of these cells. An arrival raises only the cells below the new
-// value.
+// address has a cell in each row; its value is the minimum of these cells. An arrival raises only the cells below the
+// new value.
 //
 // The minimum is never below the value of a limiter of the address's own: the update is monotone, and cells are only
 // raised. So no address exceeds its rate. The error is on the other side: an address is limited wrongly if other
 // addresses use all its cells at that moment. With n others the probability is
-// (1 - (1-1/sketchColumns)^n)^sketchRows: 1 in 10,000 at 850 others, 1 in 100 at 3,100, 1 in 2 at 15,000. A known client
-// is not delayed by it for long, as it can enter through the provisional pool.
+// (1 - (1-1/sketchColumns)^n)^sketchRows: 1 in 10,000 at 850 others, 1 in 100 at 3,100, 1 in 2 at 15,000. A known
+// client is not delayed by it for long, as it can enter through the provisional pool.
 type sketch struct {
 	seed  uint64
 	cells [sketchRows][sketchColumns]float64
--- a/internal/admit/stats.go
+++ b/internal/admit/stats.go
@@ -30,9 +30,10 @@
 
 // Stats returns the totals.
 func (ctl *Controller) Stats() Stats {
-	stats := Stats{Common: ctl.commonConns, MaxCommon: ctl.maxCommon(), Reserved: ctl.settings.ReservedConnections, Provisional: ctl.provisionalConns, MaxProvisional: ctl.settings.MaxProvisional,
-		Closing: ctl.closingConns, Completions: ctl.openCompletions, MaxCompletions: ctl.settings.MaxCompletions, Addresses: len(ctl.holderByAddress), Accepted: ctl.accepted,
-		Refused: ctl.refused, Evicted: ctl.evicted}
+	stats := Stats{Common: ctl.commonConns, MaxCommon: ctl.maxCommon(), Reserved: ctl.settings.ReservedConnections,
+		Provisional: ctl.provisionalConns, MaxProvisional: ctl.settings.MaxProvisional, Closing: ctl.closingConns,
+		Completions: ctl.openCompletions, MaxCompletions: ctl.settings.MaxCompletions, Addresses: len(ctl.holderByAddress),
+		Accepted: ctl.accepted, Refused: ctl.refused, Evicted: ctl.evicted}
 	stats.Connections = len(ctl.conns) - len(ctl.freeSlots) - ctl.closingConns
 	return stats
 }
@@ -87,7 +88,8 @@
 
 // DivideDescriptors divides a descriptor limit. It fails if too few are left for engines; the error shows the division.
 func DivideDescriptors(limit, admin, peers int, s Settings) (DescriptorBudget, error) {
-	budget := DescriptorBudget{Limit: limit, Process: ProcessDescriptors, Admin: admin, Peers: peers, Connections: s.MaxConnections, Closing: s.MaxClosing}
+	budget := DescriptorBudget{Limit: limit, Process: ProcessDescriptors, Admin: admin, Peers: peers,
+		Connections: s.MaxConnections, Closing: s.MaxClosing}
 	budget.Engines = limit - budget.Process - budget.Admin - budget.Peers - budget.Connections - budget.Closing
 	budget.MaxCompletions = min(s.MaxCompletions, budget.Engines/DescriptorsPerCompletion)
 	if budget.MaxCompletions < 1 {
--- a/internal/door/descriptors.go
+++ b/internal/door/descriptors.go
@@ -13,8 +13,8 @@
 	"cherryhub/internal/admit"
 )
 
-// RaiseDescriptorLimit raises the process's soft limit of file descriptors to the hard limit and returns the new limit, at
-// most maxDescriptorLimit.
+// RaiseDescriptorLimit raises the process's soft limit of file descriptors to the hard limit. It returns the new limit,
+// at most maxDescriptorLimit.
 func RaiseDescriptorLimit() (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -53,7 +53,7 @@
 
 // refuse accepts a connection with a spare descriptor and refuses it. If no spare is left it waits for noSpareDelay, as
 // the poller would spin on a listener that stays readable. The wait delays the streams that share the poller.
-func (s *spareDescriptors) refuse(listener int) (refused bool) {
+func (s *spareDescriptors) refuse(listenerFD int) (refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fill()
@@ -65,7 +65,7 @@
 	}
 	s.files[n-1].Close() //nolint:errcheck // of /dev/null
 	s.files = s.files[:n-1]
-	fd, _, err := unix.Accept(listener)
+	fd, _, err := unix.Accept(listenerFD)
 	if err != nil {
 		return false
 	}
--- a/internal/door/listener.go
+++ b/internal/door/listener.go
@@ -40,8 +40,8 @@
 	Listener       *net.TCPListener
 	Admission      AdmissionConfig
 	KeyHashSecret  [16]byte      // random; see admit.NewClientDirectory
-	MaxUnreadBytes int           // that a client may send ahead of what is read; then its connection is closed
-	LingerTimeout  time.Duration // how long a refused or evicted connection is still read, so that a reset does not discard the response
+	MaxUnreadBytes int           // a client that sends more than this ahead of what is read is disconnected
+	LingerTimeout  time.Duration // a refused or evicted connection is still read for this time, so that a reset does not discard the response
 	TLS            *TLSOptions   // nil for plain TCP
 	Log            *slog.Logger
 }
@@ -125,8 +125,8 @@
 
 func (l *Listener) now() float64 { return time.Since(l.startedAt).Seconds() }
 
-// maintenanceInterval is how often connections are checked for timeouts, for too many unread bytes, and for clients that
-// disconnected during their request. Admission does not wait for it.
+// maintenanceInterval is how often connections are checked for timeouts, for too many unread bytes, and for clients
+// that disconnected during their request. Admission does not wait for it.
 const maintenanceInterval = 50 * time.Millisecond
 
 func (l *Listener) maintain(ctx context.Context) {
@@ -170,14 +170,14 @@
 	}
 }
 
-// closeRequest is an evicted connection that has to be closed.
+// pendingClose is an evicted connection that has to be closed.
 type pendingClose struct {
 	conn         *Conn
 	reason       admit.Reason
 	noRequestYet bool // then it gets a response before it is closed
 }
 
-// pendingCloses collects the evicted connections. The caller holds the lock.
+// takePendingCloses returns the connections evicted since its last call. The caller holds the lock.
 func (l *Listener) takePendingCloses() []pendingClose {
 	var pending []pendingClose
 	for _, eviction := range l.controller.TakeEvictions() {
@@ -362,8 +362,9 @@
 	}
 }
 
-// BeginRequest decides on a request whose header was read. apiKey is its API key, empty for none. EndRequest must follow.
-// After a refusal the caller must respond and close the connection. tenant is the client's tenant, -1 if unknown.
+// BeginRequest decides on a request whose header was read. apiKey is its API key, empty for none. EndRequest must
+// follow. After a refusal the caller must respond and close the connection. tenant is the client's tenant, -1 if
+// unknown.
 func (l *Listener) BeginRequest(remote net.Addr, apiKey string) (tenant int, decision admit.Decision) {
 	c, ok := remote.(*Conn)
 	if !ok {
--- a/internal/door/listener_test.go
+++ b/internal/door/listener_test.go
@@ -48,7 +48,8 @@
 	return client, fd
 }
 
-// Guards against a refused client that is still sending losing the response: without lingering, the close causes a reset.
+// Guards against a refused client that is still sending losing the response: without lingering, the close causes a
+// reset.
 func TestLingeringDeliversResponse(t *testing.T) {
 	queue := newLingerQueue(4, 500*time.Millisecond)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/door/tls.go
+++ b/internal/door/tls.go
@@ -16,8 +16,8 @@
 	"cherryhub/internal/admit"
 )
 
-// TLSOptions configure TLS for clients. Netpoll has no TLS, so Hertz's standard transport serves a listener with TLS, with
-// a goroutine per connection.
+// TLSOptions configure TLS for clients. Netpoll has no TLS, so Hertz's standard transport serves a listener with TLS,
+// with a goroutine per connection.
 type TLSOptions struct {
 	CertificateFile, KeyFile string        // PEM files, reloaded when they change
 	ClientCAFile             string        // PEM file of the CA of client certificates; empty: none are requested
@@ -35,12 +35,13 @@
 	files    []string
 }
 
-// accessDeniedAlert is a TLS record that refuses a connection before the handshake: fatal, access_denied (RFC 8446, 6.2).
-// It needs no cryptography, and clients report it as the server's error.
+// accessDeniedAlert is a TLS record that refuses a connection before the handshake: fatal, access_denied (RFC 8446,
+// 6.2). It needs no cryptography, and clients report it as the server's error.
 var accessDeniedAlert = []byte{21, 3, 3, 0, 2, 2, 49}
 
 func newTLSListener(listener *Listener, options *TLSOptions) (*tlsListener, error) {
-	l := &tlsListener{listener: listener, options: options, ready: make(chan net.Conn), done: make(chan struct{}), files: []string{options.CertificateFile, options.KeyFile}}
+	l := &tlsListener{listener: listener, options: options, ready: make(chan net.Conn), done: make(chan struct{}),
+		files: []string{options.CertificateFile, options.KeyFile}}
 	if options.ClientCAFile != "" {
 		l.files = append(l.files, options.ClientCAFile)
 	}
@@ -179,8 +180,8 @@
 	return s.TCPConn.Close()
 }
 
-// closeTLSGracefully tells the client that the connection closes: before the end of the handshake by an alert, after it by
-// a response if there was no request yet, and by close_notify.
+// closeTLSGracefully tells the client that the connection closes: before the end of the handshake by an alert, after it
+// by a response if there was no request yet, and by close_notify.
 func closeTLSGracefully(tlsConn *tls.Conn, rawConn net.Conn, reason admit.Reason, noRequestYet bool) {
 	rawConn.SetWriteDeadline(time.Now().Add(tlsCloseWriteTimeout)) //nolint:errcheck // fails only if it is closed
 	switch {
@@ -258,8 +259,8 @@
 	return stamps
 }
 
-// WatchFiles calls onChange when files have changed since its start or the last call of onChange, and then have stayed the
-// same for one interval, as several files may be written one after the other.
+// WatchFiles calls onChange when files have changed since its start or the last call of onChange, and then have stayed
+// the same for one interval, as several files may be written one after the other.
 func WatchFiles(ctx context.Context, files []string, interval time.Duration, onChange func()) {
 	previous := fileStamps(files)
 	applied := previous
