--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,7 +1,7 @@
-// Package link is all that an edge and a planner know of each other: facts go to the planner, orders come
-// back. It holds the messages and the two interfaces and does nothing by itself, so that the two can become
-// two programs without either being rewritten. internal/edge and internal/planner use it; it imports decide
-// for outcomes and prompts and nothing else of the program.
+// Package link defines the messages between an edge and a planner and the interface that each offers to the other:
+// events go to the planner, commands come back. It has no behaviour of its own, so that the two could run as separate
+// programs without a rewrite. It imports decide for outcomes, prompts, phases and list kinds, and no other package of
+// this module.
 package link
 
 import (
@@ -10,92 +10,92 @@
 	"cherryhub/decide"
 )
 
-// FactKind says what a Fact tells.
+// EventKind is the type of an Event. The comment at each kind lists the fields that are set besides Kind.
 type EventKind uint8
 
-// The kinds of fact.
+// Kinds of events. Those of a completion set Completion too.
 const (
-	CompletionArrived   EventKind = iota // a completion was taken: Prompt, Deadline
-	DispatchStarted                      // a dispatch gave its first token: Dispatch, Took
-	ReservationAnswered                  // a place was asked for: Dispatch, Held
-	DispatchEnded                        // a dispatch ended: Dispatch, Outcome, Took, Done, Found, Report
-	ClientLeft                           // the client left, or the edge had to answer for the planner
-	ProbeEnded                           // a probe ended, or a report came in an answer: Address, Outcome, Report
-	EnginesUpdated                       // news of the engines: List
+	CompletionArrived   EventKind = iota // a completion is offered to the planner: Prompt, Deadline
+	DispatchStarted                      // a dispatch produced its first token: Dispatch, Elapsed
+	ReservationAnswered                  // a reservation was granted or refused: Dispatch, Reserved
+	DispatchEnded                        // a dispatch ended: Dispatch, Outcome, Elapsed, Answered, CachedTokens, Report
+	ClientLeft                           // the client disconnected, or the edge answered in the planner's place
+	ProbeEnded                           // a probe ended, or an engine's answer carried a load report: Address, Outcome, Report
+	EnginesUpdated                       // the engine list changed: EngineList
 )
 
-// Fact is what an edge, or the engine list, tells a planner. Every dispatch that was ordered has exactly one
-// Ended, whatever happens to it.
+// Event is a message to a planner from an edge or from the engine list. Every dispatch that the planner commands
+// leads to exactly one DispatchEnded, whatever happens to it.
 type Event struct {
 	Kind         EventKind
 	Outcome      decide.Outcome
-	Answered     bool // the completion has its answer
+	Answered     bool // the client has its answer
 	Reserved     bool
-	Dispatch     int    // number of the completion's dispatch, from 0
-	Address      string // of the engine; its index may be another's by now
+	Dispatch     int    // index among the completion's dispatches, from 0
+	Address      string // of the engine; not its index, which may have been reused meanwhile
 	Completion   uint64
 	Elapsed      float64   // seconds since the dispatch was sent
-	CachedTokens float64   // prompt tokens found kept
-	Report       []float64 // as decide.Settings.ReportColumns says, nil for none
+	CachedTokens float64   // prompt tokens that the engine had in its cache
+	Report       []float64 // load report in the order of decide.Settings.ReportColumns, nil for none
 	Prompt       *decide.Prompt
 	EngineList   *EngineList
-	Deadline     time.Time // by which the planner must have answered
-	QueuedAt     time.Time // when it was told, for the planner's delay
+	Deadline     time.Time // for the planner's answer
+	QueuedAt     time.Time // set by the planner, to measure how long the event waits
 }
 
-// List is news of the engines.
+// EngineList is a snapshot of the engine list or a change to it.
 type EngineList struct {
 	Kind    decide.ListKind
 	Entries []EngineEntry
 }
 
-// Entry is one engine of a list.
+// EngineEntry is one entry of an EngineList.
 type EngineEntry struct {
-	Address     string // host:port, an engine's name for its whole life
+	Address     string // host:port, identifies the engine for its whole life
 	Zone        string
 	Cell        string
 	MachineKind string
 	Phase       decide.Phase
-	StartID     int64   // tells one start of the engine from another; 0 for unknown
-	Age         float64 // seconds since that start, when the list was heard; below 0 for long ago
+	StartID     int64   // differs between two starts of the engine; 0 for unknown
+	Age         float64 // seconds from that start until the list was received; below 0 for long ago
 }
 
-// OrderKind says what an Order asks for.
+// CommandKind is the type of a Command. The comment at each kind lists the fields that are set besides Kind.
 type CommandKind uint8
 
-// The kinds of order.
+// Kinds of commands. All but Probe set Completion.
 const (
-	Dispatch  CommandKind = iota // Dispatch, Engine, Reads, Timeout
-	Reserve                      // Engine
-	Release                      // every state and place held for the completion
-	RateLimit                    // the final answer: ComeBack
-	Abort                        // the final answer
-	Cancel                       // Dispatch
-	Probe                        // Engine
+	Dispatch  CommandKind = iota // send the completion to an engine: Dispatch, Address, IsRead, Timeout
+	Reserve                      // reserve KV cache space at a writer: Dispatch, Address
+	Release                      // release every state and reservation held for the completion
+	RateLimit                    // final answer: RetryAfter
+	Abort                        // final answer
+	Cancel                       // cancel a dispatch: Dispatch
+	Probe                        // probe an engine: Address
 )
 
-// Order is what a planner has its edge do.
+// Command is a message from a planner to its edge.
 type Command struct {
 	Kind       CommandKind
-	IsRead     bool // the engine is a reader: it is to read the prompt and hold the state
+	IsRead     bool // the dispatch is a read: the engine reads the prompt and holds the state
 	Dispatch   int
 	Completion uint64
-	Address    string  // its address
+	Address    string  // of the engine
 	Timeout    float64 // seconds
-	RetryAfter float64 // seconds until a client may try again, 0 for no advice
+	RetryAfter float64 // seconds until the client may retry, 0 for no advice
 }
 
-// Planner is what an edge sees of a planner. Neither call blocks.
+// Planner receives the events of an edge and of the engine list. Neither method blocks.
 type Planner interface {
-	// Offer offers a completion to be taken (a Take). False: it is not taken, and nothing will come of it.
-	Offer(f Event) bool
-	// Tell tells what became of something taken, or of the engines. It is never refused: what it holds is
-	// bounded by the completions taken, the probes ordered and the lists heard.
-	Notify(f Event)
+	// Offer offers a completion (a CompletionArrived event). It returns false if the planner refuses it; no command
+	// for the completion follows then.
+	Offer(e Event) bool
+	// Notify delivers any other event. It is never refused: the events queued are bounded by the completions accepted,
+	// the probes commanded and the lists received.
+	Notify(e Event)
 }
 
-// Edge is what a planner sees of an edge. Order must not block and may be called from the planner's
-// goroutine only.
+// Edge carries out a planner's commands. Execute must not block, and is called from the planner's goroutine only.
 type Edge interface {
-	Execute(o Command)
+	Execute(c Command)
 }
