--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,13 +1,14 @@
-// Package duty splits periodic duties, such as probing an engine, among instances that can talk, and picks them
-// up again when one dies. It does no I/O: time, the members in sight and the others' results are passed in; what
-// is to be done now comes back. docs/duties.md has the design and what is promised when. internal/peer feeds
-// it and acts for it.
+// Package duty divides periodic duties, such as probing an engine, among instances that can communicate, and
+// reassigns them when an instance dies. It does no I/O: the time, the live members and the results of other instances
+// are passed in, and the tasks that are due are returned. docs/duties.md describes the design and its guarantees.
+// internal/peer supplies the input and carries out the tasks.
 //
-// Each duty has a fixed order of members, by weighted rendezvous hashing over the roster (the members on which
-// instances agree), those of its subject's zone first. Only the first few, its candidates, may ever do it. The
-// first of them that is in sight does it each interval; the next ones stand by, each a little later, and need no
-// one's word to step in: they act when no result has come. A candidate does a duty once an interval at most,
-// whatever it hears. So a subject meets no more than so many candidates an interval, in splits too.
+// The members are ranked for each duty by weighted rendezvous hashing over the roster (the set of members on which the
+// instances agree), members of the subject's zone first. Only the first few, the duty's candidates, may carry it out.
+// The first live candidate does so each interval. The others are standbys, each with a slightly longer delay than the
+// one before it, and take over without coordination when no result arrives. A candidate carries out a duty at most
+// once per interval, whatever results it receives. So the subject of a duty is accessed at most once per candidate and
+// interval, also during network partitions.
 package duty
 
 import (
@@ -21,156 +22,157 @@
 )
 
 const (
-	maxClockDrift           = 0.02 // share by which two clocks may differ: an own interval is kept longer by it
-	pauseThresholdHandovers = 2.0  // hand-over times; a longer gap between two ticks means that this instance stood still
-	maxResultAgeIntervals   = 3.0  // intervals; a result older than this tells nothing and is not passed on
+	maxClockDrift           = 0.02 // relative difference between two clocks; lengthens the interval between an instance's own runs
+	pauseThresholdHandovers = 2.0  // a gap between two ticks of more handover delays means that this instance was paused
+	maxResultAgeIntervals   = 3.0  // older results are ignored
 )
 
-// Member is an instance. Its name and incarnation together are unique for one life.
+// Member is an instance. Its name and incarnation together identify one run of its process.
 type Member struct {
 	Name        string
-	Incarnation uint64 // grows with each start
+	Incarnation uint64 // increases with each start
 	Zone        string
-	Weight      float64 // of its share of duties, above 0; 1 is usual
+	Weight      float64 // relative share of the duties, above 0; usually 1
 }
 
-// Kind says what a duty is, such as "probe".
+// Kind is the kind of a duty, such as "probe".
 type Kind string
 
-// Key names a duty.
+// Key identifies a duty.
 type Key struct {
 	Kind    Kind
 	Subject string
 }
 
-// Duty is one periodic duty. Times are seconds.
+// Duty is a periodic duty. Times are in seconds.
 type Duty struct {
 	Key
-	Zone       string  // of its subject
-	Interval   float64 // it is wanted so often
-	Candidates int     // that may do it: the greatest rate at its subject is so many an interval
+	Zone       string  // of the subject
+	Interval   float64 // between two runs
+	Candidates int     // number of candidates, and so the maximum number of runs per interval
 }
 
-// Epoch orders the owners of a duty. Two owners never have the same one.
+// Epoch orders the ownerships of a duty. Two owners never have equal epochs.
 type Epoch struct {
 	Number uint64
 	Owner  string
 }
 
-// Less tells whether e comes before f.
+// Less reports whether e precedes f.
 func (e Epoch) Less(f Epoch) bool {
 	return e.Number < f.Number || e.Number == f.Number && e.Owner < f.Owner
 }
 
-// Result is what an instance tells the others of a duty that it did.
+// Result is the message about a completed task that its instance sends to the others.
 type Result struct {
 	Key
 	Epoch   Epoch
 	Origin  Member
-	Age     float64 // since it was done, when it is told
-	Payload []byte  // what came of it, for the kind to read
+	Age     float64 // seconds from the start of the task until the result is sent
+	Payload []byte  // outcome of the task, in a format of the duty's kind
 }
 
-// Standing is what a Result that was heard is worth.
+// Freshness says whether a received Result is to be used.
 type Freshness uint8
 
-// The standings.
+// Values of Freshness.
 const (
-	Fresh   Freshness = iota // the newest of its duty
-	Late                     // of an owner whose epoch is over, or older than what is known
-	Unknown                  // of no duty here, or of no use any more
+	Fresh   Freshness = iota // the newest result of its duty
+	Late                     // of an epoch that is over, or not newer than the last result
+	Unknown                  // of a duty that is not known here, too old, or this instance's own
 )
 
-func (s Freshness) String() string { return [...]string{"fresh", "late", "unknown"}[s] }
+func (f Freshness) String() string { return [...]string{"fresh", "late", "unknown"}[f] }
 
-// Settings of a table. All are seconds but Moves.
+// Settings configures a Scheduler. Times are in seconds.
 type Settings struct {
 	Self          Member
-	SettleTime    float64 // a member is on the roster once it was in sight for so long
-	LeaseTime     float64 // a member out of sight stays on the roster for so long
-	HandoverDelay float64 // a candidate waits so much longer than the one before it
-	MaxJoins      int     // members that come onto the roster at once, at most; the rest a Settle later each time
+	SettleTime    float64 // time for which a member must be alive before it joins the roster
+	LeaseTime     float64 // time for which a member that is not alive stays on the roster
+	HandoverDelay float64 // additional delay of a candidate over the live candidate before it
+	MaxJoins      int     // maximum number of members that join the roster at once; the others wait for another SettleTime
 }
 
-// Cause says why an instance does a duty.
+// Cause says why an instance carries out a duty.
 type Cause uint8
 
-// The causes.
+// Causes.
 const (
-	CauseOwner     Cause = iota // it is the first candidate in sight
-	CauseNoResult               // no result came from the one before it
-	CauseOwnerLost              // those before it are out of sight
+	CauseOwner     Cause = iota // the instance is the first candidate
+	CauseNoResult               // no result arrived from the live candidates before it
+	CauseOwnerLost              // no candidate before it is alive
 )
 
 func (c Cause) String() string {
 	return [...]string{"own", "no result came", "the owner is out of sight"}[c]
 }
 
-// Act is a duty that is to be done now. Its result goes to Done.
+// Task is one run of a duty that is due now. The caller reports its end to Scheduler.Finish.
 type Task struct {
 	Duty
 	Epoch     Epoch
 	Cause     Cause
-	TakenOver bool    // the last result was another's
-	Late      float64 // seconds past its interval since it was done last, 0 where it never was
+	TakenOver bool    // the last result came from another instance
+	Late      float64 // seconds since the end of the interval that began with the last run, 0 if there was none
 }
 
-// Table holds an instance's duties. Calls must not overlap, and time must not go back.
+// Scheduler tells one instance when to carry out which duty. Calls must not overlap, and time must not go back.
 type Scheduler struct {
 	settings    Settings
 	now         float64
-	createdAt   float64 // time of New
-	lastTick    float64 // time of the last tick
-	listenUntil float64 // nothing is done until then: after the start, and after having stood still
+	createdAt   float64 // time of the call to New
+	lastTick    float64 // time of the last call to Tick
+	listenUntil float64 // no task is returned before this time; set at the start and after a pause of the instance
 	members     map[string]*memberState
-	roster      []*memberState // by name
+	roster      []*memberState // sorted by name
 	duties      []*dutyState
 	byKey       map[Key]*dutyState
 }
 
-// seen is a member that is or was in sight.
+// memberState is a member that is or was alive.
 type memberState struct {
 	Member
-	aliveSince float64 // in sight without a break since
-	lostAt     float64 // out of sight since; +Inf while in sight
-	onRoster   bool    // on the roster
-	hash       uint64  // of its name
+	aliveSince float64 // start of the current uninterrupted time alive
+	lostAt     float64 // when it ceased to be alive; +Inf while it is
+	onRoster   bool
+	hash       uint64 // of the name
 }
 
-// state is a duty and what is known of it.
+// dutyState is a duty with its progress.
 type dutyState struct {
 	Duty
 	candidates []*memberState
-	doneAt     float64 // when it was done last, by anyone
+	doneAt     float64 // start of the last finished run, at any instance
 	epoch      Epoch
-	startedAt  float64 // when this instance began it last
-	running    bool    // this instance is at it
+	startedAt  float64 // start of this instance's last run
+	running    bool    // this instance is running it
 }
 
-// New makes a table. The instance listens for two Settles and a HandOver before it does anything: by then it has
-// seen the others, they have seen it, and all have each other on their rosters. Settle must be longer than
-// membership takes to tell of one who joins.
+// New returns a Scheduler that hands out no task during two SettleTimes and a HandoverDelay: after that time the
+// instance and the others know of each other and are on each other's rosters. SettleTime must be longer than
+// membership takes to report a new member.
 func New(now float64, s Settings) (*Scheduler, error) {
 	if s.Self.Name == "" || !(s.Self.Weight > 0) {
-		return nil, fmt.Errorf("duty: self %q of weight %v: a name and a weight above 0 are wanted", s.Self.Name, s.Self.Weight)
+		return nil, fmt.Errorf("duty: self %q has weight %v: a name and a weight above 0 are required", s.Self.Name, s.Self.Weight)
 	}
 	if !(s.SettleTime >= 0) || !(s.HandoverDelay > 0) || !(s.LeaseTime > s.SettleTime) || s.MaxJoins < 1 {
-		return nil, errors.New("duty: settle from 0, hand-over above 0, lease above settle and moves from 1 are wanted")
+		return nil, errors.New("duty: settle must be at least 0, hand-over above 0, lease above settle, and moves at least 1")
 	}
-	t := &Scheduler{settings: s, now: now, createdAt: now, lastTick: now, listenUntil: now + 2*s.SettleTime + s.HandoverDelay, members: map[string]*memberState{}, byKey: map[Key]*dutyState{}}
-	t.members[s.Self.Name] = &memberState{Member: s.Self, aliveSince: now, lostAt: math.Inf(1), hash: nameHash(s.Self.Name)}
-	return t, nil
+	scheduler := &Scheduler{settings: s, now: now, createdAt: now, lastTick: now, listenUntil: now + 2*s.SettleTime + s.HandoverDelay,
+		members: map[string]*memberState{}, byKey: map[Key]*dutyState{}}
+	scheduler.members[s.Self.Name] = &memberState{Member: s.Self, aliveSince: now, lostAt: math.Inf(1), hash: nameHash(s.Self.Name)}
+	return scheduler, nil
 }
 
-// SetDuties sets what is to be done. What is known of a duty that stays is kept; a new one is due at once.
-func (t *Scheduler) SetDuties(now float64, all []Duty) {
-	t.now = now
-	byKey, kept := map[Key]*dutyState{}, make([]*dutyState, 0, len(all))
-	for _, d := range all {
+// SetDuties replaces the duties. A duty that was there before keeps its progress; a new one is due at once.
+func (s *Scheduler) SetDuties(now float64, duties []Duty) {
+	s.now = now
+	byKey, kept := map[Key]*dutyState{}, make([]*dutyState, 0, len(duties))
+	for _, d := range duties {
 		if byKey[d.Key] != nil || d.Interval <= 0 {
 			continue
 		}
-		st := t.byKey[d.Key]
+		st := s.byKey[d.Key]
 		if st == nil {
 			st = &dutyState{doneAt: math.Inf(-1), startedAt: math.Inf(-1)}
 		}
@@ -179,90 +181,91 @@
 		byKey[d.Key] = st
 		kept = append(kept, st)
 	}
-	t.byKey, t.duties = byKey, kept
-	t.rankCandidates()
+	s.byKey, s.duties = byKey, kept
+	s.rankCandidates()
 }
 
-// Sight sets the members in sight, as membership tells them; the instance itself need not be among them.
-func (t *Scheduler) SetMembers(now float64, members []Member) {
-	t.now = now
-	there := map[string]bool{t.settings.Self.Name: true}
+// SetMembers sets the members that are alive according to membership. The instance itself need not be included.
+func (s *Scheduler) SetMembers(now float64, members []Member) {
+	s.now = now
+	alive := map[string]bool{s.settings.Self.Name: true}
 	for _, m := range members {
-		if m.Name == t.settings.Self.Name {
+		if m.Name == s.settings.Self.Name {
 			continue
 		}
-		there[m.Name] = true
-		s := t.members[m.Name]
-		if s == nil {
-			s = &memberState{aliveSince: now, lostAt: math.Inf(1), hash: nameHash(m.Name)}
-			t.members[m.Name] = s
+		alive[m.Name] = true
+		state := s.members[m.Name]
+		if state == nil {
+			state = &memberState{aliveSince: now, lostAt: math.Inf(1), hash: nameHash(m.Name)}
+			s.members[m.Name] = state
 		}
-		if !math.IsInf(s.lostAt, 1) || s.Incarnation != m.Incarnation {
-			s.aliveSince, s.lostAt = now, math.Inf(1)
+		if !math.IsInf(state.lostAt, 1) || state.Incarnation != m.Incarnation {
+			state.aliveSince, state.lostAt = now, math.Inf(1)
 		}
-		s.Member = m
+		state.Member = m
 	}
-	for name, s := range t.members { // the order does not matter: each is its own
-		if !there[name] && math.IsInf(s.lostAt, 1) {
-			s.lostAt = now
+	for name, state := range s.members { // iteration order does not matter: entries are independent
+		if !alive[name] && math.IsInf(state.lostAt, 1) {
+			state.lostAt = now
 		}
 	}
-	t.updateRoster()
+	s.updateRoster()
 }
 
-// Left takes a member off the roster at once: it has said that it goes.
-func (t *Scheduler) MemberLeft(now float64, name string) {
-	t.now = now
-	if s := t.members[name]; s != nil && name != t.settings.Self.Name {
-		delete(t.members, name)
-		t.updateRoster()
+// MemberLeft removes a member that announced its departure from the roster at once.
+func (s *Scheduler) MemberLeft(now float64, name string) {
+	s.now = now
+	if state := s.members[name]; state != nil && name != s.settings.Self.Name {
+		delete(s.members, name)
+		s.updateRoster()
 	}
 }
 
-// list brings the roster up to date: who was in sight for a Settle comes on, a few at a time; who is out of
-// sight for a Lease goes off. Flapping moves nobody. A candidate that is gone longer than the Lease makes room
-// for the next in order: until then, at most, a duty all of whose candidates died is not done.
-func (t *Scheduler) updateRoster() {
-	for name, s := range t.members { // the order does not matter: each is its own
-		if t.now-s.lostAt >= t.settings.LeaseTime {
-			delete(t.members, name)
+// updateRoster adds members that have been alive for SettleTime, at most MaxJoins at once, and removes those that have
+// not been alive for LeaseTime, so that flapping members do not move duties. A removed member's place among the
+// candidates goes to the next in rank. So a duty whose candidates have all died is not carried out for LeaseTime at
+// most.
+func (s *Scheduler) updateRoster() {
+	for name, m := range s.members { // iteration order does not matter: entries are independent
+		if s.now-m.lostAt >= s.settings.LeaseTime {
+			delete(s.members, name)
 		}
 	}
-	var wait []*memberState
-	for _, s := range t.members { // sorted below
-		if !s.onRoster && t.now-s.aliveSince >= t.settings.SettleTime && math.IsInf(s.lostAt, 1) {
-			wait = append(wait, s)
+	var joining []*memberState
+	for _, m := range s.members { // sorted below
+		if !m.onRoster && s.now-m.aliveSince >= s.settings.SettleTime && math.IsInf(m.lostAt, 1) {
+			joining = append(joining, m)
 		}
 	}
-	slices.SortFunc(wait, func(a, b *memberState) int {
+	slices.SortFunc(joining, func(a, b *memberState) int {
 		return cmp.Or(cmp.Compare(a.aliveSince, b.aliveSince), cmp.Compare(a.Name, b.Name))
 	})
-	for i, s := range wait {
-		if i >= t.settings.MaxJoins && len(t.roster) > 1 {
-			s.aliveSince = t.now // its turn comes with the next
+	for i, m := range joining {
+		if i >= s.settings.MaxJoins && len(s.roster) > 1 {
+			m.aliveSince = s.now // waits for another SettleTime
 			continue
 		}
-		s.onRoster = true
+		m.onRoster = true
 	}
 	var roster []*memberState
-	for _, s := range t.members { // sorted below
-		if s.onRoster {
-			roster = append(roster, s)
+	for _, m := range s.members { // sorted below
+		if m.onRoster {
+			roster = append(roster, m)
 		}
 	}
 	slices.SortFunc(roster, func(a, b *memberState) int { return cmp.Compare(a.Name, b.Name) })
-	if !slices.Equal(roster, t.roster) {
-		t.roster = roster
-		t.rankCandidates()
+	if !slices.Equal(roster, s.roster) {
+		s.roster = roster
+		s.rankCandidates()
 	}
 }
 
 func nameHash(name string) uint64 { return xxhash.Sum64String(name) * 0x9e3779b97f4a7c15 }
 
-// lot is a member's place in the order for a duty.
+// rankedMember is a member with what determines its rank for a duty.
 type rankedMember struct {
 	member    *memberState
-	otherZone bool // out of the subject's zone
+	otherZone bool // not in the zone of the subject
 	score     float64
 }
 
@@ -273,125 +276,126 @@
 	return a.score < b.score || a.score == b.score && a.member.Name < b.member.Name
 }
 
-// rank finds every duty's candidates: the first few in its order.
-func (t *Scheduler) rankCandidates() {
-	var first []rankedMember
-	for _, d := range t.duties {
-		first = first[:0]
+// rankCandidates determines the candidates of every duty: the members that rank first for it.
+func (s *Scheduler) rankCandidates() {
+	var ranked []rankedMember
+	for _, d := range s.duties {
+		ranked = ranked[:0]
 		key := xxhash.Sum64String(string(d.Kind) + "\x00" + d.Subject)
-		for _, s := range t.roster {
-			h := (key ^ s.hash) * 0xbf58476d1ce4e5b9
+		for _, m := range s.roster {
+			h := (key ^ m.hash) * 0xbf58476d1ce4e5b9
 			h ^= h >> 31
 			u := (float64(h*0x94d049bb133111eb>>11) + 0.5) / (1 << 53)
-			l := rankedMember{s, s.Zone != d.Zone, -math.Log(u) / s.Weight}
-			at := len(first)
-			for at > 0 && l.before(first[at-1]) {
-				at--
+			candidate := rankedMember{m, m.Zone != d.Zone, -math.Log(u) / m.Weight}
+			position := len(ranked)
+			for position > 0 && candidate.before(ranked[position-1]) {
+				position--
 			}
-			if at < d.Candidates {
-				first = slices.Insert(first[:min(len(first), d.Candidates-1)], at, l)
+			if position < d.Candidates {
+				ranked = slices.Insert(ranked[:min(len(ranked), d.Candidates-1)], position, candidate)
 			}
 		}
 		d.candidates = d.candidates[:0]
-		for _, l := range first {
-			d.candidates = append(d.candidates, l.member)
+		for _, candidate := range ranked {
+			d.candidates = append(d.candidates, candidate.member)
 		}
 	}
 }
 
-// turn is when this instance is to do a duty, and why; never if it is no candidate. It waits a hand-over for
-// each candidate in sight before it.
-func (t *Scheduler) dueTime(d *dutyState) (at float64, why Cause) {
-	before := 0
+// dueTime returns when this instance is to carry out a duty, and why; +Inf if it is no candidate. It waits for a
+// HandoverDelay per live candidate before it.
+func (s *Scheduler) dueTime(d *dutyState) (at float64, cause Cause) {
+	liveBefore := 0
 	for i, c := range d.candidates {
-		if c.Name != t.settings.Self.Name {
+		if c.Name != s.settings.Self.Name {
 			if math.IsInf(c.lostAt, 1) {
-				before++
+				liveBefore++
 			}
 			continue
 		}
 		switch {
-		case before > 0:
-			why = CauseNoResult
+		case liveBefore > 0:
+			cause = CauseNoResult
 		case i > 0:
-			why = CauseOwnerLost
+			cause = CauseOwnerLost
 		}
-		// Where nobody is known to have done it, an earlier life of this instance may have, an interval ago.
-		at = math.Max(d.doneAt+d.Interval, math.Max(t.listenUntil, t.createdAt+d.Interval))
-		if d.doneAt > t.createdAt {
+		// Without a known run, an earlier process of this instance may have carried it out just before this one started.
+		at = math.Max(d.doneAt+d.Interval, math.Max(s.listenUntil, s.createdAt+d.Interval))
+		if d.doneAt > s.createdAt {
 			at = d.doneAt + d.Interval
 		}
-		at += float64(before) * t.settings.HandoverDelay
-		return math.Max(at, d.startedAt+d.Interval*(1+maxClockDrift)), why
+		at += float64(liveBefore) * s.settings.HandoverDelay
+		return math.Max(at, d.startedAt+d.Interval*(1+maxClockDrift)), cause
 	}
 	return math.Inf(1), CauseOwner
 }
 
-// Tick tells what is to be done now, and when to tick again at the latest. After a gap between ticks the
-// instance has stood still: others may have stepped in, so it listens first and does nothing.
-func (t *Scheduler) Tick(now float64) (acts []Task, next float64) {
-	t.now = now
-	if now-t.lastTick > pauseThresholdHandovers*t.settings.HandoverDelay {
-		t.listenUntil = math.Max(t.listenUntil, now+t.settings.HandoverDelay)
+// Tick returns the tasks that are due, and the time by which to call it again. After a long gap between two calls the
+// instance must have been paused, and others may have taken over: it then hands out no task for a HandoverDelay, to
+// receive their results first.
+func (s *Scheduler) Tick(now float64) (tasks []Task, next float64) {
+	s.now = now
+	if now-s.lastTick > pauseThresholdHandovers*s.settings.HandoverDelay {
+		s.listenUntil = math.Max(s.listenUntil, now+s.settings.HandoverDelay)
 	}
-	t.lastTick = now
-	t.updateRoster()
-	next = now + t.settings.HandoverDelay
-	if now < t.listenUntil {
-		return nil, math.Min(next, t.listenUntil)
+	s.lastTick = now
+	s.updateRoster()
+	next = now + s.settings.HandoverDelay
+	if now < s.listenUntil {
+		return nil, math.Min(next, s.listenUntil)
 	}
-	for _, d := range t.duties {
+	for _, d := range s.duties {
 		if d.running {
 			continue
 		}
-		at, why := t.dueTime(d)
-		if at > now {
-			next = math.Min(next, at)
+		dueAt, cause := s.dueTime(d)
+		if dueAt > now {
+			next = math.Min(next, dueAt)
 			continue
 		}
-		over := d.epoch.Owner != t.settings.Self.Name
+		takeover := d.epoch.Owner != s.settings.Self.Name
 		epoch := d.epoch
-		if over {
-			epoch = Epoch{d.epoch.Number + 1, t.settings.Self.Name}
+		if takeover {
+			epoch = Epoch{d.epoch.Number + 1, s.settings.Self.Name}
 		}
 		d.running, d.startedAt = true, now
 		late := 0.0
 		if !math.IsInf(d.doneAt, -1) {
 			late = math.Max(0, now-d.doneAt-d.Interval)
 		}
-		acts = append(acts, Task{d.Duty, epoch, why, over && d.epoch.Number > 0, late})
+		tasks = append(tasks, Task{d.Duty, epoch, cause, takeover && d.epoch.Number > 0, late})
 	}
-	return acts, next
+	return tasks, next
 }
 
-// Done takes the end of an Act and gives the result to tell the others. ok is false where it is to be told to
-// nobody: the duty is gone, or the instance stood still meanwhile and another has it now.
-func (t *Scheduler) Finish(now float64, a Task, payload []byte) (r Result, ok bool) {
-	t.now = now
-	d := t.byKey[a.Key]
+// Finish records the end of a task and returns the result to send to the others. ok is false if it must not be sent:
+// the duty no longer exists, or another instance took it over meanwhile because this one was paused.
+func (s *Scheduler) Finish(now float64, task Task, payload []byte) (r Result, ok bool) {
+	s.now = now
+	d := s.byKey[task.Key]
 	if d == nil || !d.running {
 		return Result{}, false
 	}
 	d.running = false
-	if a.Epoch.Less(d.epoch) {
+	if task.Epoch.Less(d.epoch) {
 		return Result{}, false
 	}
-	d.epoch = a.Epoch
+	d.epoch = task.Epoch
 	d.doneAt = math.Max(d.doneAt, d.startedAt)
-	return Result{Key: a.Key, Epoch: a.Epoch, Origin: t.settings.Self, Age: now - d.startedAt, Payload: payload}, true
+	return Result{Key: task.Key, Epoch: task.Epoch, Origin: s.settings.Self, Age: now - d.startedAt, Payload: payload}, true
 }
 
-// Heard takes another's result and says what it is worth. One that is late still counts as done when it was
-// done: the subject met it.
-func (t *Scheduler) ReceiveResult(now float64, r Result) Freshness {
-	t.now = now
-	d := t.byKey[r.Key]
-	if d == nil || !(r.Age >= 0) || r.Age > maxResultAgeIntervals*d.Interval || r.Origin.Name == t.settings.Self.Name {
+// ReceiveResult records the result of another instance and returns its freshness. A late result also updates the time
+// of the last run, because the subject was accessed then.
+func (s *Scheduler) ReceiveResult(now float64, r Result) Freshness {
+	s.now = now
+	d := s.byKey[r.Key]
+	if d == nil || !(r.Age >= 0) || r.Age > maxResultAgeIntervals*d.Interval || r.Origin.Name == s.settings.Self.Name {
 		return Unknown
 	}
-	done := now - r.Age
-	newer := done > d.doneAt
-	d.doneAt = math.Max(d.doneAt, done)
+	doneAt := now - r.Age
+	newer := doneAt > d.doneAt
+	d.doneAt = math.Max(d.doneAt, doneAt)
 	if r.Epoch.Less(d.epoch) || !newer {
 		return Late
 	}
@@ -399,34 +403,34 @@
 	return Fresh
 }
 
-// Status is what an instance knows of a duty.
+// Status is the state of a duty as this instance knows it.
 type Status struct {
 	Duty
-	Owner      string  // of the last result, empty for none
-	Epoch      uint64  //
-	Since      float64 // seconds since it was done last, +Inf for never
-	Late       float64 // seconds past its interval, 0 if it is in time
+	Owner      string // of the last result, empty if there is none
+	Epoch      uint64
+	Since      float64 // seconds since the last run, +Inf if there was none
+	Late       float64 // seconds since the end of the interval, 0 if it is not over
 	Candidates []string
 }
 
-// Status lists all duties in the order in which they were set.
-func (t *Scheduler) Status(now float64) []Status {
-	all := make([]Status, 0, len(t.duties))
-	for _, d := range t.duties {
-		s := Status{Duty: d.Duty, Owner: d.epoch.Owner, Epoch: d.epoch.Number, Since: now - d.doneAt,
+// Status returns the state of all duties in the order in which they were set.
+func (s *Scheduler) Status(now float64) []Status {
+	statuses := make([]Status, 0, len(s.duties))
+	for _, d := range s.duties {
+		status := Status{Duty: d.Duty, Owner: d.epoch.Owner, Epoch: d.epoch.Number, Since: now - d.doneAt,
 			Late: math.Max(0, now-d.doneAt-d.Interval)}
 		for _, c := range d.candidates {
-			s.Candidates = append(s.Candidates, c.Name)
+			status.Candidates = append(status.Candidates, c.Name)
 		}
-		all = append(all, s)
+		statuses = append(statuses, status)
 	}
-	return all
+	return statuses
 }
 
-// Roster is the names of those on it.
-func (t *Scheduler) Roster() (names []string) {
-	for _, s := range t.roster {
-		names = append(names, s.Name)
+// Roster returns the names of the members on the roster, sorted.
+func (s *Scheduler) Roster() (names []string) {
+	for _, m := range s.roster {
+		names = append(names, m.Name)
 	}
 	return names
 }
--- a/internal/duty/main_test.go
+++ b/internal/duty/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The random steps are the same each time unless -rapid.seed says otherwise, so that CI's verdict is too.
+// TestMain fixes the seed of the random steps, so that CI results are reproducible. -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/duty/sim_test.go
+++ b/internal/duty/sim_test.go
@@ -8,50 +8,50 @@
 	"sort"
 )
 
-// world is instances that talk over a bad network, in virtual time. Messages are late, lost and doubled; deaths
-// are seen late; instances pause and clocks run fast.
+// world simulates instances on an unreliable network in virtual time. Messages are delayed, lost and duplicated, deaths
+// are detected late, instances pause, and clocks run fast.
 type world struct {
-	rng       *rand.Rand
-	now       float64
-	duties    []Duty
-	settings  Settings
-	nodes     []*node
-	events    events
-	seq       int
-	loss, dup float64
-	delay     [2]float64
-	detect    [2]float64 // until a death, a pause or a cut is seen
-	takes     float64    // seconds that a duty takes
-	acts      map[string][]done
-	sent      int
-	takeovers int
-	plant     string // a guard that is taken out, to see the check fail
-	fault     error
-	cut       map[[2]int]bool // one way, from and to
-	rosterAt  float64         // when rosters last differed, or a life changed
-	k         int
+	rng               *rand.Rand
+	now               float64
+	duties            []Duty
+	settings          Settings
+	nodes             []*node
+	events            events
+	seq               int
+	loss, duplication float64
+	messageDelay      [2]float64
+	detectionDelay    [2]float64 // bounds of the delay until a death, a pause or a partition is detected
+	taskSeconds       float64    // duration of a task
+	runs              map[string][]run
+	messages          int
+	takeovers         int
+	disabledGuard     string // guard that is disabled, to make a check fail
+	err               error
+	cutLinks          map[[2]int]bool // links that lose all messages, by sender and receiver
+	lastChangeAt      float64         // last start or death of an instance, or change of a link
+	maxCandidates     int
 }
 
-type done struct {
-	at    float64
-	node  int
-	union int // candidates of the subject by any instance's roster, then
+type run struct {
+	at                 float64
+	node               int
+	possibleCandidates int // members that were candidates for the duty by some instance's roster
 }
 
 type node struct {
-	w      *world
-	id     int
-	m      Member
-	t      *Scheduler
-	up     bool
-	paused bool
-	wakes  float64 // when it went on after a pause
-	since  float64 // up and not paused since
-	skew   float64 // its clock's speed
-	born   float64
-	boxed  []func() // what came while it stood still
-	gen    int      // of its life
-	sees   map[int]bool
+	w            *world
+	id           int
+	member       Member
+	scheduler    *Scheduler
+	up           bool
+	paused       bool
+	resumedAt    float64 // end of the last pause
+	runningSince float64 // start of the current time up and not paused
+	clockRate    float64 // speed of its clock
+	startedAt    float64
+	deferred     []func() // messages and ends of tasks that arrived during a pause
+	generation   int      // number of its starts
+	alive        map[int]bool
 }
 
 type event struct {
@@ -70,238 +70,240 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
-func newWorld(seed uint64, n int, duties []Duty, s Settings) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), duties: duties, settings: s, delay: [2]float64{0.001, 0.05}, detect: [2]float64{0.5, 1},
-		takes: 0.005, acts: map[string][]done{}, cut: map[[2]int]bool{}, k: duties[0].Candidates}
-	for i := range n {
-		w.nodes = append(w.nodes, &node{w: w, id: i, skew: 1 + 0.01*w.rng.Float64(), sees: map[int]bool{}})
+func newWorld(seed uint64, nodes int, duties []Duty, s Settings) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), duties: duties, settings: s, messageDelay: [2]float64{0.001, 0.05}, detectionDelay: [2]float64{0.5, 1},
+		taskSeconds: 0.005, runs: map[string][]run{}, cutLinks: map[[2]int]bool{}, maxCandidates: duties[0].Candidates}
+	for i := range nodes {
+		w.nodes = append(w.nodes, &node{w: w, id: i, clockRate: 1 + 0.01*w.rng.Float64(), alive: map[int]bool{}})
 	}
 	return w
 }
 
-func (w *world) after(d float64, do func()) {
+func (w *world) after(delay float64, do func()) {
 	w.seq++
-	heap.Push(&w.events, event{w.now + d, w.seq, do})
+	heap.Push(&w.events, event{w.now + delay, w.seq, do})
 }
 
-func (w *world) between(r [2]float64) float64 { return r[0] + w.rng.Float64()*(r[1]-r[0]) }
+func (w *world) uniform(bounds [2]float64) float64 {
+	return bounds[0] + w.rng.Float64()*(bounds[1]-bounds[0])
+}
 
-// run plays until a time.
+// run processes events until the given time.
 func (w *world) run(until float64) error {
-	for len(w.events) > 0 && w.events[0].at <= until && w.fault == nil {
+	for len(w.events) > 0 && w.events[0].at <= until && w.err == nil {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.do()
 	}
 	w.now = until
-	return w.fault
+	return w.err
 }
 
-// clock is a node's own time: it starts with its life and may run fast.
-func (n *node) clock() float64 { return (n.w.now - n.born) * n.skew }
+// clock returns the time on the node's own clock, which begins at its start and may run fast.
+func (n *node) clock() float64 { return (n.w.now - n.startedAt) * n.clockRate }
 
 func (n *node) start() {
-	n.gen++
-	n.up, n.paused, n.born, n.since, n.wakes = true, false, n.w.now, n.w.now, math.Inf(-1)
-	n.m = Member{Name: fmt.Sprintf("node-%03d", n.id), Incarnation: uint64(n.gen), Zone: string(rune('a' + n.id%2)), Weight: 1}
+	n.generation++
+	n.up, n.paused, n.startedAt, n.runningSince, n.resumedAt = true, false, n.w.now, n.w.now, math.Inf(-1)
+	n.member = Member{Name: fmt.Sprintf("node-%03d", n.id), Incarnation: uint64(n.generation), Zone: string(rune('a' + n.id%2)), Weight: 1}
 	s := n.w.settings
-	s.Self = n.m
-	t, err := New(0, s)
+	s.Self = n.member
+	scheduler, err := New(0, s)
 	if err != nil {
-		n.w.fault = err
+		n.w.err = err
 		return
 	}
-	n.t, n.boxed, n.sees = t, nil, map[int]bool{}
-	t.SetDuties(0, n.w.duties)
+	n.scheduler, n.deferred, n.alive = scheduler, nil, map[int]bool{}
+	scheduler.SetDuties(0, n.w.duties)
 	for _, o := range n.w.nodes {
-		n.w.look(n, o)
-		n.w.look(o, n)
+		n.w.observe(n, o)
+		n.w.observe(o, n)
 	}
-	gen := n.gen
-	n.w.after(0, func() { n.tick(gen) })
-	n.w.rosterAt = n.w.now
+	generation := n.generation
+	n.w.after(0, func() { n.tick(generation) })
+	n.w.lastChangeAt = n.w.now
 }
 
 func (n *node) kill() {
 	n.up = false
-	n.w.rosterAt = n.w.now
+	n.w.lastChangeAt = n.w.now
 	for _, o := range n.w.nodes {
-		n.w.look(o, n)
+		n.w.observe(o, n)
 	}
 }
 
-func (n *node) pause(d float64) {
+func (n *node) pause(seconds float64) {
 	if !n.up || n.paused {
 		return
 	}
 	n.paused = true
 	for _, o := range n.w.nodes {
-		n.w.look(o, n)
+		n.w.observe(o, n)
 	}
-	gen := n.gen
-	n.w.after(d, func() {
-		if n.gen != gen || !n.up {
+	generation := n.generation
+	n.w.after(seconds, func() {
+		if n.generation != generation || !n.up {
 			return
 		}
-		n.paused, n.since = false, n.w.now
-		if d > pauseThresholdHandovers*n.w.settings.HandoverDelay { // a shorter one is a slow tick
-			n.wakes = n.w.now
+		n.paused, n.runningSince = false, n.w.now
+		if seconds > pauseThresholdHandovers*n.w.settings.HandoverDelay { // a shorter pause counts as a slow tick
+			n.resumedAt = n.w.now
 		}
-		box := n.boxed
-		n.boxed = nil
-		n.tick(-gen) // its timer has long been due: it goes off before its messages are read
-		for _, m := range box {
-			m()
+		deferred := n.deferred
+		n.deferred = nil
+		n.tick(-generation) // its timer is overdue and fires before its messages are read
+		for _, deliver := range deferred {
+			deliver()
 		}
 		for _, o := range n.w.nodes {
-			n.w.look(o, n)
+			n.w.observe(o, n)
 		}
 	})
 }
 
-// look has one node see what is true of another, a while later.
-func (w *world) look(a, b *node) {
-	if a == b {
+// observe updates what one node knows about another after the detection delay.
+func (w *world) observe(observer, target *node) {
+	if observer == target {
 		return
 	}
-	w.after(w.between(w.detect), func() {
-		if !a.up || a.paused {
+	w.after(w.uniform(w.detectionDelay), func() {
+		if !observer.up || observer.paused {
 			return
 		}
-		there := b.up && !b.paused && !w.cut[[2]int{a.id, b.id}] && !w.cut[[2]int{b.id, a.id}]
-		if a.sees[b.id] != there || there {
-			a.sees[b.id] = there
-			var all []Member
+		reachable := target.up && !target.paused && !w.cutLinks[[2]int{observer.id, target.id}] && !w.cutLinks[[2]int{target.id, observer.id}]
+		if observer.alive[target.id] != reachable || reachable {
+			observer.alive[target.id] = reachable
+			var members []Member
 			for _, o := range w.nodes {
-				if a.sees[o.id] {
-					all = append(all, o.m)
+				if observer.alive[o.id] {
+					members = append(members, o.member)
 				}
 			}
-			a.t.SetMembers(a.clock(), all)
+			observer.scheduler.SetMembers(observer.clock(), members)
 		}
 	})
 }
 
-// setCut cuts the way from a to b, or mends it.
-func (w *world) setCut(a, b int, so bool) {
-	w.cut[[2]int{a, b}] = so
-	w.look(w.nodes[a], w.nodes[b])
-	w.look(w.nodes[b], w.nodes[a])
-	w.rosterAt = w.now
+// setCut cuts the link between two nodes in one direction, or restores it.
+func (w *world) setCut(from, to int, isCut bool) {
+	w.cutLinks[[2]int{from, to}] = isCut
+	w.observe(w.nodes[from], w.nodes[to])
+	w.observe(w.nodes[to], w.nodes[from])
+	w.lastChangeAt = w.now
 }
 
-func (n *node) tick(gen int) {
-	again := gen >= 0
-	if !again {
-		gen = -gen
+func (n *node) tick(generation int) {
+	reschedule := generation >= 0
+	if !reschedule {
+		generation = -generation
 	}
-	if n.gen != gen || !n.up {
+	if n.generation != generation || !n.up {
 		return
 	}
 	if n.paused {
-		n.w.after(0.05, func() { n.tick(gen) })
+		n.w.after(0.05, func() { n.tick(generation) })
 		return
 	}
-	if n.w.plant == "stands still" {
-		n.t.lastTick = n.clock()
+	if n.w.disabledGuard == "pause detection" {
+		n.scheduler.lastTick = n.clock()
 	}
-	acts, next := n.t.Tick(n.clock())
-	for _, a := range acts {
-		n.act(a)
+	tasks, next := n.scheduler.Tick(n.clock())
+	for _, task := range tasks {
+		n.runTask(task)
 	}
-	if again {
-		n.w.after(math.Max(0.001, (next-n.clock())/n.skew), func() { n.tick(gen) })
+	if reschedule {
+		n.w.after(math.Max(0.001, (next-n.clock())/n.clockRate), func() { n.tick(generation) })
 	}
 }
 
-// act does a duty: the subject meets it, and the result goes out when it is done.
-func (n *node) act(a Task) {
+// runTask carries out a task: the subject is accessed now, and the result is sent when the task ends.
+func (n *node) runTask(task Task) {
 	w := n.w
-	if a.TakenOver {
+	if task.TakenOver {
 		w.takeovers++
 	}
-	all := append(w.acts[a.Subject], done{w.now, n.id, w.union(a.Key)})
-	w.acts[a.Subject] = all
-	w.check(n, a, all)
-	if w.plant == "own budget" {
-		n.t.byKey[a.Key].startedAt, n.t.byKey[a.Key].doneAt = math.Inf(-1), math.Inf(-1)
+	runs := append(w.runs[task.Subject], run{w.now, n.id, w.possibleCandidates(task.Key)})
+	w.runs[task.Subject] = runs
+	w.check(n, task, runs)
+	if w.disabledGuard == "own interval" {
+		n.scheduler.byKey[task.Key].startedAt, n.scheduler.byKey[task.Key].doneAt = math.Inf(-1), math.Inf(-1)
 	}
-	gen := n.gen
-	w.after(w.takes, func() {
-		if n.gen != gen || !n.up {
+	generation := n.generation
+	w.after(w.taskSeconds, func() {
+		if n.generation != generation || !n.up {
 			return
 		}
 		finish := func() {
-			if r, ok := n.t.Finish(n.clock(), a, nil); ok {
-				w.send(n, r)
+			if r, ok := n.scheduler.Finish(n.clock(), task, nil); ok {
+				w.broadcast(n, r)
 			}
 		}
 		if n.paused {
-			n.boxed = append(n.boxed, finish)
+			n.deferred = append(n.deferred, finish)
 			return
 		}
 		finish()
 	})
 }
 
-func (w *world) send(from *node, r Result) {
+func (w *world) broadcast(from *node, result Result) {
 	for _, o := range w.nodes {
 		if o == from || !o.up {
 			continue
 		}
-		w.sent++
-		for range 1 + int(w.rng.Float64()+w.dup) {
-			if w.rng.Float64() < w.loss || w.cut[[2]int{from.id, o.id}] {
+		w.messages++
+		for range 1 + int(w.rng.Float64()+w.duplication) {
+			if w.rng.Float64() < w.loss || w.cutLinks[[2]int{from.id, o.id}] {
 				continue
 			}
-			gen := o.gen
-			w.after(w.between(w.delay), func() {
-				hear := func() {
-					if o.gen == gen && o.up {
-						o.t.ReceiveResult(o.clock(), r)
+			generation := o.generation
+			w.after(w.uniform(w.messageDelay), func() {
+				deliver := func() {
+					if o.generation == generation && o.up {
+						o.scheduler.ReceiveResult(o.clock(), result)
 					}
 				}
 				if o.paused {
-					o.boxed = append(o.boxed, hear)
+					o.deferred = append(o.deferred, deliver)
 					return
 				}
-				hear()
+				deliver()
 			})
 		}
 	}
 }
 
-// check holds an act to what is always promised.
-func (w *world) check(n *node, a Task, all []done) {
-	mine, window, most := 0, 0, w.k
-	for _, d := range all {
-		if w.now-d.at < a.Interval-1e-9 {
-			window++
-			most = max(most, d.union)
+// check checks a task against the guarantees that always hold.
+func (w *world) check(n *node, task Task, runs []run) {
+	own, total, limit := 0, 0, w.maxCandidates
+	for _, d := range runs {
+		if w.now-d.at < task.Interval-1e-9 {
+			total++
+			limit = max(limit, d.possibleCandidates)
 			if d.node == n.id {
-				mine++
+				own++
 			}
 		}
 	}
-	if w.plant == "a third candidate" {
-		most = w.k
+	if w.disabledGuard == "candidate limit" {
+		limit = w.maxCandidates
 	}
 	switch {
-	case mine > 1:
-		w.fault = fmt.Errorf("%.3f s: node %d did %s %d times in an interval", w.now, n.id, a.Subject, mine)
-	case w.now-n.wakes < w.settings.HandoverDelay/n.skew-1e-9:
-		w.fault = fmt.Errorf("%.3f s: node %d did %s at once after standing still", w.now, n.id, a.Subject)
-	case window > most:
-		w.fault = fmt.Errorf("%.3f s: %s was done %d times in an interval, %d is the most", w.now, a.Subject, window, most)
+	case own > 1:
+		w.err = fmt.Errorf("%.3f s: node %d ran %s %d times in an interval", w.now, n.id, task.Subject, own)
+	case w.now-n.resumedAt < w.settings.HandoverDelay/n.clockRate-1e-9:
+		w.err = fmt.Errorf("%.3f s: node %d ran %s right after a pause", w.now, n.id, task.Subject)
+	case total > limit:
+		w.err = fmt.Errorf("%.3f s: %s was run %d times in an interval, the limit is %d", w.now, task.Subject, total, limit)
 	}
 }
 
-// union counts those who are candidates for a duty in any instance's eyes.
-func (w *world) union(key Key) int {
+// possibleCandidates counts the members that some live instance considers candidates for a duty.
+func (w *world) possibleCandidates(key Key) int {
 	names := map[string]bool{}
 	for _, n := range w.nodes {
 		if n.up {
-			for _, c := range n.t.byKey[key].candidates {
+			for _, c := range n.scheduler.byKey[key].candidates {
 				names[c.Name] = true
 			}
 		}
@@ -309,39 +311,41 @@
 	return len(names)
 }
 
-// overdue checks, while the premise holds, that each subject was met in time: one of its candidates, the same for
-// all, has been up and unpaused for long enough.
-func (w *world) overdue() error {
+// checkOverdue checks that each duty was run in time, provided that all instances agree on its candidates and one of
+// them has been up and not paused for long enough.
+func (w *world) checkOverdue() error {
 	s := w.settings
 	for i, d := range w.duties {
-		limit := d.Interval*(1+2*maxClockDrift) + float64(w.k)*s.HandoverDelay + 0.01
-		var names []string
+		limit := d.Interval*(1+2*maxClockDrift) + float64(w.maxCandidates)*s.HandoverDelay + 0.01
+		var candidates []string
 		agreed := true
 		for _, n := range w.nodes {
 			if !n.up || n.paused {
 				continue
 			}
-			var mine []string
-			for _, c := range n.t.duties[i].candidates {
-				mine = append(mine, c.Name)
+			var own []string
+			for _, c := range n.scheduler.duties[i].candidates {
+				own = append(own, c.Name)
 			}
-			if names == nil {
-				names = mine
+			if candidates == nil {
+				candidates = own
 			}
-			agreed = agreed && fmt.Sprint(names) == fmt.Sprint(mine)
+			agreed = agreed && fmt.Sprint(candidates) == fmt.Sprint(own)
 		}
 		if !agreed {
 			continue
 		}
 		for _, n := range w.nodes {
-			held := n.up && !n.paused && w.now-n.since > limit+2*s.SettleTime+2*s.HandoverDelay && w.now-w.rosterAt > limit+2*s.SettleTime+2*s.HandoverDelay+w.detect[1]
-			for _, name := range names {
+			mustRun := n.up && !n.paused && w.now-n.runningSince > limit+2*s.SettleTime+2*s.HandoverDelay &&
+				w.now-w.lastChangeAt > limit+2*s.SettleTime+2*s.HandoverDelay+w.detectionDelay[1]
+			for _, name := range candidates {
 				last := math.Inf(-1)
-				if acts := w.acts[d.Subject]; len(acts) > 0 {
-					last = acts[len(acts)-1].at
+				if runs := w.runs[d.Subject]; len(runs) > 0 {
+					last = runs[len(runs)-1].at
 				}
-				if held && n.m.Name == name && w.now-last > limit {
-					return fmt.Errorf("%.3f s: %s was done last %.3f s ago, %.3f s is the most, and its candidate %s is well", w.now, d.Subject, w.now-last, limit, name)
+				if mustRun && n.member.Name == name && w.now-last > limit {
+					return fmt.Errorf("%.3f s: %s was last run %.3f s ago, the limit is %.3f s, and its candidate %s is running",
+						w.now, d.Subject, w.now-last, limit, name)
 				}
 			}
 		}
@@ -349,16 +353,16 @@
 	return nil
 }
 
-// gaps are the stretches between two acts at a subject, in seconds, sorted.
-func (w *world) gaps(from float64) (all []float64) {
+// gaps returns the times between consecutive runs of each duty, in seconds, sorted.
+func (w *world) gaps(from float64) (gaps []float64) {
 	for _, d := range w.duties {
-		acts := w.acts[d.Subject]
-		for i := 1; i < len(acts); i++ {
-			if acts[i-1].at >= from {
-				all = append(all, acts[i].at-acts[i-1].at)
+		runs := w.runs[d.Subject]
+		for i := 1; i < len(runs); i++ {
+			if runs[i-1].at >= from {
+				gaps = append(gaps, runs[i].at-runs[i-1].at)
 			}
 		}
 	}
-	sort.Float64s(all)
-	return all
+	sort.Float64s(gaps)
+	return gaps
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,5 @@
-// Package member finds the other routers and tells who is in sight, on hashicorp/memberlist (SWIM with
-// suspicion), and carries messages between them. It decides nothing: what follows from a view is internal/duty's.
-// internal/peer calls it.
+// Package member implements group membership of routers and messages between them with hashicorp/memberlist (SWIM with
+// suspicion). It reports which members are alive; internal/duty decides what follows from that. internal/peer calls it.
 package member
 
 import (
@@ -24,18 +23,18 @@
 	pb "cherryhub/proto"
 )
 
-// Options of a group. Sight and Heard are called from memberlist's goroutines and must not block.
+// Options configures a Group. OnMembers and OnMessage are called from memberlist's goroutines and must not block.
 type Options struct {
 	Self      duty.Member
 	Listen    string   // IP:port, TCP and UDP
-	Seeds     []string // addresses of some others
-	KeyHex    string   // 16, 24 or 32 bytes
+	Seeds     []string // addresses of some other members
+	KeyHex    string   // encryption key of 16, 24 or 32 bytes
 	OnMembers func(members []duty.Member)
 	OnMessage func(message []byte)
 	Log       *slog.Logger
 }
 
-// Group is this router's part of a group.
+// Group is this router's membership in a group.
 type Group struct {
 	options Options
 	list    *memberlist.Memberlist
@@ -45,21 +44,21 @@
 }
 
 const (
-	maxPacketBytes  = 1200    // bytes of a message that goes by UDP: one packet with room for the key's and memberlist's own
-	maxMessageBytes = 4 << 20 // bytes of any
+	maxPacketBytes  = 1200    // longest message sent over UDP: it must fit in one packet with the overhead of encryption and of memberlist
+	maxMessageBytes = 4 << 20 // longest message
 )
 
-// lastWords is some rounds of gossip.
+// leaveGossipTime is the time for some rounds of gossip.
 const leaveGossipTime = 300 * time.Millisecond
 
-// The pauses between two joins, which double: the first keeps a start short, the longest keeps a seed that stays away, or
-// that has another address among the members, from being asked often by each of many routers.
+// Bounds of the pause between two attempts to join, which doubles each time. The first is short for a fast start. The
+// longest limits how often many routers contact a seed that stays down or is a member under another address.
 const (
 	minJoinPause = time.Second
 	maxJoinPause = 30 * time.Second
 )
 
-// Start joins the group. That no seed answers is no error: they may come later.
+// Start joins the group. It is no error if no seed answers: they may start later.
 func Start(ctx context.Context, o Options) (*Group, error) {
 	key, err := hex.DecodeString(o.KeyHex)
 	if err != nil || len(key) != 16 && len(key) != 24 && len(key) != 32 {
@@ -83,7 +82,7 @@
 	c.SecretKey, c.Delegate, c.Events = key, g, g
 	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = 300*time.Millisecond, 150*time.Millisecond, 3
 	c.GossipInterval, c.TCPTimeout, c.PushPullInterval = 50*time.Millisecond, time.Second, 10*time.Second
-	c.DeadNodeReclaimTime = time.Second // a router that is back has its old address
+	c.DeadNodeReclaimTime = time.Second // a restarted router keeps its address
 	c.GossipToTheDeadTime = 5 * time.Second
 	c.LogOutput = logWriter{o.Log}
 	if g.list, err = memberlist.Create(c); err != nil {
@@ -93,9 +92,9 @@
 	return g, nil
 }
 
-// join asks the seeds that are not in sight, now and again for as long as the group runs. Whether anybody is in sight says
-// nothing of the others: routers that start together, or were cut off, may see each other and not the rest, and nothing else
-// joins the parts.
+// joinSeeds contacts the seeds that are not alive members, repeatedly for as long as the group runs. It does not stop
+// once some member is alive: routers that start together or were partitioned may have found each other but not the
+// rest, and nothing else merges the parts.
 func (g *Group) joinSeeds(ctx context.Context) {
 	pause := minJoinPause
 	for {
@@ -103,7 +102,7 @@
 		if len(missing) == 0 {
 			pause = minJoinPause
 		} else if _, err := g.list.Join(missing); err != nil {
-			g.options.Log.Debug("peers: some seeds do not answer", "err", err)
+			g.options.Log.Debug("peers: could not join through some seeds", "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -114,58 +113,59 @@
 	}
 }
 
-// missingSeeds are the seeds at whose address no member is in sight.
+// missingSeeds returns the seeds at whose address no member is alive.
 func (g *Group) missingSeeds() []string {
-	inSight := make(map[string]bool)
+	alive := make(map[string]bool)
 	for _, member := range g.list.Members() {
-		inSight[member.Address()] = true
+		alive[member.Address()] = true
 	}
-	return slices.DeleteFunc(slices.Clone(g.options.Seeds), func(seed string) bool { return inSight[seed] })
+	return slices.DeleteFunc(slices.Clone(g.options.Seeds), func(seed string) bool { return alive[seed] })
 }
 
-// Tell sends a message to all in sight: a short one as well as UDP can, a long one over TCP, one after another.
+// Broadcast sends a message to all live members, one after another: a short message over UDP, which may lose it, a long
+// one over TCP.
 func (g *Group) Broadcast(message []byte) error {
 	if len(message) > maxPacketBytes {
 		return g.BroadcastReliably(message)
 	}
-	return g.send(message, g.list.SendBestEffort)
+	return g.sendTo(message, g.list.SendBestEffort)
 }
 
-// TellSurely is Tell over TCP.
+// BroadcastReliably is Broadcast over TCP for messages of any length.
 func (g *Group) BroadcastReliably(message []byte) error {
 	if len(message) > maxMessageBytes {
-		return fmt.Errorf("peers: a message of %d bytes, %d are the most", len(message), maxMessageBytes)
+		return fmt.Errorf("peers: message of %d bytes exceeds the limit of %d", len(message), maxMessageBytes)
 	}
-	return g.send(message, g.list.SendReliable)
+	return g.sendTo(message, g.list.SendReliable)
 }
 
-func (g *Group) send(message []byte, send func(*memberlist.Node, []byte) error) error {
-	var all error
+func (g *Group) sendTo(message []byte, sendTo func(*memberlist.Node, []byte) error) error {
+	var errs error
 	for _, n := range g.list.Members() {
 		if n.Name == g.options.Self.Name {
 			continue
 		}
-		if err := send(n, message); err != nil {
-			all = errors.Join(all, fmt.Errorf("peers: tell %s: %w", n.Name, err))
+		if err := sendTo(n, message); err != nil {
+			errs = errors.Join(errs, fmt.Errorf("peers: send to %s: %w", n.Name, err))
 		}
 	}
-	return all
+	return errs
 }
 
-// Stop says that this router goes, and ends its part.
+// Stop announces that this router leaves the group, and shuts down its membership.
 func (g *Group) Stop() error {
 	err := g.list.Leave(500 * time.Millisecond)
-	time.Sleep(leaveGossipTime) // the word goes out a few times: one packet may be lost
+	time.Sleep(leaveGossipTime) // the announcement is repeated in each round, as a packet may be lost
 	return errors.Join(err, g.list.Shutdown())
 }
 
 func (g *Group) notifyMembers() {
-	all := make([]duty.Member, 0, len(g.alive))
-	for _, m := range g.alive { // sorted below
-		all = append(all, m)
+	members := make([]duty.Member, 0, len(g.alive))
+	for _, m := range g.alive { // iteration order does not matter: sorted below
+		members = append(members, m)
 	}
-	slices.SortFunc(all, func(a, b duty.Member) int { return strings.Compare(a.Name, b.Name) })
-	g.options.OnMembers(all)
+	slices.SortFunc(members, func(a, b duty.Member) int { return strings.Compare(a.Name, b.Name) })
+	g.options.OnMembers(members)
 }
 
 func (g *Group) updateMember(n *memberlist.Node) {
@@ -174,7 +174,7 @@
 	}
 	meta := &pb.PeerMeta{}
 	if err := proto.Unmarshal(n.Meta, meta); err != nil || !(meta.GetWeight() > 0) {
-		g.options.Log.Warn("peers: a member whose word is not understood is left out", "member", n.Name, "err", err)
+		g.options.Log.Warn("peers: member with invalid metadata ignored", "member", n.Name, "err", err)
 		return
 	}
 	g.mu.Lock()
@@ -183,11 +183,11 @@
 	g.notifyMembers()
 }
 
-// NotifyJoin is of memberlist.EventDelegate, as are the two below.
+// NotifyJoin implements memberlist.EventDelegate, as do NotifyUpdate and NotifyLeave.
 func (g *Group) NotifyJoin(n *memberlist.Node) {
 	g.updateMember(n)
 	if n.Name != g.options.Self.Name {
-		g.options.Log.Info("peer in sight", "member", n.Name, "address", n.Address())
+		g.options.Log.Info("peer joined", "member", n.Name, "address", n.Address())
 	}
 }
 
@@ -201,10 +201,10 @@
 	delete(g.alive, n.Name)
 	g.notifyMembers()
 	g.mu.Unlock()
-	g.options.Log.Info("peer out of sight", "member", n.Name)
+	g.options.Log.Info("peer left or failed", "member", n.Name)
 }
 
-// NodeMeta is of memberlist.Delegate, as are those below.
+// NodeMeta implements memberlist.Delegate, as do the methods below it.
 func (g *Group) NodeMeta(limit int) []byte { return g.meta[:min(limit, len(g.meta))] }
 
 func (g *Group) NotifyMsg(b []byte) { g.options.OnMessage(bytes.Clone(b)) }
@@ -215,7 +215,7 @@
 
 func (g *Group) MergeRemoteState([]byte, bool) {}
 
-// logWriter hands memberlist's own lines on.
+// logWriter passes memberlist's log lines to a slog.Logger.
 type logWriter struct{ log *slog.Logger }
 
 func (w logWriter) Write(p []byte) (int, error) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,11 +1,11 @@
-// Package peer is a router among others: it feeds internal/duty with who is in sight (internal/member) and with
-// the others' results, does the duties that fall to it, and hands every fresh result to the planner as a probe's.
-// What is to be done when is internal/duty's; what a report means is decide's. internal/router starts it where
-// the settings have peers.
+// Package peer lets a router share periodic duties with other routers. It passes the live members (internal/member) and
+// the other routers' results to internal/duty, carries out the tasks that this router is due, and forwards each fresh
+// probe result to the planner as if this router had probed. internal/duty decides what is due when, and decide what a
+// report means. internal/router starts it if the settings have peers.
 //
-// A report that another router got is taken as one's own would be. A failure that another met is not: one that
-// can't reach an engine must not make it ill at all others. It only has this router look for itself, within its
-// own budget of probes.
+// A report received by another router counts like one of this router's own. A failed probe of another router does not:
+// a router that cannot reach an engine must not make it count as failed at all others. It only makes this router probe
+// the engine itself, within its own probe budget.
 package peer
 
 import (
@@ -27,49 +27,49 @@
 	pb "cherryhub/proto"
 )
 
-// The kinds of duty: asking an engine for its figures, and asking for the engine list where it is not pushed.
+// Kinds of duties: probing an engine for its load report, and fetching the engine list where it is not pushed.
 const (
 	KindProbe duty.Kind = "probe"
 	KindList  duty.Kind = "list"
 )
 
 const (
-	maxConcurrentProbes = 256                   // that run at once
-	sharedProbeWait     = 20 * time.Millisecond // an own need waits so long for the owner's next probe
+	maxConcurrentProbes = 256                   // tasks and probes that run at once
+	sharedProbeWait     = 20 * time.Millisecond // time for which Probe waits for the owner's next result
 )
 
-// Options of a peer.
+// Options configures a Peer.
 type Options struct {
 	Duty               duty.Settings
-	ProbeInterval      float64 // seconds, of probing each engine
+	ProbeInterval      float64 // seconds between two probes of an engine
 	Candidates         int
-	OwnProbesPerSecond float64 // probes a second besides duties
+	OwnProbesPerSecond float64 // limit on probes that are not duties
 	ReportColumns      []string
-	Membership         member.Options // all but what the peer itself fills in
+	Membership         member.Options // the peer sets OnMembers, OnMessage and Log
 	Probe              func(ctx context.Context, address string) ([]float64, error)
 	Notify             func(link.Event)
-	ListRefresh        *ListRefresh // nil where the engine list is pushed
+	ListRefresh        *ListRefresh // nil if the engine list is pushed
 	Log                *slog.Logger
 	Observer           Observer
 }
 
-// Refresh is the duty of asking for the engine list: one asks, and all take what came.
+// ListRefresh describes the duty of fetching the engine list: one router fetches it, and all apply what it received.
 type ListRefresh struct {
-	Subject  string  // the service
+	Subject  string  // URL of the list service
 	Interval float64 // seconds
 	Fetch    func(ctx context.Context) ([]byte, error)
 	Apply    func(text []byte) error
 }
 
-// Observer hears what a peer does; calls must not block.
+// Observer records what a peer does. Its methods must not block.
 type Observer interface {
 	ProbeHandled(reason string)
 	DutyTakenOver(cause string)
-	ResultReceived(standing string)
+	ResultReceived(freshness string)
 	DutyLate(seconds float64)
 }
 
-// Peer is this router among others.
+// Peer is this router's part in the shared duties.
 type Peer struct {
 	options    Options
 	group      *member.Group
@@ -81,21 +81,22 @@
 	mu        sync.Mutex
 	scheduler *duty.Scheduler
 	engines   map[string]link.EngineEntry
-	reports   map[string]*sharedReport // by address
+	reports   map[string]*sharedReport // by engine address
 	members   []duty.Member
 }
 
-// known is the last report of an engine, by any router.
+// sharedReport is the last load report of an engine that any router received.
 type sharedReport struct {
 	report     []float64
 	receivedAt time.Time
-	updated    chan struct{} // closed when a newer one comes
+	updated    chan struct{} // closed when a newer report arrives
 }
 
-// New makes a peer. Run must be called once.
+// New returns a Peer. Run must be called once.
 func New(o Options) (*Peer, error) {
-	p := &Peer{options: o, ownProbes: rate.NewLimiter(rate.Limit(o.OwnProbesPerSecond), max(1, int(o.OwnProbesPerSecond))), probeSlots: make(chan struct{}, maxConcurrentProbes),
-		startedAt: time.Now(), wakeup: make(chan struct{}, 1), engines: map[string]link.EngineEntry{}, reports: map[string]*sharedReport{}}
+	p := &Peer{options: o, ownProbes: rate.NewLimiter(rate.Limit(o.OwnProbesPerSecond), max(1, int(o.OwnProbesPerSecond))),
+		probeSlots: make(chan struct{}, maxConcurrentProbes), startedAt: time.Now(), wakeup: make(chan struct{}, 1),
+		engines: map[string]link.EngineEntry{}, reports: map[string]*sharedReport{}}
 	var err error
 	if p.scheduler, err = duty.New(0, o.Duty); err != nil {
 		return nil, err
@@ -106,11 +107,11 @@
 
 func (p *Peer) now() float64 { return time.Since(p.startedAt).Seconds() }
 
-// Run joins the group and does duties until the context ends.
+// Run joins the group and carries out duties until the context ends.
 func (p *Peer) Run(ctx context.Context) error {
-	o := p.options.Membership
-	o.OnMembers, o.OnMessage, o.Log = p.setMembers, p.receiveMessage, p.options.Log
-	group, err := member.Start(ctx, o)
+	groupOptions := p.options.Membership
+	groupOptions.OnMembers, groupOptions.OnMessage, groupOptions.Log = p.setMembers, p.receiveMessage, p.options.Log
+	group, err := member.Start(ctx, groupOptions)
 	if err != nil {
 		return err
 	}
@@ -125,16 +126,16 @@
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		acts, next := p.scheduler.Tick(p.now())
+		tasks, next := p.scheduler.Tick(p.now())
 		p.mu.Unlock()
-		for _, a := range acts {
-			p.recordTask(a)
+		for _, task := range tasks {
+			p.recordTask(task)
 			select {
 			case p.probeSlots <- struct{}{}:
-				probes.Go(func() { p.runTask(ctx, a); <-p.probeSlots })
-			default: // it ends without a result, and others step in
+				probes.Go(func() { p.runTask(ctx, task); <-p.probeSlots })
+			default: // ends without a result, so that a standby takes over
 				p.mu.Lock()
-				p.scheduler.Finish(p.now(), a, nil)
+				p.scheduler.Finish(p.now(), task, nil)
 				p.mu.Unlock()
 			}
 		}
@@ -146,119 +147,120 @@
 		}
 	}
 	probes.Wait()
-	// memberlist's event of one who goes looks like that of one who died: it is said here.
+	// memberlist reports a member that leaves like one that failed, so the departure is announced by a message.
 	if message, err := proto.Marshal(&pb.PeerResults{Leaves: &p.options.Duty.Self.Name}); err == nil {
 		if err := group.BroadcastReliably(message); err != nil {
-			p.options.Log.Info("not all know that this router goes", "err", err)
+			p.options.Log.Info("departure not sent to all peers", "err", err)
 		}
 	}
 	return group.Stop()
 }
 
-// first asks for the engine list at the start: a router without one can serve nobody, and duties begin only once
-// the others are known.
+// fetchFirstList fetches the engine list at the start: a router cannot serve without one, and duties begin only once
+// the other members are known.
 func (p *Peer) fetchFirstList(ctx context.Context) {
-	for wait := firstFetchRetryDelay; ; wait = min(2*wait, 16*firstFetchRetryDelay) {
+	for delay := firstFetchRetryDelay; ; delay = min(2*delay, 16*firstFetchRetryDelay) {
 		_, err := p.options.ListRefresh.Fetch(ctx)
 		if err == nil {
 			return
 		}
-		p.options.Log.Warn("no engine list yet", "err", err)
+		p.options.Log.Warn("fetching the first engine list failed", "err", err)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// firstAgain is the first wait between tries for the first list; it doubles.
+// firstFetchRetryDelay is the delay before the first retry of fetchFirstList; it doubles each time.
 const firstFetchRetryDelay = 100 * time.Millisecond
 
-func (p *Peer) recordTask(a duty.Task) {
-	if a.Kind == KindProbe {
-		p.options.Observer.ProbeHandled(a.Cause.String())
+func (p *Peer) recordTask(task duty.Task) {
+	if task.Kind == KindProbe {
+		p.options.Observer.ProbeHandled(task.Cause.String())
 	}
-	p.options.Observer.DutyLate(a.Late)
-	if a.TakenOver {
-		p.options.Observer.DutyTakenOver(a.Cause.String())
-		p.options.Log.Info("duty taken over", "duty", a.Kind, "subject", a.Subject, "cause", a.Cause.String(), "epoch", a.Epoch.Number)
+	p.options.Observer.DutyLate(task.Late)
+	if task.TakenOver {
+		p.options.Observer.DutyTakenOver(task.Cause.String())
+		p.options.Log.Info("duty taken over", "duty", task.Kind, "subject", task.Subject, "cause", task.Cause.String(), "epoch", task.Epoch.Number)
 	}
 }
 
-// act does a duty and tells of it.
-func (p *Peer) runTask(ctx context.Context, a duty.Task) {
+// runTask carries out a task and sends its result to the other members.
+func (p *Peer) runTask(ctx context.Context, task duty.Task) {
 	var payload []byte
-	var bad error
-	if a.Kind == KindList {
-		payload, bad = p.options.ListRefresh.Fetch(ctx)
+	var taskErr error
+	if task.Kind == KindList {
+		payload, taskErr = p.options.ListRefresh.Fetch(ctx)
 	} else {
-		report, err := p.options.Probe(ctx, a.Subject)
+		report, err := p.options.Probe(ctx, task.Subject)
 		outcome := engine.ProbeOutcome(err)
-		p.storeReport(a.Subject, outcome, report)
-		p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: a.Subject, Outcome: outcome, Report: report})
-		payload, bad = proto.Marshal(&pb.ProbeResult{Outcome: proto.Int32(int32(outcome)), Report: report, Columns: p.options.ReportColumns})
+		p.storeReport(task.Subject, outcome, report)
+		p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: task.Subject, Outcome: outcome, Report: report})
+		payload, taskErr = proto.Marshal(&pb.ProbeResult{Outcome: proto.Int32(int32(outcome)), Report: report, Columns: p.options.ReportColumns})
 	}
 	p.mu.Lock()
-	result, tell := p.scheduler.Finish(p.now(), a, payload)
+	result, send := p.scheduler.Finish(p.now(), task, payload)
 	group := p.group
 	p.mu.Unlock()
-	if bad != nil {
-		p.options.Log.Info("duty failed", "duty", a.Kind, "subject", a.Subject, "err", bad)
+	if taskErr != nil {
+		p.options.Log.Info("duty failed", "duty", task.Kind, "subject", task.Subject, "err", taskErr)
 	}
-	if !tell || bad != nil || ctx.Err() != nil {
-		return // those who stand by step in
+	if !send || taskErr != nil || ctx.Err() != nil {
+		return // a standby takes over
 	}
-	message, bad := proto.Marshal(&pb.PeerResults{Results: []*pb.PeerResult{{Kind: proto.String(string(result.Kind)), Subject: &result.Subject,
+	message, taskErr := proto.Marshal(&pb.PeerResults{Results: []*pb.PeerResult{{Kind: proto.String(string(result.Kind)), Subject: &result.Subject,
 		Epoch: &result.Epoch.Number, Owner: &result.Epoch.Owner, Incarnation: &result.Origin.Incarnation, AgeS: &result.Age, Payload: payload}}})
-	if bad == nil {
-		bad = group.Broadcast(message)
+	if taskErr == nil {
+		taskErr = group.Broadcast(message)
 	}
-	if bad != nil {
-		p.options.Log.Debug("result not told to all", "err", bad)
+	if taskErr != nil {
+		p.options.Log.Debug("result not sent to all peers", "err", taskErr)
 	}
 }
 
-// heard takes others' results.
+// receiveMessage processes a message from another member.
 func (p *Peer) receiveMessage(message []byte) {
-	all := &pb.PeerResults{}
-	if err := proto.Unmarshal(message, all); err != nil {
-		p.options.Log.Warn("peers: a message that is not understood", "err", err)
+	results := &pb.PeerResults{}
+	if err := proto.Unmarshal(message, results); err != nil {
+		p.options.Log.Warn("peers: malformed message", "err", err)
 		return
 	}
-	if name := all.GetLeaves(); name != "" {
+	if name := results.GetLeaves(); name != "" {
 		p.memberLeft(name)
 	}
-	for _, r := range all.GetResults() {
+	for _, result := range results.GetResults() {
 		p.mu.Lock()
-		standing := p.scheduler.ReceiveResult(p.now(), duty.Result{Key: duty.Key{Kind: duty.Kind(r.GetKind()), Subject: r.GetSubject()},
-			Epoch: duty.Epoch{Number: r.GetEpoch(), Owner: r.GetOwner()}, Origin: duty.Member{Name: r.GetOwner(), Incarnation: r.GetIncarnation()},
-			Age: r.GetAgeS(), Payload: r.GetPayload()})
+		freshness := p.scheduler.ReceiveResult(p.now(), duty.Result{Key: duty.Key{Kind: duty.Kind(result.GetKind()), Subject: result.GetSubject()},
+			Epoch:  duty.Epoch{Number: result.GetEpoch(), Owner: result.GetOwner()},
+			Origin: duty.Member{Name: result.GetOwner(), Incarnation: result.GetIncarnation()},
+			Age:    result.GetAgeS(), Payload: result.GetPayload()})
 		p.mu.Unlock()
-		p.options.Observer.ResultReceived(standing.String())
-		if standing != duty.Fresh {
+		p.options.Observer.ResultReceived(freshness.String())
+		if freshness != duty.Fresh {
 			continue
 		}
-		switch duty.Kind(r.GetKind()) {
+		switch duty.Kind(result.GetKind()) {
 		case KindProbe:
-			p.applyProbeResult(r.GetSubject(), r.GetPayload())
+			p.applyProbeResult(result.GetSubject(), result.GetPayload())
 		case KindList:
-			if err := p.options.ListRefresh.Apply(r.GetPayload()); err != nil {
-				p.options.Log.Warn("another's engine list is not taken", "from", r.GetOwner(), "err", err)
+			if err := p.options.ListRefresh.Apply(result.GetPayload()); err != nil {
+				p.options.Log.Warn("engine list of another router rejected", "from", result.GetOwner(), "err", err)
 			}
 		}
 	}
 }
 
-// use hands another's probe to the planner, or looks for itself where the other failed.
+// applyProbeResult passes another router's report to the planner, or probes the engine if that router's probe failed.
 func (p *Peer) applyProbeResult(address string, payload []byte) {
-	probe := &pb.ProbeResult{}
-	if err := proto.Unmarshal(payload, probe); err != nil || !slices.Equal(probe.GetColumns(), p.options.ReportColumns) {
-		return // another release, or other settings
+	result := &pb.ProbeResult{}
+	if err := proto.Unmarshal(payload, result); err != nil || !slices.Equal(result.GetColumns(), p.options.ReportColumns) {
+		return // another version, or other settings
 	}
-	if decide.Outcome(probe.GetOutcome()) == decide.Finished {
-		p.storeReport(address, decide.Finished, probe.GetReport())
-		p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: address, Outcome: decide.Finished, Report: probe.GetReport()})
+	if decide.Outcome(result.GetOutcome()) == decide.Finished {
+		p.storeReport(address, decide.Finished, result.GetReport())
+		p.options.Notify(link.Event{Kind: link.ProbeEnded, Address: address, Outcome: decide.Finished, Report: result.GetReport()})
 		return
 	}
 	if !p.ownProbes.Allow() {
@@ -276,31 +278,31 @@
 	}
 }
 
-func (p *Peer) storeReport(address string, o decide.Outcome, report []float64) {
-	if o != decide.Finished {
+func (p *Peer) storeReport(address string, outcome decide.Outcome, report []float64) {
+	if outcome != decide.Finished {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.reports[address]
-	if k == nil {
-		return // no duty any more
+	shared := p.reports[address]
+	if shared == nil {
+		return // the engine is no longer a duty
 	}
-	k.report, k.receivedAt = report, time.Now()
-	close(k.updated)
-	k.updated = make(chan struct{})
+	shared.report, shared.receivedAt = report, time.Now()
+	close(shared.updated)
+	shared.updated = make(chan struct{})
 }
 
-// Probe meets an own need: by a shared report that is fresh enough, by the owner's next if it comes at once,
-// else by a probe within the own budget.
+// Probe returns a load report for this router's own use: a shared one if it is fresh, the owner's next if it arrives
+// within sharedProbeWait, or else one from a probe within the own probe budget.
 func (p *Peer) Probe(ctx context.Context, address string) ([]float64, error) {
 	p.mu.Lock()
-	k := p.reports[address]
-	var next chan struct{}
-	if k != nil {
-		next = k.updated
-		if time.Since(k.receivedAt).Seconds() <= p.options.ProbeInterval {
-			report := k.report
+	shared := p.reports[address]
+	var updated chan struct{}
+	if shared != nil {
+		updated = shared.updated
+		if time.Since(shared.receivedAt).Seconds() <= p.options.ProbeInterval {
+			report := shared.report
 			p.mu.Unlock()
 			p.options.Observer.ProbeHandled("answered from a shared one")
 			return report, nil
@@ -308,9 +310,9 @@
 	}
 	p.mu.Unlock()
 	select {
-	case <-next: // nil where there is no duty: it never comes
+	case <-updated: // nil if the engine is no duty, and then never ready
 		p.mu.Lock()
-		report := k.report
+		report := shared.report
 		p.mu.Unlock()
 		p.options.Observer.ProbeHandled("joined a shared one")
 		return report, nil
@@ -320,20 +322,20 @@
 	}
 	if !p.ownProbes.Allow() {
 		p.options.Observer.ProbeHandled("own need, not met")
-		return nil, fmt.Errorf("probe %s: own probes are used up, and no shared one came: %w", address, engine.ErrNotAsked)
+		return nil, fmt.Errorf("probe %s: probe budget exhausted and no shared report received: %w", address, engine.ErrNotAsked)
 	}
 	p.options.Observer.ProbeHandled("own need")
 	return p.options.Probe(ctx, address)
 }
 
-// List takes news of the engines: each that is ready is a duty.
-func (p *Peer) UpdateEngines(l *link.EngineList) {
+// UpdateEngines applies an engine list: each engine that is ready is a duty.
+func (p *Peer) UpdateEngines(list *link.EngineList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.Kind == decide.ListSnapshot || l.Kind == decide.ListCachedSnapshot {
+	if list.Kind == decide.ListSnapshot || list.Kind == decide.ListCachedSnapshot {
 		clear(p.engines)
 	}
-	for _, e := range l.Entries {
+	for _, e := range list.Entries {
 		if e.Phase == decide.Ready {
 			p.engines[e.Address] = e
 		} else {
@@ -344,26 +346,27 @@
 	p.wake()
 }
 
-// setDuties makes the duties of the engines that are ready, and of the list.
+// setDuties sets the duties: fetching the engine list, if it is not pushed, and probing each engine that is ready.
 func (p *Peer) setDuties() {
-	var all []duty.Duty
+	var duties []duty.Duty
 	if r := p.options.ListRefresh; r != nil {
-		all = append(all, duty.Duty{Key: duty.Key{Kind: KindList, Subject: r.Subject}, Interval: r.Interval, Candidates: p.options.Candidates})
+		duties = append(duties, duty.Duty{Key: duty.Key{Kind: KindList, Subject: r.Subject}, Interval: r.Interval, Candidates: p.options.Candidates})
 	}
 	addresses := make([]string, 0, len(p.engines))
-	for a := range p.engines { // sorted below
-		addresses = append(addresses, a)
+	for address := range p.engines { // iteration order does not matter: sorted below
+		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
-	fresh := make(map[string]*sharedReport, len(addresses))
-	for _, a := range addresses {
-		all = append(all, duty.Duty{Key: duty.Key{Kind: KindProbe, Subject: a}, Zone: p.engines[a].Zone, Interval: p.options.ProbeInterval, Candidates: p.options.Candidates})
-		if fresh[a] = p.reports[a]; fresh[a] == nil {
-			fresh[a] = &sharedReport{updated: make(chan struct{})}
+	reports := make(map[string]*sharedReport, len(addresses))
+	for _, address := range addresses {
+		duties = append(duties, duty.Duty{Key: duty.Key{Kind: KindProbe, Subject: address}, Zone: p.engines[address].Zone,
+			Interval: p.options.ProbeInterval, Candidates: p.options.Candidates})
+		if reports[address] = p.reports[address]; reports[address] == nil {
+			reports[address] = &sharedReport{updated: make(chan struct{})}
 		}
 	}
-	p.reports = fresh
-	p.scheduler.SetDuties(p.now(), all)
+	p.reports = reports
+	p.scheduler.SetDuties(p.now(), duties)
 }
 
 func (p *Peer) wake() {
@@ -388,15 +391,15 @@
 	p.wake()
 }
 
-// Duties is what is known of each duty.
+// Duties returns the state of each duty.
 func (p *Peer) Duties() []duty.Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.Status(p.now())
 }
 
-// Members are this instance, those in sight, and the names on the roster.
-func (p *Peer) Members() (self duty.Member, sight []duty.Member, roster []string) {
+// Members returns this instance, the other live members, and the names on the roster.
+func (p *Peer) Members() (self duty.Member, members []duty.Member, roster []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.options.Duty.Self, slices.Clone(p.members), p.scheduler.Roster()
