--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	maxClockDrift           = 0.02 // relative difference between two clocks; lengthens the interval between an instance's own runs
+	maxClockDrift           = 0.02 // maximum relative difference between two clocks; an instance lengthens the interval between its own runs by it
 	pauseThresholdHandovers = 2.0  // a gap between two ticks of more handover delays means that this instance was paused
 	maxResultAgeIntervals   = 3.0  // older results are ignored
 )
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -324,9 +324,10 @@
 	assert.InDelta(t, 1500, firstCandidates["a2"], 100)
 }
 
-// TestAtSize logs the cost at scale, compared with instances that probe independently. For the figures of
-// docs/results.md:
-// go test ./internal/duty -run TestAtSize -v -duty.nodes 250 -duty.engines 100 -duty.seconds 3600
+// TestAtSize logs the cost at scale, compared with instances that probe independently. The figures in docs/results.md
+// come from:
+//
+//	go test ./internal/duty -run TestAtSize -v -duty.nodes 250 -duty.engines 100 -duty.seconds 3600
 func TestAtSize(t *testing.T) {
 	w := newWorld(3, *sizeNodes, probeDuties(*sizeEngines, 2), Settings{SettleTime: 2, LeaseTime: 30, HandoverDelay: 0.2, MaxJoins: 100})
 	w.loss = 0.01
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -19,7 +19,7 @@
 	DispatchStarted                      // a dispatch produced its first token: Dispatch, Elapsed
 	ReservationAnswered                  // a reservation was granted or refused: Dispatch, Reserved
 	DispatchEnded                        // a dispatch ended: Dispatch, Outcome, Elapsed, Answered, CachedTokens, Report
-	ClientLeft                           // the client disconnected, or the edge answered in the planner's place
+	ClientLeft                           // the client disconnected, or the edge answered it because the planner had not
 	ProbeEnded                           // a probe ended, or an engine's answer carried a load report: Address, Outcome, Report
 	EnginesUpdated                       // the engine list changed: EngineList
 )
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -61,7 +61,7 @@
 	Apply    func(text []byte) error
 }
 
-// Observer records what a peer does. Its methods must not block.
+// Observer records what a peer does, for metrics. Its methods must not block.
 type Observer interface {
 	ProbeHandled(reason string)
 	DutyTakenOver(cause string)
