--- a/cmd/cherryhub/bench.go
+++ b/cmd/cherryhub/bench.go
@@ -21,17 +21,17 @@
 		RunE: func(*cobra.Command, []string) error {
 			switch {
 			case asEngines != "":
-				return bench.Engines(asEngines, list)
+				return bench.ServeEngines(asEngines, list)
 			case asProxy != "":
-				return bench.Proxy(asProxy, engines)
+				return bench.ServeProxy(asProxy, engines)
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
 			var err error
-			if o.Self, err = os.Executable(); err != nil {
+			if o.Executable, err = os.Executable(); err != nil {
 				return fmt.Errorf("bench: %w", err)
 			}
-			o.Report = func(format string, a ...any) { fmt.Fprintf(os.Stderr, format+"\n", a...) }
+			o.Logf = func(format string, a ...any) { fmt.Fprintf(os.Stderr, format+"\n", a...) }
 			sides, err := bench.Run(ctx, o)
 			if err != nil {
 				return err
@@ -41,9 +41,9 @@
 		}}
 	f := c.Flags()
 	f.IntVar(&o.Rounds, "rounds", 3, "rounds of router and proxy in turn")
-	f.DurationVar(&o.Length, "length", 5*time.Second, "length of one measurement")
+	f.DurationVar(&o.Duration, "length", 5*time.Second, "length of one measurement")
 	f.IntVar(&o.Clients, "clients", 64, "clients at saturation")
-	f.IntVar(&o.Streams, "streams", 10000, "streams open at once for memory, 0 for none")
+	f.IntVar(&o.OpenStreams, "streams", 10000, "streams open at once for memory, 0 for none")
 	f.StringVar(&asEngines, "as-engines", "", "")
 	f.StringVar(&list, "list", "", "")
 	f.StringVar(&asProxy, "as-proxy", "", "")
@@ -55,31 +55,31 @@
 }
 
 func crowdCommand() *cobra.Command {
-	var o bench.CrowdOptions
+	var o bench.FloodOptions
 	c := &cobra.Command{Use: "crowd", Short: "Measure admission while everybody connects at once, with stand-in engines and clients", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
 			var err error
-			if o.Self, err = os.Executable(); err != nil {
+			if o.Executable, err = os.Executable(); err != nil {
 				return fmt.Errorf("crowd: %w", err)
 			}
 			if _, err := door.RaiseDescriptorLimit(); err != nil { // the flood's own
 				return err
 			}
-			o.Report = func(format string, a ...any) { fmt.Fprintf(os.Stderr, format+"\n", a...) }
-			report, err := bench.Crowd(ctx, o)
+			o.Logf = func(format string, a ...any) { fmt.Fprintf(os.Stderr, format+"\n", a...) }
+			report, err := bench.RunFlood(ctx, o)
 			if err != nil {
 				return err
 			}
-			bench.PrintCrowd(os.Stdout, report)
+			bench.PrintFlood(os.Stdout, report)
 			return nil
 		}}
 	f := c.Flags()
-	f.DurationVar(&o.Length, "length", 5*time.Second, "length of one measurement")
-	f.IntVar(&o.Limit, "limit", 4096, "of the router's descriptors")
-	f.IntVar(&o.Flood, "flood", 8000, "connections that the flood has under way at once")
-	f.IntVar(&o.Known, "known", 100, "known clients")
-	f.IntVar(&o.Idle, "idle", 15000, "idle connections for memory, 0 for none")
+	f.DurationVar(&o.Duration, "length", 5*time.Second, "length of one measurement")
+	f.IntVar(&o.MaxDescriptors, "limit", 4096, "of the router's descriptors")
+	f.IntVar(&o.FloodConns, "flood", 8000, "connections that the flood has under way at once")
+	f.IntVar(&o.KnownClients, "known", 100, "known clients")
+	f.IntVar(&o.IdleConns, "idle", 15000, "idle connections for memory, 0 for none")
 	return c
 }
--- a/cmd/cherryhub/run.go
+++ b/cmd/cherryhub/run.go
@@ -23,7 +23,7 @@
 			if err != nil {
 				return usage{err}
 			}
-			service.Tune(c)
+			service.ApplyLimits(c)
 			// Standard error goes to the platform, as a pipe: a reader that stands still or has gone must not hold up or end the
 			// router.
 			signal.Ignore(syscall.SIGPIPE)
@@ -36,7 +36,7 @@
 			}
 			for {
 				select {
-				case err := <-r.Fault():
+				case err := <-r.Errors():
 					return errors.Join(err, r.Stop(context.Background()))
 				case s := <-signals:
 					if s != syscall.SIGHUP {
--- a/cmd/cherryhub/run_test.go
+++ b/cmd/cherryhub/run_test.go
@@ -38,14 +38,14 @@
 		debug.SetMemoryLimit(memory)
 		debug.SetGCPercent(percent)
 	}()
-	w := standin.NewWorld()
-	w.Pause = 20 * time.Millisecond
+	w := standin.NewFleet()
+	w.EventInterval = 20 * time.Millisecond
 	var hosts []discovery.Host
 	for name, machine := range map[string]string{"a": "reads", "b": "writes", "c": "writes"} {
-		e, err := w.Start(name, machine == "reads")
+		e, err := w.StartEngine(name, machine == "reads")
 		require.NoError(t, err)
 		defer e.Close()
-		hosts = append(hosts, discovery.Host{Name: name, Address: e.Address(), Zone: "here", Machine: machine, Health: "Ready"})
+		hosts = append(hosts, discovery.Host{Name: name, Address: e.Address(), Zone: "here", MachineKind: machine, Health: "Ready"})
 	}
 	var lists [2]*standin.Discovery
 	for i := range lists {
@@ -104,13 +104,13 @@
 	time.Sleep(200 * time.Millisecond)
 	write(fmt.Sprintf(platformConfig, listen, lists[1].Address()))
 	signal(syscall.SIGHUP)
-	require.Eventually(t, func() bool { return lists[1].Asked() >= 2 }, 2*time.Second, time.Millisecond)
-	asked := lists[0].Asked()
+	require.Eventually(t, func() bool { return lists[1].RequestCount() >= 2 }, 2*time.Second, time.Millisecond)
+	asked := lists[0].RequestCount()
 	write("{")
 	signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	require.True(t, up(), "a file that can't be read stopped the router")
-	require.Equal(t, asked, lists[0].Asked())
+	require.Equal(t, asked, lists[0].RequestCount())
 	signal(syscall.SIGTERM)
 	time.Sleep(300 * time.Millisecond)
 	done.Store(true)
--- a/cmd/cherryhub/soak.go
+++ b/cmd/cherryhub/soak.go
@@ -40,9 +40,9 @@
 			return playSoak(ctx, o, asJSON, os.Stdout)
 		}}
 	f := c.Flags()
-	f.Uint64Var(&o.First, "seed", 1, "the first seed")
-	f.IntVar(&o.Seeds, "seeds", 1, fmt.Sprintf("how many seeds, up to %d", soak.SeedsMost))
-	f.IntVar(&o.Parallel, "parallel", 1, fmt.Sprintf("seeds at once, up to %d", soak.ParallelMost))
+	f.Uint64Var(&o.FirstSeed, "seed", 1, "the first seed")
+	f.IntVar(&o.Seeds, "seeds", 1, fmt.Sprintf("how many seeds, up to %d", soak.MaxSeeds))
+	f.IntVar(&o.Parallel, "parallel", 1, fmt.Sprintf("seeds at once, up to %d", soak.MaxParallel))
 	f.StringSliceVar(&faults, "fault", nil, "classes of fault in place of those that the seeds draw")
 	f.StringArrayVar(&o.Program, "program", nil, "the router's program in place of this one")
 	f.BoolVar(&asJSON, "json", false, "print the sum as JSON")
@@ -53,21 +53,21 @@
 // playSoak plays and prints a line a seed, the timeline of a broken rule, and the sum.
 func playSoak(ctx context.Context, o soak.Options, asJSON bool, out io.Writer) error {
 	var sum soak.Summary
-	err := soak.Run(ctx, o, func(v *soak.Verdict) {
+	err := soak.Run(ctx, o, func(v *soak.Result) {
 		sum.Add(v)
 		fmt.Fprintf(out, "seed %d: %v, %d routers, deadlines to %v: %d requests, %d served, %d attempts, %d breaks\n", v.Scenario.Seed,
-			v.Scenario.Faults, v.Scenario.Routers, v.Scenario.Deadline, v.Requests, v.Served, v.Attempts, len(v.Breaks))
-		for _, b := range v.Breaks {
+			v.Scenario.Faults, v.Scenario.Routers, v.Scenario.ClientTimeout, v.Requests, v.Served, v.Attempts, len(v.Violations))
+		for _, b := range v.Violations {
 			fmt.Fprintf(out, "  broken: %s: %s: %s\n", b.Rule, b.ID, b.Detail)
 		}
 		if v.Err != nil {
 			fmt.Fprintf(out, "  not played: %v\n", v.Err)
 		}
-		if v.Err != nil || len(v.Breaks) > 0 {
+		if v.Err != nil || len(v.Violations) > 0 {
 			fmt.Fprintf(out, "%s  again: cherryhub soak --seed %d%s\n", v.Timeline, v.Scenario.Seed, faultFlags(o.Faults))
 		}
 	})
-	if errors.Is(err, soak.ErrFault) || errors.Is(err, soak.ErrSeeds) || errors.Is(err, soak.ErrParallel) || errors.Is(err, soak.ErrProgram) {
+	if errors.Is(err, soak.ErrUnknownFault) || errors.Is(err, soak.ErrSeedCount) || errors.Is(err, soak.ErrParallel) || errors.Is(err, soak.ErrProgram) {
 		return usage{err}
 	}
 	if err != nil {
@@ -76,7 +76,7 @@
 	if err := printSum(out, &sum, asJSON); err != nil {
 		return err
 	}
-	if !sum.Good() {
+	if !sum.Passed() {
 		return errBroken
 	}
 	return nil
--- a/cmd/cherryhub/soak_test.go
+++ b/cmd/cherryhub/soak_test.go
@@ -31,7 +31,7 @@
 // silentConnections is a scenario in which connections to all writers fall silent again and again by a fault, while others work.
 func silentConnections(fault soak.Fault) *soak.Scenario {
 	const writers, first, each = 3, time.Second, 150 * time.Millisecond
-	s := &soak.Scenario{Seed: 1, Faults: []soak.Fault{fault}, Deadline: 3 * time.Second, Routers: 3}
+	s := &soak.Scenario{Seed: 1, Faults: []soak.Fault{fault}, ClientTimeout: 3 * time.Second, Routers: 3}
 	for n := range 30 {
 		for writer := range 4 {
 			s.Events = append(s.Events, soak.Event{At: first + time.Duration(n)*each, Fault: fault, Engine: writers + writer})
@@ -48,10 +48,10 @@
 func TestIdleConnectionsFallSilent(t *testing.T) { playSilentConnections(t, soak.IdleSilent) }
 
 func playSilentConnections(t *testing.T, fault soak.Fault) {
-	r, err := soak.Play(t.Context(), routerProgram(t), t.TempDir(), silentConnections(fault))
+	r, err := soak.RunScenario(t.Context(), routerProgram(t), t.TempDir(), silentConnections(fault))
 	require.NoError(t, err)
-	require.Greater(t, len(r.Seen), 50)
-	breaks, _ := soak.Judge(r)
+	require.Greater(t, len(r.Requests), 50)
+	breaks, _ := soak.CheckRules(r)
 	for _, b := range breaks {
 		assert.Fail(t, string(b.Rule), "%s: %s", b.ID, b.Detail)
 	}
@@ -73,11 +73,11 @@
 }
 
 // playKeeping plays seeds, wants all rules kept, and gives each verdict to more, nil for none.
-func playKeeping(t *testing.T, o soak.Options, more func(*soak.Verdict)) {
+func playKeeping(t *testing.T, o soak.Options, more func(*soak.Result)) {
 	o.Program, o.Dir = routerProgram(t), t.TempDir()
-	require.NoError(t, soak.Run(t.Context(), o, func(v *soak.Verdict) {
+	require.NoError(t, soak.Run(t.Context(), o, func(v *soak.Result) {
 		assert.NoError(t, v.Err)
-		assert.Empty(t, v.Breaks, "seed %d, %v:\n%s", v.Scenario.Seed, v.Scenario.Faults, v.Timeline)
+		assert.Empty(t, v.Violations, "seed %d, %v:\n%s", v.Scenario.Seed, v.Scenario.Faults, v.Timeline)
 		if more != nil {
 			more(v)
 		}
@@ -86,7 +86,7 @@
 
 // playServing is playKeeping that also wants enough requests served.
 func playServing(t *testing.T, o soak.Options) {
-	playKeeping(t, o, func(v *soak.Verdict) {
+	playKeeping(t, o, func(v *soak.Result) {
 		assert.Greater(t, v.Served, 20, "seed %d, %v", v.Scenario.Seed, v.Scenario.Faults)
 	})
 }
@@ -94,7 +94,7 @@
 // TestSoak: no rule is broken in seeded pairs and threes of faults, by router processes that are ended by signals in series.
 func TestSoak(t *testing.T) {
 	for n, faults := range soaked {
-		playServing(t, soak.Options{First: uint64(1 + n*soakSeeds/len(soaked)), Seeds: soakSeeds / len(soaked), Parallel: soakParallel / 2, Faults: faults})
+		playServing(t, soak.Options{FirstSeed: uint64(1 + n*soakSeeds/len(soaked)), Seeds: soakSeeds / len(soaked), Parallel: soakParallel / 2, Faults: faults})
 	}
 }
 
@@ -107,7 +107,7 @@
 
 // playSilent plays seeds of one fault that has connections fall silent.
 func playSilent(t *testing.T, fault soak.Fault) {
-	playKeeping(t, soak.Options{First: 10, Seeds: 3, Parallel: 3, Faults: []soak.Fault{fault}}, nil)
+	playKeeping(t, soak.Options{FirstSeed: 10, Seeds: 3, Parallel: 3, Faults: []soak.Fault{fault}}, nil)
 }
 
 // TestSoakSilentFromTheStart: no rule is broken where some connections come up and swallow all that is sent on them.
@@ -126,6 +126,6 @@
 // TestSoakLogs: a router goes on serving, and keeps the rules, while nobody reads its log and after its log's reader has gone.
 func TestSoakLogs(t *testing.T) {
 	for _, fault := range []soak.Fault{soak.LogStalls, soak.LogCut} {
-		playServing(t, soak.Options{First: 3, Seeds: 2, Parallel: 2, Faults: []soak.Fault{fault}})
+		playServing(t, soak.Options{FirstSeed: 3, Seeds: 2, Parallel: 2, Faults: []soak.Fault{fault}})
 	}
 }
--- a/deploy/build_test.go
+++ b/deploy/build_test.go
@@ -46,10 +46,10 @@
 	require.NoError(t, err)
 	require.Contains(t, strings.Join(libraries, " "), "libc.so", "linked dynamically")
 
-	engine, err := standin.NewWorld().Start("a", false)
+	engine, err := standin.NewFleet().StartEngine("a", false)
 	require.NoError(t, err)
 	defer engine.Close()
-	list, err := standin.StartDiscovery([]discovery.Host{{Name: "a", Address: engine.Address(), Zone: "here", Machine: "both", Health: "Ready"}})
+	list, err := standin.StartDiscovery([]discovery.Host{{Name: "a", Address: engine.Address(), Zone: "here", MachineKind: "both", Health: "Ready"}})
 	require.NoError(t, err)
 	defer list.Close()
 	ln, err := loopback.Listen("127.0.0.1")
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -36,35 +36,35 @@
 
 // Options of a run.
 type Options struct {
-	Self    string        // our own program, which is also router, proxy and engines
-	Rounds  int           // of router and proxy in turn
-	Length  time.Duration // of one measurement
-	Clients int           // at saturation
-	Streams int           // open at once, for memory
-	Report  func(format string, a ...any)
+	Executable  string        // our own program, which is also router, proxy and engines
+	Rounds      int           // of router and proxy in turn
+	Duration    time.Duration // of one measurement
+	Clients     int           // at saturation
+	OpenStreams int           // open at once, for memory
+	Logf        func(format string, a ...any)
 }
 
 // Side is what one of the two came to.
-type Side struct {
-	Name           string
-	Throughput     []float64 // completions a second, a round each
-	CPU            []float64 // seconds of CPU a completion
-	Decide         []float64 // of it in decide
-	P50, P99       []float64 // seconds to the first token at half of the lower throughput
-	StreamBytes    float64   // of memory an open stream
-	Failed         int64
-	address, admin string
-	cmd            *exec.Cmd
+type Target struct {
+	Name                         string
+	Throughput                   []float64 // completions a second, a round each
+	CPUSeconds                   []float64 // seconds of CPU a completion
+	DecideSeconds                []float64 // of it in decide
+	FirstTokenP50, FirstTokenP99 []float64 // seconds to the first token at half of the lower throughput
+	BytesPerStream               float64   // of memory an open stream
+	Failed                       int64
+	address, admin               string
+	cmd                          *exec.Cmd
 }
 
-const body = `{"model":"m","stream":true,"max_tokens":16,"messages":[{"role":"system","content":"You answer in a few words."},` +
+const requestBody = `{"model":"m","stream":true,"max_tokens":16,"messages":[{"role":"system","content":"You answer in a few words."},` +
 	`{"role":"user","content":"Which flange fits a two inch bore with six bolts on the circle?"}]}`
 
-const fleetText = `listen_host: "127.0.0.1"
+const fleetSettings = `listen_host: "127.0.0.1"
 engines { name: "writer" count: 4 machine: "write" role: WRITER slots: 10000 queue: 10000 memory_tokens: 1e9 read_tokens_per_s: 1e9 token_ms: %v mean_answer_tokens: 8 }
 cold { fall_window_s: 0 }`
 
-const routerText = `listen: %q admin_listen: %q
+const routerSettings = `listen: %q admin_listen: %q
 machines { name: "write" role: WRITER memory_tokens: 1e9 }
 workloads { name: "m" client_timeout_s: 30 latency_target_s: 30 effect: IDEMPOTENT }
 allowed { probes: false }
@@ -76,7 +76,7 @@
 list { file: %q }`
 
 // Run measures both sides and returns them, the router first.
-func Run(ctx context.Context, o Options) (sides []*Side, err error) {
+func Run(ctx context.Context, o Options) (sides []*Target, err error) {
 	dir, err := os.MkdirTemp("", "cherryhub-bench-")
 	if err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
@@ -87,43 +87,43 @@
 		return nil, err
 	}
 	defer engines.Process.Kill() //nolint:errcheck // it may have ended
-	sides, err = startSides(o, dir, addresses)
+	sides, err = startTargets(o, dir, addresses)
 	if err != nil {
 		return nil, err
 	}
-	defer stopSides(sides)
+	defer stopTargets(sides)
 	for _, s := range sides { // warm up
-		s.saturate(ctx, o.Clients, o.Length/2)
+		s.saturate(ctx, o.Clients, o.Duration/2)
 	}
 	for round := range o.Rounds {
 		for i := range sides {
 			s := sides[(i+round)%len(sides)]
-			cpu, busy := s.cpu(), s.busy()
-			done, failed := s.saturate(ctx, o.Clients, o.Length)
+			cpu, busy := s.cpuSeconds(), s.decideSeconds()
+			done, failed := s.saturate(ctx, o.Clients, o.Duration)
 			s.Failed += failed
-			s.Throughput = append(s.Throughput, float64(done)/o.Length.Seconds())
-			s.CPU = append(s.CPU, (s.cpu()-cpu)/float64(done))
-			s.Decide = append(s.Decide, (s.busy()-busy)/float64(done))
-			o.Report("%s: %.0f completions/s, %.0f µs CPU each, %.0f µs of it in decide, %d failed", s.Name,
-				s.Throughput[len(s.Throughput)-1], 1e6*s.CPU[len(s.CPU)-1], 1e6*s.Decide[len(s.Decide)-1], failed)
+			s.Throughput = append(s.Throughput, float64(done)/o.Duration.Seconds())
+			s.CPUSeconds = append(s.CPUSeconds, (s.cpuSeconds()-cpu)/float64(done))
+			s.DecideSeconds = append(s.DecideSeconds, (s.decideSeconds()-busy)/float64(done))
+			o.Logf("%s: %.0f completions/s, %.0f µs CPU each, %.0f µs of it in decide, %d failed", s.Name,
+				s.Throughput[len(s.Throughput)-1], 1e6*s.CPUSeconds[len(s.CPUSeconds)-1], 1e6*s.DecideSeconds[len(s.DecideSeconds)-1], failed)
 		}
 	}
 	rate := min(median(sides[0].Throughput), median(sides[1].Throughput)) / 2
 	for round := range o.Rounds {
 		for i := range sides {
 			s := sides[(i+round)%len(sides)]
-			h := s.openLoop(ctx, rate, o.Length)
-			s.P50 = append(s.P50, float64(h.ValueAtQuantile(50))/1e6)
-			s.P99 = append(s.P99, float64(h.ValueAtQuantile(99))/1e6)
-			o.Report("%s at %.0f/s: first token p50 %.2f ms, p99 %.2f ms", s.Name, rate, 1e3*s.P50[len(s.P50)-1], 1e3*s.P99[len(s.P99)-1])
+			h := s.openLoop(ctx, rate, o.Duration)
+			s.FirstTokenP50 = append(s.FirstTokenP50, float64(h.ValueAtQuantile(50))/1e6)
+			s.FirstTokenP99 = append(s.FirstTokenP99, float64(h.ValueAtQuantile(99))/1e6)
+			o.Logf("%s at %.0f/s: first token p50 %.2f ms, p99 %.2f ms", s.Name, rate, 1e3*s.FirstTokenP50[len(s.FirstTokenP50)-1], 1e3*s.FirstTokenP99[len(s.FirstTokenP99)-1])
 		}
 	}
-	return sides, streams(ctx, o, dir, sides)
+	return sides, measureStreamMemory(ctx, o, dir, sides)
 }
 
 // streams measures memory with many streams open, at engines that write a token a minute.
-func streams(ctx context.Context, o Options, dir string, old []*Side) error {
-	if o.Streams == 0 {
+func measureStreamMemory(ctx context.Context, o Options, dir string, old []*Target) error {
+	if o.OpenStreams == 0 {
 		return nil
 	}
 	engines, addresses, err := startEngines(o, dir, 60000)
@@ -131,20 +131,20 @@
 		return err
 	}
 	defer engines.Process.Kill() //nolint:errcheck // it may have ended
-	sides, err := startSides(o, dir, addresses)
+	sides, err := startTargets(o, dir, addresses)
 	if err != nil {
 		return err
 	}
-	defer stopSides(sides)
+	defer stopTargets(sides)
 	for i, s := range sides {
-		before := s.rss()
+		before := s.residentBytes()
 		ctx, cancel := context.WithCancel(ctx)
 		var open, failed atomic.Int64
 		var wg sync.WaitGroup
-		client := newClient(o.Streams)
-		for n := range o.Streams {
+		client := newClient(o.OpenStreams)
+		for n := range o.OpenStreams {
 			wg.Go(func() {
-				if s.one(ctx, client, func(time.Time) { open.Add(1) }) != nil && ctx.Err() == nil {
+				if s.complete(ctx, client, func(time.Time) { open.Add(1) }) != nil && ctx.Err() == nil {
 					failed.Add(1)
 				}
 			})
@@ -152,12 +152,12 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
-		for until := time.Now().Add(time.Minute); open.Load()+failed.Load() < int64(o.Streams) && time.Now().Before(until); {
+		for until := time.Now().Add(time.Minute); open.Load()+failed.Load() < int64(o.OpenStreams) && time.Now().Before(until); {
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		old[i].StreamBytes = (s.rss() - before) / float64(open.Load())
-		o.Report("%s: %d streams open, %d failed, %.1f KiB each", s.Name, open.Load(), failed.Load(), old[i].StreamBytes/1024)
+		old[i].BytesPerStream = (s.residentBytes() - before) / float64(open.Load())
+		o.Logf("%s: %d streams open, %d failed, %.1f KiB each", s.Name, open.Load(), failed.Load(), old[i].BytesPerStream/1024)
 		cancel()
 		client.CloseIdleConnections()
 		wg.Wait()
@@ -168,10 +168,10 @@
 func startEngines(o Options, dir string, tokenMs int) (*exec.Cmd, []string, error) {
 	file, list := filepath.Join(dir, fmt.Sprintf("fleet%d", tokenMs)), filepath.Join(dir, "list.json")
 	os.Remove(list) //nolint:errcheck // it may not be there
-	if err := os.WriteFile(file, []byte(fmt.Sprintf(fleetText, tokenMs)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(fmt.Sprintf(fleetSettings, tokenMs)), 0o600); err != nil {
 		return nil, nil, fmt.Errorf("bench: %w", err)
 	}
-	cmd := exec.Command(o.Self, "bench", "--as-engines", file, "--list", list)
+	cmd := exec.Command(o.Executable, "bench", "--as-engines", file, "--list", list)
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		return nil, nil, fmt.Errorf("bench: engines: %w", err)
@@ -194,7 +194,7 @@
 }
 
 // Engines serves as the engines' process: it writes their list to a file and never ends.
-func Engines(file, list string) error {
+func ServeEngines(file, list string) error {
 	f := &pb.Fleet{}
 	if err := config.Load(file, f); err != nil {
 		return err
@@ -222,7 +222,7 @@
 }
 
 // Proxy serves as the baseline: a reverse proxy that picks an engine by chance.
-func Proxy(address string, engines []string) error {
+func ServeProxy(address string, engines []string) error {
 	var targets []*url.URL
 	for _, e := range engines {
 		targets = append(targets, &url.URL{Scheme: "http", Host: e})
@@ -232,8 +232,8 @@
 	return http.ListenAndServe(address, p)
 }
 
-func startSides(o Options, dir string, engines []string) ([]*Side, error) {
-	router, proxy := &Side{Name: "router"}, &Side{Name: "proxy"}
+func startTargets(o Options, dir string, engines []string) ([]*Target, error) {
+	router, proxy := &Target{Name: "router"}, &Target{Name: "proxy"}
 	var err error
 	for _, a := range []*string{&router.address, &router.admin, &proxy.address} {
 		if *a, err = loopback.Address("127.0.0.1"); err != nil {
@@ -241,12 +241,12 @@
 		}
 	}
 	file := filepath.Join(dir, "router.textproto")
-	if err := os.WriteFile(file, []byte(fmt.Sprintf(routerText, router.address, router.admin, filepath.Join(dir, "list.json"))), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(fmt.Sprintf(routerSettings, router.address, router.admin, filepath.Join(dir, "list.json"))), 0o600); err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
 	}
-	router.cmd = exec.Command(o.Self, "serve", "--config", file)
-	proxy.cmd = exec.Command(o.Self, "bench", "--as-proxy", proxy.address, "--engines", strings.Join(engines, ","))
-	sides := []*Side{router, proxy}
+	router.cmd = exec.Command(o.Executable, "serve", "--config", file)
+	proxy.cmd = exec.Command(o.Executable, "bench", "--as-proxy", proxy.address, "--engines", strings.Join(engines, ","))
+	sides := []*Target{router, proxy}
 	for _, s := range sides {
 		s.cmd.Stderr = os.Stderr
 		if err := s.cmd.Start(); err != nil {
@@ -258,13 +258,13 @@
 		for try := 0; ; try++ {
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 			first := false
-			err := s.one(ctx, client, func(time.Time) { first = true; cancel() })
+			err := s.complete(ctx, client, func(time.Time) { first = true; cancel() })
 			cancel()
 			if err == nil || first {
 				break
 			}
 			if try > 100 {
-				stopSides(sides)
+				stopTargets(sides)
 				return nil, fmt.Errorf("bench: %s does not answer: %w", s.Name, err)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -273,7 +273,7 @@
 	return sides, nil
 }
 
-func stopSides(sides []*Side) {
+func stopTargets(sides []*Target) {
 	for _, s := range sides {
 		s.cmd.Process.Kill() //nolint:errcheck // it may have ended
 		s.cmd.Wait()         //nolint:errcheck // it was killed
@@ -285,8 +285,8 @@
 }
 
 // one makes one streamed completion.
-func (s *Side) one(ctx context.Context, client *http.Client, first func(time.Time)) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.address+"/v1/chat/completions", strings.NewReader(body))
+func (s *Target) complete(ctx context.Context, client *http.Client, first func(time.Time)) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.address+"/v1/chat/completions", strings.NewReader(requestBody))
 	if err != nil {
 		return err
 	}
@@ -320,7 +320,7 @@
 }
 
 // saturate keeps so many clients asking and counts whole answers.
-func (s *Side) saturate(ctx context.Context, clients int, length time.Duration) (done, failed int64) {
+func (s *Target) saturate(ctx context.Context, clients int, length time.Duration) (done, failed int64) {
 	client := newClient(clients)
 	defer client.CloseIdleConnections()
 	var all, bad atomic.Int64
@@ -329,7 +329,7 @@
 	for range clients {
 		wg.Go(func() {
 			for time.Now().Before(until) && ctx.Err() == nil {
-				if s.one(ctx, client, func(time.Time) {}) == nil {
+				if s.complete(ctx, client, func(time.Time) {}) == nil {
 					all.Add(1)
 				} else {
 					bad.Add(1)
@@ -342,7 +342,7 @@
 }
 
 // openLoop asks at a steady rate, whatever comes back, and measures from when each was due.
-func (s *Side) openLoop(ctx context.Context, rate float64, length time.Duration) *hdrhistogram.Histogram {
+func (s *Target) openLoop(ctx context.Context, rate float64, length time.Duration) *hdrhistogram.Histogram {
 	client := newClient(2000)
 	defer client.CloseIdleConnections()
 	h, mu := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), sync.Mutex{}
@@ -355,7 +355,7 @@
 		}
 		time.Sleep(time.Until(due))
 		wg.Go(func() {
-			s.one(ctx, client, func(at time.Time) { //nolint:errcheck // saturate counts failures
+			s.complete(ctx, client, func(at time.Time) { //nolint:errcheck // saturate counts failures
 				if due.Sub(start) < length/4 {
 					return // connections are made, caches fill
 				}
@@ -370,7 +370,7 @@
 }
 
 // cpu is the CPU time of the side's process, in seconds.
-func (s *Side) cpu() float64 {
+func (s *Target) cpuSeconds() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -382,7 +382,7 @@
 }
 
 // rss is the side's resident memory, in bytes.
-func (s *Side) rss() float64 {
+func (s *Target) residentBytes() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -393,7 +393,7 @@
 }
 
 // busy is the time that a router spent in decide, in seconds.
-func (s *Side) busy() float64 {
+func (s *Target) decideSeconds() float64 {
 	if s.admin == "" {
 		return 0
 	}
--- a/internal/bench/crowd.go
+++ b/internal/bench/flood.go
@@ -20,34 +20,34 @@
 )
 
 // CrowdOptions are of a run of Crowd.
-type CrowdOptions struct {
+type FloodOptions struct {
 	Options
-	Limit int // of the router's descriptors
-	Flood int // connections under way at once
-	Known int // clients
-	Idle  int // connections for memory
+	MaxDescriptors int // of the router's descriptors
+	FloodConns     int // connections under way at once
+	KnownClients   int // clients
+	IdleConns      int // connections for memory
 }
 
 // Flooded is what came of a flood with admission on or off.
-type Flooded struct {
-	Admission            bool
-	Report               *crowd.Report
-	CalmP50, CalmP99     float64 // seconds until a known client streams, without a flood
-	KnownP50, KnownP99   float64 // and with it
-	KnownMost            float64
-	KnownFailed, Entries int
+type FloodResult struct {
+	AdmissionOn              bool
+	Report                   *crowd.Report
+	BaselineP50, BaselineP99 float64 // seconds until a known client streams, without a flood
+	KnownP50, KnownP99       float64 // and with it
+	KnownMax                 float64
+	KnownFailed, KnownTotal  int
 }
 
 // CrowdReport is what Crowd measures.
-type CrowdReport struct {
-	Floods                []Flooded
-	RefusalCPU, ServedCPU float64 // seconds of the router's CPU a connection
-	RefusalsPerCore       float64 // a second, with one core for the router
-	IdleBytes             float64 // of memory an idle connection
-	IdleOpen              int
+type FloodReport struct {
+	Results                     []FloodResult
+	CPUPerRefusal, CPUPerServed float64 // seconds of the router's CPU a connection
+	RefusalsPerSecond           float64 // a second, with one core for the router
+	BytesPerIdleConn            float64 // of memory an idle connection
+	IdleConns                   int
 }
 
-const crowdRouterText = `listen: %q admin_listen: %q
+const floodRouterSettings = `listen: %q admin_listen: %q
 machines { name: "write" role: WRITER memory_tokens: 1e9 }
 workloads { name: "m" client_timeout_s: 30 latency_target_s: 30 effect: IDEMPOTENT }
 allowed { probes: false }
@@ -59,7 +59,7 @@
 `
 
 // Crowd measures a router while everybody connects at once, with admission and without, in one run.
-func Crowd(ctx context.Context, o CrowdOptions) (*CrowdReport, error) {
+func RunFlood(ctx context.Context, o FloodOptions) (*FloodReport, error) {
 	dir, err := os.MkdirTemp("", "cherryhub-crowd-")
 	if err != nil {
 		return nil, fmt.Errorf("crowd: %w", err)
@@ -70,23 +70,23 @@
 		return nil, err
 	}
 	defer engines.Process.Kill() //nolint:errcheck // it may have ended
-	r := &CrowdReport{}
+	r := &FloodReport{}
 	for _, on := range []bool{false, true} {
-		f, err := flooded(ctx, o, dir, on)
+		f, err := measureFlood(ctx, o, dir, on)
 		if err != nil {
 			return nil, err
 		}
-		r.Floods = append(r.Floods, *f)
+		r.Results = append(r.Results, *f)
 	}
-	if err := costs(ctx, o, dir, r); err != nil {
+	if err := measureConnCPU(ctx, o, dir, r); err != nil {
 		return nil, err
 	}
-	return r, idle(ctx, o, dir, r)
+	return r, measureIdleMemory(ctx, o, dir, r)
 }
 
 // startRouter starts a router with so many known clients, more settings and a limit of descriptors.
-func startRouter(o CrowdOptions, dir, more string, limit int, env ...string) (*Side, []string, error) {
-	s := &Side{Name: "router"}
+func startRouter(o FloodOptions, dir, more string, limit int, env ...string) (*Target, []string, error) {
+	s := &Target{Name: "router"}
 	var err error
 	for _, a := range []*string{&s.address, &s.admin} {
 		if *a, err = loopback.Address("127.0.0.1"); err != nil {
@@ -94,9 +94,9 @@
 		}
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, crowdRouterText, s.address, s.admin, filepath.Join(dir, "list.json"))
+	fmt.Fprintf(&text, floodRouterSettings, s.address, s.admin, filepath.Join(dir, "list.json"))
 	var keys []string
-	for i := range o.Known {
+	for i := range o.KnownClients {
 		key := fmt.Sprintf("key-%d", i)
 		sum := sha256.Sum256([]byte(key))
 		fmt.Fprintf(&text, "tenants { name: \"known-%d\" key_sha256: %q share_per_s: 1e6 }\n", i, hex.EncodeToString(sum[:]))
@@ -107,7 +107,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return nil, nil, fmt.Errorf("crowd: %w", err)
 	}
-	s.cmd = exec.Command("sh", "-c", fmt.Sprintf("{ ulimit -n %d || ulimit -n $(ulimit -Hn); } 2>/dev/null && exec \"$0\" serve --config \"$1\"", limit), o.Self, file)
+	s.cmd = exec.Command("sh", "-c", fmt.Sprintf("{ ulimit -n %d || ulimit -n $(ulimit -Hn); } 2>/dev/null && exec \"$0\" serve --config \"$1\"", limit), o.Executable, file)
 	s.cmd.Env, s.cmd.Stderr = append(os.Environ(), env...), os.Stderr
 	if err := s.cmd.Start(); err != nil {
 		return nil, nil, fmt.Errorf("crowd: router: %w", err)
@@ -115,100 +115,100 @@
 	client := newClient(1)
 	defer client.CloseIdleConnections()
 	for range 100 {
-		if err = s.one(context.Background(), client, func(time.Time) {}); err == nil {
+		if err = s.complete(context.Background(), client, func(time.Time) {}); err == nil {
 			return s, keys, nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	stopSides([]*Side{s})
+	stopTargets([]*Target{s})
 	return nil, nil, fmt.Errorf("crowd: the router does not answer: %w", err)
 }
 
-func loopbacks(network, n int) (all []string) {
+func loopbackAddresses(network, n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("127.%d.%d.1", network, i))
 	}
 	return all
 }
 
-func flooded(ctx context.Context, o CrowdOptions, dir string, on bool) (*Flooded, error) {
+func measureFlood(ctx context.Context, o FloodOptions, dir string, on bool) (*FloodResult, error) {
 	more := "admission { off: true }"
 	if on {
 		more = "" // its defaults
 	}
-	s, keys, err := startRouter(o, dir, more, o.Limit)
+	s, keys, err := startRouter(o, dir, more, o.MaxDescriptors)
 	if err != nil {
 		return nil, err
 	}
-	defer stopSides([]*Side{s})
-	c := crowd.Options{Target: s.address, Model: "m", Length: o.Length, Patience: 10 * time.Second, Known: keys, KnownFrom: loopbacks(20, 200),
-		Pause: 200 * time.Millisecond}
+	defer stopTargets([]*Target{s})
+	c := crowd.Options{Target: s.address, Model: "m", Duration: o.Duration, HangTimeout: 10 * time.Second, KnownKeys: keys, KnownAddresses: loopbackAddresses(20, 200),
+		KnownPause: 200 * time.Millisecond}
 	seconds := func(us int64) float64 { return float64(us) / 1e6 }
-	f := &Flooded{Admission: on}
-	h, _ := crowd.Run(ctx, c).KnownTimes()
-	f.CalmP50, f.CalmP99 = seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99))
-	c.From, c.Flood, c.Before = loopbacks(30, 16), o.Flood, o.Length/4
+	f := &FloodResult{AdmissionOn: on}
+	h, _ := crowd.Run(ctx, c).KnownFirstTokenTimes()
+	f.BaselineP50, f.BaselineP99 = seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99))
+	c.FloodAddresses, c.FloodConns, c.KnownDelay = loopbackAddresses(30, 16), o.FloodConns, o.Duration/4
 	f.Report = crowd.Run(ctx, c)
-	h, f.KnownFailed = f.Report.KnownTimes()
-	f.Entries = len(f.Report.Known)
-	f.KnownP50, f.KnownP99, f.KnownMost = seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99)), seconds(h.Max())
-	o.Report("admission %v: known clients in after p50 %.1f, p99 %.1f ms, %d of %d never", on, 1e3*f.KnownP50, 1e3*f.KnownP99, f.KnownFailed, f.Entries)
+	h, f.KnownFailed = f.Report.KnownFirstTokenTimes()
+	f.KnownTotal = len(f.Report.KnownClients)
+	f.KnownP50, f.KnownP99, f.KnownMax = seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99)), seconds(h.Max())
+	o.Logf("admission %v: known clients in after p50 %.1f, p99 %.1f ms, %d of %d never", on, 1e3*f.KnownP50, 1e3*f.KnownP99, f.KnownFailed, f.KnownTotal)
 	return f, nil
 }
 
 // costs measures what a refused connection costs the router, and what one with a whole completion.
-func costs(ctx context.Context, o CrowdOptions, dir string, r *CrowdReport) error {
+func measureConnCPU(ctx context.Context, o FloodOptions, dir string, r *FloodReport) error {
 	const few = "admission { address_new_per_s: 0.01 address_burst: 1 max_wait_s: 3600 flood_new_per_s: 1 }"
 	refuse := func(env ...string) (cpu, rate float64, err error) {
-		s, _, err := startRouter(o, dir, few, o.Limit, env...)
+		s, _, err := startRouter(o, dir, few, o.MaxDescriptors, env...)
 		if err != nil {
 			return 0, 0, err
 		}
-		defer stopSides([]*Side{s})
-		before := s.cpu()
-		sum := crowd.Run(ctx, crowd.Options{Target: s.address, Model: "m", From: loopbacks(30, 16), Flood: 128, Manners: []crowd.Manner{crowd.Calls},
-			Length: o.Length, Patience: 10 * time.Second}).Sum()
+		defer stopTargets([]*Target{s})
+		before := s.cpuSeconds()
+		sum := crowd.Run(ctx, crowd.Options{Target: s.address, Model: "m", FloodAddresses: loopbackAddresses(30, 16), FloodConns: 128, Behaviors: []crowd.Behavior{crowd.SendsRequest},
+			Duration: o.Duration, HangTimeout: 10 * time.Second}).Total()
 		if sum.Refused == 0 || sum.Served*100 > sum.Refused {
 			return 0, 0, fmt.Errorf("crowd: %d refused, %d served: no measure of refusals", sum.Refused, sum.Served)
 		}
-		return (s.cpu() - before) / float64(sum.Refused), float64(sum.Refused) / o.Length.Seconds(), nil
+		return (s.cpuSeconds() - before) / float64(sum.Refused), float64(sum.Refused) / o.Duration.Seconds(), nil
 	}
 	var err error
-	if r.RefusalCPU, _, err = refuse(); err != nil {
+	if r.CPUPerRefusal, _, err = refuse(); err != nil {
 		return err
 	}
-	if _, r.RefusalsPerCore, err = refuse("GOMAXPROCS=1"); err != nil {
+	if _, r.RefusalsPerSecond, err = refuse("GOMAXPROCS=1"); err != nil {
 		return err
 	}
-	s, _, err := startRouter(o, dir, "admission { address_new_per_s: 1e6 address_burst: 1e6 }", o.Limit)
+	s, _, err := startRouter(o, dir, "admission { address_new_per_s: 1e6 address_burst: 1e6 }", o.MaxDescriptors)
 	if err != nil {
 		return err
 	}
-	defer stopSides([]*Side{s})
-	before := s.cpu()
-	sum := crowd.Run(ctx, crowd.Options{Target: s.address, Model: "m", From: loopbacks(30, 16), Flood: 64, Manners: []crowd.Manner{crowd.Calls},
-		Length: o.Length, Patience: 10 * time.Second}).Sum()
+	defer stopTargets([]*Target{s})
+	before := s.cpuSeconds()
+	sum := crowd.Run(ctx, crowd.Options{Target: s.address, Model: "m", FloodAddresses: loopbackAddresses(30, 16), FloodConns: 64, Behaviors: []crowd.Behavior{crowd.SendsRequest},
+		Duration: o.Duration, HangTimeout: 10 * time.Second}).Total()
 	if sum.Served == 0 || sum.Refused*100 > sum.Served {
 		return fmt.Errorf("crowd: %d served, %d refused: no measure of served connections", sum.Served, sum.Refused)
 	}
-	r.ServedCPU = (s.cpu() - before) / float64(sum.Served)
-	o.Report("a refused connection %.1f µs of CPU, a served one %.1f; %.0f refused a second with one core", 1e6*r.RefusalCPU, 1e6*r.ServedCPU, r.RefusalsPerCore)
+	r.CPUPerServed = (s.cpuSeconds() - before) / float64(sum.Served)
+	o.Logf("a refused connection %.1f µs of CPU, a served one %.1f; %.0f refused a second with one core", 1e6*r.CPUPerRefusal, 1e6*r.CPUPerServed, r.RefusalsPerSecond)
 	return nil
 }
 
 // idle measures memory with many connections open that had one call each.
-func idle(ctx context.Context, o CrowdOptions, dir string, r *CrowdReport) error {
-	if o.Idle == 0 {
+func measureIdleMemory(ctx context.Context, o FloodOptions, dir string, r *FloodReport) error {
+	if o.IdleConns == 0 {
 		return nil
 	}
 	more := fmt.Sprintf("admission { max_connections: %d reserve_connections: %d anteroom: 1 leaving: 64 per_address: %d address_new_per_s: 1e6 address_burst: 1e6 }",
-		o.Idle+o.Known+16, o.Known, o.Idle)
-	s, _, err := startRouter(o, dir, more, o.Idle+o.Known+2000)
+		o.IdleConns+o.KnownClients+16, o.KnownClients, o.IdleConns)
+	s, _, err := startRouter(o, dir, more, o.IdleConns+o.KnownClients+2000)
 	if err != nil {
 		return err
 	}
-	defer stopSides([]*Side{s})
-	before := s.rss()
+	defer stopTargets([]*Target{s})
+	before := s.residentBytes()
 	var open atomic.Int64
 	var mu sync.Mutex
 	var held []net.Conn
@@ -217,11 +217,11 @@
 			c.Close() //nolint:errcheck // done with it
 		}
 	}()
-	from := loopbacks(40, 32)
+	from := loopbackAddresses(40, 32)
 	var wg sync.WaitGroup
 	for w := range 16 {
 		wg.Go(func() {
-			for n := w; n < o.Idle && ctx.Err() == nil; n += 16 {
+			for n := w; n < o.IdleConns && ctx.Err() == nil; n += 16 {
 				d := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from[n%len(from)])}}
 				conn, err := d.Dial("tcp", s.address)
 				if err != nil {
@@ -240,31 +240,31 @@
 	}
 	wg.Wait()
 	time.Sleep(2 * time.Second)
-	r.IdleOpen = int(open.Load())
-	if r.IdleOpen == 0 {
+	r.IdleConns = int(open.Load())
+	if r.IdleConns == 0 {
 		return fmt.Errorf("crowd: no idle connection could be opened")
 	}
-	r.IdleBytes = (s.rss() - before) / float64(r.IdleOpen)
-	o.Report("%d idle connections, %.1f KiB each", r.IdleOpen, r.IdleBytes/1024)
+	r.BytesPerIdleConn = (s.residentBytes() - before) / float64(r.IdleConns)
+	o.Logf("%d idle connections, %.1f KiB each", r.IdleConns, r.BytesPerIdleConn/1024)
 	return nil
 }
 
 // PrintCrowd writes what Crowd measured.
-func PrintCrowd(w io.Writer, r *CrowdReport) {
-	for _, f := range r.Floods {
-		sum := f.Report.Sum()
-		fmt.Fprintf(w, "admission on: %v\n", f.Admission)
+func PrintFlood(w io.Writer, r *FloodReport) {
+	for _, f := range r.Results {
+		sum := f.Report.Total()
+		fmt.Fprintf(w, "admission on: %v\n", f.AdmissionOn)
 		fmt.Fprintf(w, "  flood: %d connections, %d served, %d refused whole, %d closed without a word, %d broken, %d hung, %d could not connect\n",
 			sum.Tried, sum.Served, sum.Refused, sum.Closed, sum.Broken, sum.Hung, sum.NoDial)
-		calls := f.Report.Flood[crowd.Calls].Waits
+		calls := f.Report.Flood[crowd.SendsRequest].Waits
 		fmt.Fprintf(w, "  from connected to a refusal, those who send a call: p50 %.2f, p99 %.2f, worst %.2f ms\n", float64(calls.ValueAtQuantile(50))/1e3,
 			float64(calls.ValueAtQuantile(99))/1e3, float64(calls.Max())/1e3)
 		fmt.Fprintf(w, "  known clients, dial to first token: calm p50 %.1f, p99 %.1f ms; flooded p50 %.1f, p99 %.1f, worst %.1f ms; %d of %d never got in\n",
-			1e3*f.CalmP50, 1e3*f.CalmP99, 1e3*f.KnownP50, 1e3*f.KnownP99, 1e3*f.KnownMost, f.KnownFailed, f.Entries)
+			1e3*f.BaselineP50, 1e3*f.BaselineP99, 1e3*f.KnownP50, 1e3*f.KnownP99, 1e3*f.KnownMax, f.KnownFailed, f.KnownTotal)
 	}
-	fmt.Fprintf(w, "CPU: a refused connection %.1f µs, one served %.1f µs: 1 to %.0f\n", 1e6*r.RefusalCPU, 1e6*r.ServedCPU, r.ServedCPU/r.RefusalCPU)
-	fmt.Fprintf(w, "refusals a second, one core for the router: %.0f\n", r.RefusalsPerCore)
-	if r.IdleOpen > 0 {
-		fmt.Fprintf(w, "memory at %d idle connections: %.1f KiB each\n", r.IdleOpen, r.IdleBytes/1024)
+	fmt.Fprintf(w, "CPU: a refused connection %.1f µs, one served %.1f µs: 1 to %.0f\n", 1e6*r.CPUPerRefusal, 1e6*r.CPUPerServed, r.CPUPerServed/r.CPUPerRefusal)
+	fmt.Fprintf(w, "refusals a second, one core for the router: %.0f\n", r.RefusalsPerSecond)
+	if r.IdleConns > 0 {
+		fmt.Fprintf(w, "memory at %d idle connections: %.1f KiB each\n", r.IdleConns, r.BytesPerIdleConn/1024)
 	}
 }
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -15,7 +15,7 @@
 }
 
 // Print writes the figures of a router and a proxy as ratios and medians.
-func Print(w io.Writer, sides []*Side) {
+func Print(w io.Writer, sides []*Target) {
 	a, b := sides[0], sides[1]
 	ratio := func(x, y []float64) float64 {
 		var all []float64
@@ -25,10 +25,10 @@
 		return median(all)
 	}
 	fmt.Fprintf(w, "throughput, router over proxy: %.2f (%.0f and %.0f completions/s)\n", ratio(a.Throughput, b.Throughput), median(a.Throughput), median(b.Throughput))
-	fmt.Fprintf(w, "CPU a completion, router over proxy: %.2f (%.0f and %.0f µs; %.0f µs of the router's in decide)\n", ratio(a.CPU, b.CPU),
-		1e6*median(a.CPU), 1e6*median(b.CPU), 1e6*median(a.Decide))
-	fmt.Fprintf(w, "first token at half of it: p50 %+.2f ms, p99 %+.2f ms over the proxy's %.2f and %.2f ms\n", 1e3*(median(a.P50)-median(b.P50)),
-		1e3*(median(a.P99)-median(b.P99)), 1e3*median(b.P50), 1e3*median(b.P99))
-	fmt.Fprintf(w, "memory an open stream: %.1f and %.1f KiB\n", a.StreamBytes/1024, b.StreamBytes/1024)
+	fmt.Fprintf(w, "CPU a completion, router over proxy: %.2f (%.0f and %.0f µs; %.0f µs of the router's in decide)\n", ratio(a.CPUSeconds, b.CPUSeconds),
+		1e6*median(a.CPUSeconds), 1e6*median(b.CPUSeconds), 1e6*median(a.DecideSeconds))
+	fmt.Fprintf(w, "first token at half of it: p50 %+.2f ms, p99 %+.2f ms over the proxy's %.2f and %.2f ms\n", 1e3*(median(a.FirstTokenP50)-median(b.FirstTokenP50)),
+		1e3*(median(a.FirstTokenP99)-median(b.FirstTokenP99)), 1e3*median(b.FirstTokenP50), 1e3*median(b.FirstTokenP99))
+	fmt.Fprintf(w, "memory an open stream: %.1f and %.1f KiB\n", a.BytesPerStream/1024, b.BytesPerStream/1024)
 	fmt.Fprintf(w, "failed: %d and %d\n", a.Failed, b.Failed)
 }
--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -31,14 +31,14 @@
 }
 
 // figures are where load reports are found: where the settings say nothing, vLLM's names.
-func figures(r *pb.LoadReports) engine.Figures {
+func figures(r *pb.LoadReports) engine.LoadMetrics {
 	if r == nil {
 		r = &pb.LoadReports{
 			Waiting:    &pb.Figure{Orca: proto.String("named_metrics.num_requests_waiting"), Prometheus: proto.String("vllm:num_requests_waiting")},
 			MemoryHeld: &pb.Figure{Orca: proto.String("named_metrics.kv_cache_usage_perc"), Prometheus: proto.String("vllm:kv_cache_usage_perc")},
 		}
 	}
-	var all engine.Figures
+	var all engine.LoadMetrics
 	for _, f := range [...]struct {
 		column string
 		from   *pb.Figure
@@ -46,7 +46,7 @@
 	}{{"queue", r.GetWaiting(), true}, {"util", r.GetSlotsUsed(), false}, {"x0", r.GetMemoryHeld(), false},
 		{"x1", r.GetThousandsWaiting(), true}} {
 		if f.from != nil {
-			all = append(all, engine.Figure{Column: f.column, ORCA: f.from.GetOrca(), Prometheus: f.from.GetPrometheus(), Sum: f.sum})
+			all = append(all, engine.LoadMetric{Column: f.column, ORCA: f.from.GetOrca(), Prometheus: f.from.GetPrometheus(), Sum: f.sum})
 		}
 	}
 	return all
@@ -112,8 +112,8 @@
 func Engine(r *pb.Router) engine.Options {
 	t := r.GetTiming()
 	return engine.Options{ConnectTimeout: ms(t.GetConnectTimeoutMs()), ProbeTimeout: ms(t.GetProbeTimeoutMs()),
-		IdleConn: Seconds(t.GetEngineIdleS()), StreamIdle: Seconds(t.GetStreamIdleS()),
-		MaxEventBytes: int(r.GetLimits().GetMaxEventBytes()), SourceAddress: r.GetSourceAddress(), Figures: figures(r.GetReports())}
+		IdleConnTimeout: Seconds(t.GetEngineIdleS()), StreamIdleTimeout: Seconds(t.GetStreamIdleS()),
+		MaxEventBytes: int(r.GetLimits().GetMaxEventBytes()), SourceAddress: r.GetSourceAddress(), LoadMetrics: figures(r.GetReports())}
 }
 
 // Edge are the edge's options; listener, engines, log and observer are the caller's to add. a is the router's own
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -23,37 +23,37 @@
 )
 
 // Manner is how one of the flood behaves.
-type Manner int
+type Behavior int
 
 // The manners.
 const (
-	Calls  Manner = iota // sends a whole call and reads the answer
-	Silent               // sends nothing
-	Half                 // sends half a header
-	manners
+	SendsRequest       Behavior = iota // sends a whole call and reads the answer
+	SendsNothing                       // sends nothing
+	SendsPartialHeader                 // sends half a header
+	behaviorCount
 )
 
-func (m Manner) String() string { return [...]string{"calls", "silent", "half a header"}[m] }
+func (m Behavior) String() string { return [...]string{"calls", "silent", "half a header"}[m] }
 
 // Options of a crowd.
 type Options struct {
-	Target   string        // host:port
-	Model    string        // that the calls name
-	From     []string      // the flood's own addresses
-	Flood    int           // connections that the flood has under way at once
-	Manners  []Manner      // in turn; none: all three
-	Length   time.Duration // of the flood
-	Least    int           // connections that it tries, however long that takes, up to five times Length
-	Patience time.Duration // a connection of the flood with no end by then hung
+	Target         string        // host:port
+	Model          string        // that the calls name
+	FloodAddresses []string      // the flood's own addresses
+	FloodConns     int           // connections that the flood has under way at once
+	Behaviors      []Behavior    // in turn; none: all three
+	Duration       time.Duration // of the flood
+	MinConns       int           // connections that it tries, however long that takes, up to five times Length
+	HangTimeout    time.Duration // a connection of the flood with no end by then hung
 
-	Known     []string      // keys of the known clients
-	KnownFrom []string      // their addresses, in turn
-	Before    time.Duration // the flood runs so long before they come
-	Pause     time.Duration // of a known client between two connections
+	KnownKeys      []string      // keys of the known clients
+	KnownAddresses []string      // their addresses, in turn
+	KnownDelay     time.Duration // the flood runs so long before they come
+	KnownPause     time.Duration // of a known client between two connections
 }
 
 // Ends are how connections of one manner ended.
-type Ends struct {
+type Outcomes struct {
 	Tried    int
 	Served   int // with a whole answer that is no refusal
 	Refused  int // with a whole refusal: status, Retry-After, Connection: close, OpenAI's shape, then the end
@@ -66,29 +66,29 @@
 	Waits    *hdrhistogram.Histogram // of refused ones, from connected to the first byte, µs
 }
 
-func newEnds() *Ends {
-	return &Ends{ByStatus: map[int]int{}, Wrong: map[string]int{}, Waits: hdrhistogram.New(1, 60_000_000, 3)}
+func newOutcomes() *Outcomes {
+	return &Outcomes{ByStatus: map[int]int{}, Wrong: map[string]int{}, Waits: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
 // Entry is one known client's way in.
-type Entry struct {
-	Client int
-	Tries  int           // connections until it was in
-	Took   time.Duration // from its first dial to its first token
-	Err    error         // of the last try, nil if it streamed to [DONE]
+type KnownClientResult struct {
+	Client         int
+	Attempts       int           // connections until it was in
+	FirstTokenTime time.Duration // from its first dial to its first token
+	Err            error         // of the last try, nil if it streamed to [DONE]
 }
 
 // Report is what came of a crowd.
 type Report struct {
-	Flood map[Manner]*Ends
-	Known []Entry
-	Took  time.Duration
+	Flood        map[Behavior]*Outcomes
+	KnownClients []KnownClientResult
+	Elapsed      time.Duration
 }
 
 // Sum adds the manners up.
-func (r *Report) Sum() *Ends {
-	all := newEnds()
-	for m := range manners {
+func (r *Report) Total() *Outcomes {
+	all := newOutcomes()
+	for m := range behaviorCount {
 		e := r.Flood[m]
 		if e == nil {
 			continue
@@ -112,33 +112,33 @@
 }
 
 // KnownTimes are the times of those who got in, in seconds, and how many never did.
-func (r *Report) KnownTimes() (h *hdrhistogram.Histogram, failed int) {
+func (r *Report) KnownFirstTokenTimes() (h *hdrhistogram.Histogram, failed int) {
 	h = hdrhistogram.New(1, 600_000_000, 3)
-	for _, e := range r.Known {
+	for _, e := range r.KnownClients {
 		if e.Err != nil {
 			failed++
 			continue
 		}
-		h.RecordValue(e.Took.Microseconds()) //nolint:errcheck // within its range
+		h.RecordValue(e.FirstTokenTime.Microseconds()) //nolint:errcheck // within its range
 	}
 	return h, failed
 }
 
 // Run lets a crowd loose until its length is over.
 func Run(ctx context.Context, o Options) *Report {
-	if len(o.Manners) == 0 {
-		o.Manners = []Manner{Calls, Silent, Half}
+	if len(o.Behaviors) == 0 {
+		o.Behaviors = []Behavior{SendsRequest, SendsNothing, SendsPartialHeader}
 	}
-	r := &Report{Flood: map[Manner]*Ends{}}
-	for m := range manners {
-		r.Flood[m] = newEnds()
+	r := &Report{Flood: map[Behavior]*Outcomes{}}
+	for m := range behaviorCount {
+		r.Flood[m] = newOutcomes()
 	}
 	began := time.Now()
-	ctx, stop := context.WithTimeout(ctx, 5*o.Length)
+	ctx, stop := context.WithTimeout(ctx, 5*o.Duration)
 	defer stop()
 	var tried atomic.Int64
 	go func() {
-		for time.Since(began) < o.Length || tried.Load() < int64(o.Least) {
+		for time.Since(began) < o.Duration || tried.Load() < int64(o.MinConns) {
 			select {
 			case <-ctx.Done():
 				return
@@ -149,19 +149,19 @@
 	}()
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	for i := range o.Flood {
+	for i := range o.FloodConns {
 		all.Go(func() {
-			for n := i; ctx.Err() == nil; n += o.Flood {
-				m := o.Manners[(n/max(1, len(o.From)))%len(o.Manners)]
-				one := flood(ctx, &o, o.From[n%len(o.From)], m)
-				if ctx.Err() != nil && one.cut {
+			for n := i; ctx.Err() == nil; n += o.FloodConns {
+				m := o.Behaviors[(n/max(1, len(o.FloodAddresses)))%len(o.Behaviors)]
+				one := runFloodConn(ctx, &o, o.FloodAddresses[n%len(o.FloodAddresses)], m)
+				if ctx.Err() != nil && one.cancelled {
 					return // it was ended with the flood: nothing is known of it
 				}
 				tried.Add(1)
 				mu.Lock()
-				one.count(r.Flood[m])
+				one.addTo(r.Flood[m])
 				mu.Unlock()
-				if one.noDial {
+				if one.dialFailed {
 					time.Sleep(10 * time.Millisecond)
 				}
 			}
@@ -169,44 +169,44 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(o.Before):
+	case <-time.After(o.KnownDelay):
 	}
-	for i, key := range o.Known {
+	for i, key := range o.KnownKeys {
 		all.Go(func() {
 			from := ""
-			if len(o.KnownFrom) > 0 {
-				from = o.KnownFrom[i%len(o.KnownFrom)]
+			if len(o.KnownAddresses) > 0 {
+				from = o.KnownAddresses[i%len(o.KnownAddresses)]
 			}
 			for first := true; first || ctx.Err() == nil; first = false {
-				e := enter(context.WithoutCancel(ctx), &o, i, key, from)
+				e := streamUntilServed(context.WithoutCancel(ctx), &o, i, key, from)
 				mu.Lock()
-				r.Known = append(r.Known, e)
+				r.KnownClients = append(r.KnownClients, e)
 				mu.Unlock()
-				if o.Pause == 0 {
+				if o.KnownPause == 0 {
 					return
 				}
 				select {
 				case <-ctx.Done():
-				case <-time.After(o.Pause):
+				case <-time.After(o.KnownPause):
 				}
 			}
 		})
 	}
 	all.Wait()
-	r.Took = time.Since(began)
+	r.Elapsed = time.Since(began)
 	return r
 }
 
 // one is how one connection of the flood ended.
-type one struct {
-	noDial, cut, hung, reset bool
-	text                     []byte
-	wait                     time.Duration
+type connResult struct {
+	dialFailed, cancelled, hung, reset bool
+	response                           []byte
+	firstByteTime                      time.Duration
 }
 
-const answerMost = 1 << 20
+const maxResponseBytes = 1 << 20
 
-func dialer(from string) *net.Dialer {
+func newDialer(from string) *net.Dialer {
 	d := &net.Dialer{Timeout: 2 * time.Second}
 	if from != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
@@ -214,7 +214,7 @@
 	return d
 }
 
-func call(model, key string) string {
+func chatRequest(model, key string) string {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":4,"messages":[{"role":"user","content":"Hello"}]}`, model)
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: crowd\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	if key != "" {
@@ -223,37 +223,37 @@
 	return head + "\r\n" + body
 }
 
-func flood(ctx context.Context, o *Options, from string, m Manner) (e one) {
-	conn, err := dialer(from).DialContext(ctx, "tcp", o.Target)
+func runFloodConn(ctx context.Context, o *Options, from string, m Behavior) (e connResult) {
+	conn, err := newDialer(from).DialContext(ctx, "tcp", o.Target)
 	if err != nil {
-		return one{noDial: true, cut: ctx.Err() != nil}
+		return connResult{dialFailed: true, cancelled: ctx.Err() != nil}
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Now()) }) //nolint:errcheck // of an open one
 	defer stop()
 	began := time.Now()
-	conn.SetDeadline(began.Add(o.Patience)) //nolint:errcheck // as above
-	text := call(o.Model, "")
+	conn.SetDeadline(began.Add(o.HangTimeout)) //nolint:errcheck // as above
+	text := chatRequest(o.Model, "")
 	switch m {
-	case Calls:
+	case SendsRequest:
 		io.WriteString(conn, strings.Replace(text, "\r\nHost", "\r\nConnection: close\r\nHost", 1)) //nolint:errcheck // refused meanwhile
-	case Half:
+	case SendsPartialHeader:
 		io.WriteString(conn, text[:20]) //nolint:errcheck // as above
 	}
 	var buf [4096]byte
-	for len(e.text) < answerMost {
+	for len(e.response) < maxResponseBytes {
 		n, err := conn.Read(buf[:])
-		if n > 0 && len(e.text) == 0 {
-			e.wait = time.Since(began)
+		if n > 0 && len(e.response) == 0 {
+			e.firstByteTime = time.Since(began)
 		}
-		e.text = append(e.text, buf[:n]...)
+		e.response = append(e.response, buf[:n]...)
 		var slow net.Error
 		switch {
 		case err == nil:
 			continue
 		case errors.As(err, &slow) && slow.Timeout():
-			e.cut = ctx.Err() != nil
-			e.hung = !e.cut
+			e.cancelled = ctx.Err() != nil
+			e.hung = !e.cancelled
 		case !errors.Is(err, io.EOF):
 			e.reset = true
 		}
@@ -262,23 +262,23 @@
 	return e
 }
 
-func (e one) count(to *Ends) {
+func (e connResult) addTo(to *Outcomes) {
 	to.Tried++
 	switch {
-	case e.noDial:
+	case e.dialFailed:
 		to.NoDial++
 		return
 	case e.hung:
 		to.Hung++
 		return
-	case len(e.text) == 0:
+	case len(e.response) == 0:
 		to.Closed++ // or reset; it was told nothing
 		if e.reset {
 			to.Wrong["reset without an answer"]++
 		}
 		return
 	}
-	status, wrong := Judge(e.text)
+	status, wrong := CheckResponse(e.response)
 	to.ByStatus[status]++
 	switch {
 	case wrong != "":
@@ -288,13 +288,13 @@
 		to.Served++
 	default:
 		to.Refused++
-		to.Waits.RecordValue(max(1, e.wait.Microseconds())) //nolint:errcheck // within its range
+		to.Waits.RecordValue(max(1, e.firstByteTime.Microseconds())) //nolint:errcheck // within its range
 	}
 }
 
 // Judge reads all that came over a socket and tells what is wrong with it, "" if it is one whole answer: a stream
 // to [DONE], or a refusal in OpenAI's shape that says when to come back and that the connection ends.
-func Judge(text []byte) (status int, wrong string) {
+func CheckResponse(text []byte) (status int, wrong string) {
 	r := bufio.NewReader(strings.NewReader(string(text)))
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -334,16 +334,16 @@
 }
 
 // enterMost is how long a known client tries.
-const enterMost = 10 * time.Second
+const knownClientTimeout = 10 * time.Second
 
 // enter has a known client connect and stream, again and again until it is in.
-func enter(ctx context.Context, o *Options, client int, key, from string) Entry {
-	e := Entry{Client: client}
+func streamUntilServed(ctx context.Context, o *Options, client int, key, from string) KnownClientResult {
+	e := KnownClientResult{Client: client}
 	began := time.Now()
-	for time.Since(began) < enterMost {
-		e.Tries++
+	for time.Since(began) < knownClientTimeout {
+		e.Attempts++
 		var wait time.Duration
-		if e.Took, wait, e.Err = stream(ctx, o, key, from, began); e.Err == nil {
+		if e.FirstTokenTime, wait, e.Err = streamOnce(ctx, o, key, from, began); e.Err == nil {
 			return e
 		}
 		time.Sleep(max(wait, 5*time.Millisecond))
@@ -352,14 +352,14 @@
 }
 
 // stream is one try. Where it is refused it tells for how long.
-func stream(ctx context.Context, o *Options, key, from string, began time.Time) (took, wait time.Duration, err error) {
-	conn, err := dialer(from).DialContext(ctx, "tcp", o.Target)
+func streamOnce(ctx context.Context, o *Options, key, from string, began time.Time) (took, wait time.Duration, err error) {
+	conn, err := newDialer(from).DialContext(ctx, "tcp", o.Target)
 	if err != nil {
 		return 0, 0, fmt.Errorf("dial: %w", err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(enterMost)) //nolint:errcheck // of an open one
-	if _, err := io.WriteString(conn, call(o.Model, key)); err != nil {
+	conn.SetDeadline(time.Now().Add(knownClientTimeout)) //nolint:errcheck // of an open one
+	if _, err := io.WriteString(conn, chatRequest(o.Model, key)); err != nil {
 		return 0, 0, fmt.Errorf("send: %w", err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/crowd/crowd_test.go
+++ b/internal/crowd/crowd_test.go
@@ -25,7 +25,7 @@
 		strings.Replace(stream, "[DONE]", "[DONT]", 1):                     "no [DONE]",
 		strings.TrimSuffix(stream, "0\r\n\r\n"):                            "no whole body",
 	} {
-		_, wrong := Judge([]byte(text))
+		_, wrong := CheckResponse([]byte(text))
 		assert.Equal(t, want, wrong, "%q", text)
 	}
 }
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -127,7 +127,7 @@
 		if err := os.WriteFile(one.settings, []byte(config.Text(r)), 0o600); err != nil {
 			return fmt.Errorf("day: settings of %s: %w", one.name, err)
 		}
-		p.fleet.Router(source, one.name, one.zone)
+		p.fleet.RegisterRouter(source, one.name, one.zone)
 		p.routers = append(p.routers, one)
 		if err := p.start(one); err != nil {
 			return err
@@ -246,7 +246,7 @@
 // engines are those a trouble is for: the named ones, else one by chance.
 func (p *player) engines(t *pb.Trouble, rng *rand.Rand) (all []*standin.Engine) {
 	for _, name := range t.GetEngines() {
-		all = append(all, p.fleet.Find(name)...)
+		all = append(all, p.fleet.FindEngines(name)...)
 	}
 	if len(all) == 0 {
 		all = append(all, p.fleet.Engines[rng.IntN(len(p.fleet.Engines))])
@@ -277,37 +277,37 @@
 	type engine = *standin.Engine
 	switch t.GetKind() {
 	case pb.Kind_FAILS_FAST:
-		each(func(e engine) { e.Fails(size) }, func(e engine) { e.Fails(0) })
+		each(func(e engine) { e.SetFailureShare(size) }, func(e engine) { e.SetFailureShare(0) })
 	case pb.Kind_SLOW:
-		each(func(e engine) { e.Slow(max(1, size)) }, func(e engine) { e.Slow(1) })
+		each(func(e engine) { e.SetSlowdown(max(1, size)) }, func(e engine) { e.SetSlowdown(1) })
 	case pb.Kind_SILENT:
-		each(func(e engine) { e.Silent(true) }, func(e engine) { e.Silent(false) })
+		each(func(e engine) { e.SetSilent(true) }, func(e engine) { e.SetSilent(false) })
 	case pb.Kind_PAUSED:
-		each(func(e engine) { e.Paused(true) }, func(e engine) { e.Paused(false) })
+		each(func(e engine) { e.SetPaused(true) }, func(e engine) { e.SetPaused(false) })
 	case pb.Kind_UNREACHABLE:
-		each(func(e engine) { err = errors.Join(err, e.Unreachable(true)) }, func(e engine) { err = errors.Join(err, e.Unreachable(false)) })
+		each(func(e engine) { err = errors.Join(err, e.SetUnreachable(true)) }, func(e engine) { err = errors.Join(err, e.SetUnreachable(false)) })
 	case pb.Kind_BREAKS_MIDSTREAM:
-		each(func(e engine) { e.Breaks(size) }, func(e engine) { e.Breaks(0) })
+		each(func(e engine) { e.SetBrokenShare(size) }, func(e engine) { e.SetBrokenShare(0) })
 	case pb.Kind_ANSWERS_LOST:
-		each(func(e engine) { e.Loses(size) }, func(e engine) { e.Loses(0) })
+		each(func(e engine) { e.SetLostShare(size) }, func(e engine) { e.SetLostShare(0) })
 	case pb.Kind_WORKLOAD_FAILS:
-		each(func(e engine) { e.FailsWorkload(t.GetWorkload()) }, func(e engine) { e.FailsWorkload("") })
+		each(func(e engine) { e.SetFailingWorkload(t.GetWorkload()) }, func(e engine) { e.SetFailingWorkload("") })
 	case pb.Kind_KEPT_FLUSHED:
-		each(func(e engine) { e.Flush(size) }, func(engine) {})
+		each(func(e engine) { e.EvictPrefixes(size) }, func(engine) {})
 	case pb.Kind_DEATH:
-		each(engine.Die, func(e engine) { err = errors.Join(err, e.Return()) })
+		each(engine.Kill, func(e engine) { err = errors.Join(err, e.Restart()) })
 	case pb.Kind_DRAIN_WAVE:
 		err = p.drainWave(ctx, t, rng)
 	case pb.Kind_ZONE_CUT:
-		during(func() { p.fleet.Cut(t.GetZone()) }, p.fleet.Heal)
+		during(func() { p.fleet.IsolateZone(t.GetZone()) }, p.fleet.EndIsolation)
 	case pb.Kind_LINKS_SLOW:
-		during(func() { p.fleet.SlowLinks(max(1, size)) }, func() { p.fleet.SlowLinks(1) })
+		during(func() { p.fleet.SetTransferSlowdown(max(1, size)) }, func() { p.fleet.SetTransferSlowdown(1) })
 	case pb.Kind_LIST_LATE:
-		during(func() { p.fleet.List.Late(config.Seconds(size)) }, func() { p.fleet.List.Late(0) })
+		during(func() { p.fleet.List.SetExtraDelay(config.Seconds(size)) }, func() { p.fleet.List.SetExtraDelay(0) })
 	case pb.Kind_LIST_EMPTY:
-		during(func() { p.fleet.List.Empty(true) }, func() { p.fleet.List.Empty(false) })
+		during(func() { p.fleet.List.SetEmpty(true) }, func() { p.fleet.List.SetEmpty(false) })
 	case pb.Kind_LIST_GONE:
-		during(func() { p.fleet.List.Gone(true) }, func() { p.fleet.List.Gone(false) })
+		during(func() { p.fleet.List.SetUnavailable(true) }, func() { p.fleet.List.SetUnavailable(false) })
 	case pb.Kind_ROUTER_KILLED:
 		err = p.killRouter(ctx, t)
 	case pb.Kind_ROUTER_PAUSED:
@@ -324,9 +324,9 @@
 	for _, e := range engines {
 		e.Drain()
 		sleep(ctx, each/2)
-		e.Die()
+		e.Kill()
 		sleep(ctx, each/2)
-		err = errors.Join(err, e.Return())
+		err = errors.Join(err, e.Restart())
 	}
 	return err
 }
--- a/internal/door/listener_test.go
+++ b/internal/door/listener_test.go
@@ -22,7 +22,7 @@
 	for reason := admit.Reason(1); int(reason) < admit.NumReasons; reason++ {
 		response := reason.Response()
 		require.NotZero(t, response.Status, reason.String())
-		status, problem := crowd.Judge(refusalResponse(admit.Decision{Reason: reason, RetryAfter: 0.2}))
+		status, problem := crowd.CheckResponse(refusalResponse(admit.Decision{Reason: reason, RetryAfter: 0.2}))
 		assert.Equal(t, response.Status, status)
 		assert.Empty(t, problem, reason.String())
 	}
@@ -133,7 +133,7 @@
 	require.Eventually(t, func() bool { return spares.refuse(int(f.Fd())) }, time.Second, time.Millisecond)
 	received, err := io.ReadAll(client)
 	require.NoError(t, err)
-	status, problem := crowd.Judge(received)
+	status, problem := crowd.CheckResponse(received)
 	assert.Equal(t, 503, status)
 	assert.Empty(t, problem)
 	assert.Len(t, spares.files, spareDescriptorCount)
--- a/internal/edge/aggregate.go
+++ b/internal/edge/aggregate.go
@@ -111,8 +111,8 @@
 		answer[name] = v
 	}
 	if hasUsage {
-		answer["usage"] = map[string]any{"prompt_tokens": u.Prompt, "completion_tokens": u.Answer,
-			"total_tokens": u.Prompt + u.Answer, "prompt_tokens_details": map[string]any{"cached_tokens": u.Cached}}
+		answer["usage"] = map[string]any{"prompt_tokens": u.PromptTokens, "completion_tokens": u.OutputTokens,
+			"total_tokens": u.PromptTokens + u.OutputTokens, "prompt_tokens_details": map[string]any{"cached_tokens": u.CachedTokens}}
 	}
 	b, err := json.Marshal(answer)
 	if err != nil { // cannot happen: all parts are valid JSON
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -50,7 +50,7 @@
 	if !gjson.ValidBytes(body) {
 		return nil, invalidRequest("", "the body is not JSON")
 	}
-	root := gjson.Parse(engine.Text(body)) // safe: the body is owned here and not modified
+	root := gjson.Parse(engine.UnsafeString(body)) // safe: the body is owned here and not modified
 	if !root.IsObject() {
 		return nil, invalidRequest("", "the body is no JSON object")
 	}
@@ -68,7 +68,7 @@
 			apiErr = invalidRequest("", "more than %d fields", maxFields)
 			return false
 		}
-		c.fields = append(c.fields, engine.Field{Name: name, Quoted: rawJSON(body, key), JSON: rawJSON(body, value)})
+		c.fields = append(c.fields, engine.Field{Name: name, QuotedName: rawJSON(body, key), Value: rawJSON(body, value)})
 		apiErr = c.parseField(name, value, l, id)
 		return apiErr == nil
 	})
@@ -84,7 +84,7 @@
 	}
 	for _, name := range id.SessionFields {
 		if i := slices.IndexFunc(c.fields, func(f engine.Field) bool { return f.Name == name }); i >= 0 {
-			if v := gjson.Parse(engine.Text(c.fields[i].JSON)); v.Type == gjson.String && v.Str != "" {
+			if v := gjson.Parse(engine.UnsafeString(c.fields[i].Value)); v.Type == gjson.String && v.Str != "" {
 				c.session = xxhash.Sum64String(v.Str)
 				break
 			}
--- a/internal/edge/completion.go
+++ b/internal/edge/completion.go
@@ -79,7 +79,7 @@
 // runProbe fetches an engine's load report and notifies the planner. It returns an error if the engine was not probed or did not answer.
 func (e *Edge) runProbe(address string, probe func(context.Context) ([]float64, error)) error {
 	report, err := probe(e.callsCtx)
-	if errors.Is(err, engine.ErrNotAsked) {
+	if errors.Is(err, engine.ErrProbeSkipped) {
 		return err
 	}
 	if err != nil {
--- a/internal/edge/dispatch.go
+++ b/internal/edge/dispatch.go
@@ -35,12 +35,12 @@
 func (d *dispatch) markSent() { d.sentOnce.Do(func() { close(d.sent) }) }
 
 // recordWritten records that the request is fully sent: from here on the engine may use or leave state.
-func (d *dispatch) recordWritten(sent engine.Sent) {
+func (d *dispatch) recordWritten(sent engine.ConnInfo) {
 	d.completion.mu.Lock()
 	d.written = true
 	if d.completion.edge.debugEnabled() {
 		d.completion.edge.opts.Log.Debug("dispatch written", "completion", d.completion.request.ExternalID, "dispatch", d.number, "engine", d.address, "reads", d.isRead,
-			"connection", sent.Connection, "connection_answered_ago", time.Since(sent.Since).Seconds())
+			"connection", sent.Number, "connection_answered_ago", time.Since(sent.LastActive).Seconds())
 	}
 	d.completion.mu.Unlock()
 	d.markSent()
@@ -68,8 +68,8 @@
 	}
 	d.deadline = deadline
 	c.mu.Unlock()
-	return &engine.Call{Address: d.address, ID: id, Key: c.request.IdempotencyKey, CheckAfter: checkAfter, Trace: c.request.TraceParent, Target: c.request.Target, Body: body, Until: deadline, Wrote: d.recordWritten,
-		Heard: func(report []float64) {
+	return &engine.Call{Address: d.address, ID: id, IdempotencyKey: c.request.IdempotencyKey, CheckAfter: checkAfter, TraceParent: c.request.TraceParent, Target: c.request.Target, Body: body, Deadline: deadline, OnSent: d.recordWritten,
+		OnReport: func(report []float64) {
 			c.edge.planner.Notify(link.Event{Kind: link.ProbeEnded, Address: d.address, Outcome: decide.Finished, Report: report})
 		}}
 }
@@ -84,7 +84,7 @@
 	case c.edge.opts.ReleaseByCompletion: // handled by the lease
 	case result.Outcome == decide.Read:
 		c.holdState(&heldResource{address: d.address, id: call.ID, transferParams: result.State})
-	case mayHaveRun(result.Outcome) && !result.Done:
+	case mayHaveRun(result.Outcome) && !result.Answered:
 		// The read may have succeeded all the same, so its state is released by id.
 		c.edge.releaseUncertain(&heldResource{address: d.address, id: call.ID})
 	}
@@ -104,7 +104,7 @@
 	}
 	stream, result := c.edge.opts.Engines.Write(d.ctx, d.cancel, d.newCall(c.request.BuildBody(false, state), timeout), timeout)
 	if stream == nil {
-		stateMissing := result.Outcome == decide.Full && result.Found == 1
+		stateMissing := result.Outcome == decide.Full && result.CachedTokens == 1
 		c.endStateUse(d.state, stateMissing)
 		if stateMissing && d.state != nil {
 			// The writer could not fetch the state. A reader that the writer merely failed to reach still holds it.
@@ -121,7 +121,7 @@
 	c.mu.Unlock()
 	if !won {
 		result = stream.Close()
-		result.Done = true
+		result.Answered = true
 		d.finish(result)
 		return
 	}
@@ -141,7 +141,7 @@
 		}
 		c.edge.opts.Log.Debug("dispatch ended", "completion", c.request.ExternalID, "dispatch", d.number, "engine", d.address, "reads", d.isRead,
 			"outcome", result.Outcome, "after", d.startedAt.Sub(c.request.ArrivedAt).Seconds(), "first", d.timeToFirstToken.Seconds(), "took", elapsed.Seconds(),
-			"found", result.Found, "answer", usage.Answer, "err", result.Err)
+			"found", result.CachedTokens, "answer", usage.OutputTokens, "err", result.Err)
 	}
 	if result.Body != nil && c.winner.CompareAndSwap(0, answeredWithoutDispatch) {
 		c.engineError <- result
@@ -153,14 +153,14 @@
 	d.ended = true
 	c.activeDispatches--
 	if c.recordDispatchEnd(d, result.Outcome) {
-		result.Found = 1 // reports that no state is left
+		result.CachedTokens = 1 // reports that no state is left
 	}
 	if c.activeDispatches == 0 && c.reservation != nil {
 		c.armRelease(c.reservation)
 	}
 	c.mu.Unlock()
 	c.edge.planner.Notify(link.Event{Kind: link.DispatchEnded, Completion: c.id, Dispatch: d.number, Outcome: result.Outcome, Elapsed: elapsed.Seconds(),
-		Answered: result.Done, CachedTokens: result.Found, Report: result.Report})
+		Answered: result.Answered, CachedTokens: result.CachedTokens, Report: result.Report})
 	c.closeIfDone()
 	c.edge.activeCalls.Add(-1)
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -80,8 +80,8 @@
 func startEdge(t *testing.T, s *scriptedPlanner, change func(*Options)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	client, err := engine.NewClient(engine.Options{ConnectTimeout: time.Second, ProbeTimeout: time.Second, IdleConn: time.Second,
-		StreamIdle: 2 * time.Second, MaxEventBytes: 1 << 16})
+	client, err := engine.NewClient(engine.Options{ConnectTimeout: time.Second, ProbeTimeout: time.Second, IdleConnTimeout: time.Second,
+		StreamIdleTimeout: 2 * time.Second, MaxEventBytes: 1 << 16})
 	require.NoError(t, err)
 	o := Options{Listener: ln, Workloads: []Workload{{Name: "m", Models: []string{"m"}, ClientTimeout: 600 * time.Millisecond, DefaultMaxTokens: 9},
 		{Name: "once", Models: []string{"once"}, ClientTimeout: 600 * time.Millisecond, Idempotency: decide.NonIdempotent, DefaultMaxTokens: 9}},
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -163,7 +163,7 @@
 	for {
 		event, err := stream.Next()
 		switch {
-		case err == nil && event.Usage && !c.chat.includeUsage:
+		case err == nil && event.UsageOnly && !c.chat.includeUsage:
 			continue
 		case err == nil:
 			buf = append(append(append(buf, "data: "...), event.Data...), "\n\n"...)
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -81,7 +81,7 @@
 func (c *completion) cancelUnsentWrites() {
 	for _, d := range c.dispatches {
 		if !d.ended && !d.written && !d.isRead {
-			d.cancel(engine.ErrHeld)
+			d.cancel(engine.ErrNotConnected)
 		}
 	}
 }
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -103,7 +103,7 @@
 	if script.neverSent {
 		return &engine.Result{Outcome: script.outcome}
 	}
-	call.Wrote(engine.Sent{})
+	call.OnSent(engine.ConnInfo{})
 	return nil
 }
 
--- a/internal/edge/release_test.go
+++ b/internal/edge/release_test.go
@@ -34,7 +34,7 @@
 }
 
 func (l *lateStateEngine) Read(ctx context.Context, call *engine.Call) *engine.Result {
-	call.Wrote(engine.Sent{Since: time.Now()})
+	call.OnSent(engine.ConnInfo{LastActive: time.Now()})
 	<-ctx.Done()
 	l.storeLater(call.ID)
 	return &engine.Result{Outcome: decide.TimedOut}
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -177,7 +177,7 @@
 		c.edge.planner.Notify(link.Event{Kind: link.ClientLeft, Completion: c.id})
 	}
 	result := d.stream.Close()
-	result.Done = true
+	result.Answered = true
 	d.finish(result)
 	return answer
 }
--- a/internal/edge/rules_test.go
+++ b/internal/edge/rules_test.go
@@ -76,65 +76,65 @@
 	wait := func() { time.Sleep(time.Duration(d.DurationMs) * time.Millisecond) }
 	switch d.Kind {
 	case "fails":
-		e.Fails(d.Severity)
+		e.SetFailureShare(d.Severity)
 		wait()
-		e.Fails(0)
+		e.SetFailureShare(0)
 	case "slow":
-		e.Slow(1 + 20*d.Severity)
+		e.SetSlowdown(1 + 20*d.Severity)
 		wait()
-		e.Slow(1)
+		e.SetSlowdown(1)
 	case "silent":
-		e.Silent(true)
+		e.SetSilent(true)
 		wait()
-		e.Silent(false)
+		e.SetSilent(false)
 	case "paused":
-		e.Paused(true)
+		e.SetPaused(true)
 		wait()
-		e.Paused(false)
+		e.SetPaused(false)
 	case "breaks":
-		e.Breaks(d.Severity)
+		e.SetBrokenShare(d.Severity)
 		wait()
-		e.Breaks(0)
+		e.SetBrokenShare(0)
 	case "loses":
-		e.Loses(d.Severity)
+		e.SetLostShare(d.Severity)
 		wait()
-		e.Loses(0)
+		e.SetLostShare(0)
 	case "unreachable":
-		e.Unreachable(true) //nolint:errcheck // listening again may fail
+		e.SetUnreachable(true) //nolint:errcheck // listening again may fail
 		wait()
-		e.Unreachable(false) //nolint:errcheck // as above
+		e.SetUnreachable(false) //nolint:errcheck // as above
 	case "dies":
-		e.Die()
+		e.Kill()
 		wait()
-		e.Return() //nolint:errcheck // as above
+		e.Restart() //nolint:errcheck // as above
 	case "drains":
 		e.Drain()
 		wait()
-		e.Die()
+		e.Kill()
 		time.Sleep(300 * time.Millisecond)
-		e.Return() //nolint:errcheck // as above
+		e.Restart() //nolint:errcheck // as above
 	case "flush":
-		e.Flush(d.Severity)
+		e.EvictPrefixes(d.Severity)
 	case "links slow":
-		tc.fleet.SlowLinks(1 + 20*d.Severity)
+		tc.fleet.SetTransferSlowdown(1 + 20*d.Severity)
 		wait()
-		tc.fleet.SlowLinks(1)
+		tc.fleet.SetTransferSlowdown(1)
 	case "cut":
-		tc.fleet.Cut("b")
+		tc.fleet.IsolateZone("b")
 		wait()
-		tc.fleet.Heal()
+		tc.fleet.EndIsolation()
 	case "list late":
-		tc.fleet.List.Late(time.Duration(d.Severity * 3e9))
+		tc.fleet.List.SetExtraDelay(time.Duration(d.Severity * 3e9))
 		wait()
-		tc.fleet.List.Late(0)
+		tc.fleet.List.SetExtraDelay(0)
 	case "list empty":
-		tc.fleet.List.Empty(true)
+		tc.fleet.List.SetEmpty(true)
 		wait()
-		tc.fleet.List.Empty(false)
+		tc.fleet.List.SetEmpty(false)
 	case "list gone":
-		tc.fleet.List.Gone(true)
+		tc.fleet.List.SetUnavailable(true)
 		wait()
-		tc.fleet.List.Gone(false)
+		tc.fleet.List.SetUnavailable(false)
 	case "planner stalled":
 		r := tc.routers[d.Engine%len(tc.routers)].Load()
 		r.plannerStalled.Store(true)
@@ -290,8 +290,8 @@
 			time.Sleep(3 * time.Millisecond)
 		}
 		time.Sleep(200 * time.Millisecond)
-		tc.fleet.Find("mixed-0")[0].Drain() // it is in the routers' zone and would get nearly all writes
-		time.Sleep(300 * time.Millisecond)  // until the engine list is updated
+		tc.fleet.FindEngines("mixed-0")[0].Drain() // it is in the routers' zone and would get nearly all writes
+		time.Sleep(300 * time.Millisecond)         // until the engine list is updated
 		overloadEnd := tc.recorder.Now()
 		for i := range calm {
 			tc.call(clientCall{Router: i, PromptTokens: 20 + i, Stream: true, Session: burst + i})
--- a/internal/edge/virtual_test.go
+++ b/internal/edge/virtual_test.go
@@ -220,7 +220,7 @@
 		f.routerConfig(tc.routerSettings)
 	}
 	var err error
-	tc.fleet, err = standin.StartOn(tc.network.Listen, fleetSettings, settings.GetWorkloads(), tc.recorder)
+	tc.fleet, err = standin.StartWithListener(tc.network.Listen, fleetSettings, settings.GetWorkloads(), tc.recorder)
 	require.NoError(t, err)
 	for i := range tc.routers {
 		tc.routers[i].Store(tc.startRouter(i))
@@ -256,7 +256,7 @@
 func (tc *testCluster) startRouter(i int) *testRouter {
 	name := fmt.Sprint("r", i)
 	r := &testRouter{cluster: tc, index: i, name: name, caller: &dialer{network: tc.network, localAddress: fmt.Sprint("10.1.0.", i+1)}}
-	tc.fleet.Router(r.caller.localAddress, name, tc.routerSettings.GetZone())
+	tc.fleet.RegisterRouter(r.caller.localAddress, name, tc.routerSettings.GetZone())
 	log := slog.New(slog.DiscardHandler)
 	co := config.Engine(tc.routerSettings)
 	co.Dial = r.caller.dial
@@ -281,8 +281,8 @@
 	require.NoError(tc.t, err)
 	r.edge.SetPlanner(r.planner)
 	r.ctx, r.stop = context.WithCancelCause(context.Background())
-	follower := fleet.New(fleet.Options{URL: tc.fleet.List.URL(), Poll: time.Second, Retry: 100 * time.Millisecond, MaxEngines: 100, Dial: r.caller.dial, Log: log,
-		Tell: func(ev link.Event) {
+	follower := fleet.New(fleet.Options{URL: tc.fleet.List.URL(), PollInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxEngines: 100, Dial: r.caller.dial, Log: log,
+		Notify: func(ev link.Event) {
 			if tc.faults.engineList != nil {
 				ev = tc.faults.engineList(ev)
 			}
@@ -319,18 +319,18 @@
 // finish reverts all disturbances, waits until everything has ended, and checks the rules.
 func (tc *testCluster) finish() *rules.Report {
 	tc.calls.Wait()
-	tc.fleet.Heal()
-	tc.fleet.SlowLinks(1)
-	tc.fleet.List.Late(0)
-	tc.fleet.List.Empty(false)
-	tc.fleet.List.Gone(false)
+	tc.fleet.EndIsolation()
+	tc.fleet.SetTransferSlowdown(1)
+	tc.fleet.List.SetExtraDelay(0)
+	tc.fleet.List.SetEmpty(false)
+	tc.fleet.List.SetUnavailable(false)
 	for _, e := range tc.fleet.Engines {
-		e.Fails(0)
-		e.Slow(1)
-		e.Silent(false)
-		e.Paused(false)
-		e.Breaks(0)
-		e.Loses(0)
+		e.SetFailureShare(0)
+		e.SetSlowdown(1)
+		e.SetSilent(false)
+		e.SetPaused(false)
+		e.SetBrokenShare(0)
+		e.SetLostShare(0)
 	}
 	for i := range tc.routers {
 		tc.routers[i].Load().plannerStalled.Store(false)
--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -6,36 +6,36 @@
 )
 
 // Text is b as a string without a copy of it. b must not change while the string, or a part of it, is in use.
-func Text(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
+func UnsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
 // Field is one field of a chat call's body.
 type Field struct {
-	Name   string
-	Quoted []byte // the name as it stands in the body
-	JSON   []byte // the value
+	Name       string
+	QuotedName []byte // the name as it stands in the body
+	Value      []byte // the value
 }
 
 // askForState is what a read asks for, as vLLM's nixl connector takes it.
-const askForState = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
+const remoteDecodeParams = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
 // ReadBody is the body of a read: the call with one token, not streamed.
 func ReadBody(fields []Field) []byte {
-	b := begin(fields, func(name string) bool {
+	b := beginBody(fields, func(name string) bool {
 		switch name {
 		case "max_tokens", "max_completion_tokens", "stream", "stream_options", "kv_transfer_params":
 			return false
 		}
 		return true
 	})
-	return append(b, `"max_tokens":1,"max_completion_tokens":1,"stream":false,"kv_transfer_params":`+askForState+`}`...)
+	return append(b, `"max_tokens":1,"max_completion_tokens":1,"stream":false,"kv_transfer_params":`+remoteDecodeParams+`}`...)
 }
 
 // WriteBody is the body of a write, streamed with its usage; state is a read's kv_transfer_params, nil for
 // none. most is the most tokens of the answer where the client named none.
 func WriteBody(fields []Field, state []byte, most int) []byte {
 	named := false
-	b := begin(fields, func(name string) bool {
+	b := beginBody(fields, func(name string) bool {
 		switch name {
 		case "stream", "stream_options", "kv_transfer_params":
 			return false
@@ -54,15 +54,15 @@
 	return append(b, `"stream":true,"stream_options":{"include_usage":true}}`...)
 }
 
-func begin(fields []Field, keep func(name string) bool) []byte {
+func beginBody(fields []Field, keep func(name string) bool) []byte {
 	size := 256
 	for _, f := range fields {
-		size += len(f.Quoted) + len(f.JSON) + 2
+		size += len(f.QuotedName) + len(f.Value) + 2
 	}
 	b := append(make([]byte, 0, size), '{')
 	for _, f := range fields {
 		if keep(f.Name) {
-			b = append(append(append(append(b, f.Quoted...), ':'), f.JSON...), ',')
+			b = append(append(append(append(b, f.QuotedName...), ':'), f.Value...), ',')
 		}
 	}
 	return b
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -11,7 +11,7 @@
 )
 
 // errNoConns is a dial that was not made: all descriptors kept for engines are in use.
-var errNoConns = errors.New("all connections kept for engines are in use")
+var errConnLimit = errors.New("all connections kept for engines are in use")
 
 // Dialer keeps the connections to all engines within the descriptors that are kept for them. Where there is none
 // it has idle ones closed and waits, as long as the dial may last. It guards against running the process out of
@@ -20,19 +20,19 @@
 // Where the process has no descriptors all the same, whoever took them, a spare one makes way for one dial. Idle
 // connections don't: the one to a reader that holds a state is the way by which the state is let go.
 type Dialer struct {
-	next  func(ctx context.Context, network, address string) (net.Conn, error)
-	drop  func() // closes idle connections
-	slots chan struct{}
+	dial      func(ctx context.Context, network, address string) (net.Conn, error)
+	closeIdle func() // closes idle connections
+	slots     chan struct{}
 
-	mu    sync.Mutex
-	spare *os.File
-	over  bool // no spare one is opened any more
+	mu     sync.Mutex
+	spare  *os.File
+	closed bool // no spare one is opened any more
 }
 
 // NewDialer makes a dialer of so many connections at once over next; drop closes idle ones.
 func NewDialer(most int, next func(ctx context.Context, network, address string) (net.Conn, error), drop func()) *Dialer {
-	d := &Dialer{next: next, drop: drop, slots: make(chan struct{}, most)}
-	d.renew()
+	d := &Dialer{dial: next, closeIdle: drop, slots: make(chan struct{}, most)}
+	d.openSpare()
 	return d
 }
 
@@ -41,30 +41,30 @@
 	select {
 	case d.slots <- struct{}{}:
 	default:
-		d.drop()
+		d.closeIdle()
 		select {
 		case d.slots <- struct{}{}:
 		case <-ctx.Done():
-			return nil, fmt.Errorf("dial %s: %w", address, errNoConns)
+			return nil, fmt.Errorf("dial %s: %w", address, errConnLimit)
 		}
 	}
-	conn, err := d.next(ctx, network, address)
-	if (errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)) && d.makeWay() {
-		conn, err = d.next(ctx, network, address)
+	conn, err := d.dial(ctx, network, address)
+	if (errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)) && d.closeSpare() {
+		conn, err = d.dial(ctx, network, address)
 	}
-	d.renew()
+	d.openSpare()
 	if err != nil {
 		<-d.slots
 		return nil, err
 	}
-	return &counted{Conn: conn, over: sync.OnceFunc(func() {
+	return &countedConn{Conn: conn, release: sync.OnceFunc(func() {
 		<-d.slots
-		d.renew()
+		d.openSpare()
 	})}, nil
 }
 
 // makeWay gives the spare descriptor up, and fails if there is none.
-func (d *Dialer) makeWay() bool {
+func (d *Dialer) closeSpare() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.spare == nil {
@@ -76,10 +76,10 @@
 }
 
 // renew takes a spare descriptor again where there is none.
-func (d *Dialer) renew() {
+func (d *Dialer) openSpare() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.spare == nil && !d.over {
+	if d.spare == nil && !d.closed {
 		if f, err := os.Open(os.DevNull); err == nil {
 			d.spare = f
 		}
@@ -89,22 +89,22 @@
 // Close gives the spare descriptor back for good.
 func (d *Dialer) Close() {
 	d.mu.Lock()
-	d.over = true
+	d.closed = true
 	d.mu.Unlock()
-	d.makeWay()
+	d.closeSpare()
 }
 
 // counted gives its slot back once it is closed.
-type counted struct {
+type countedConn struct {
 	net.Conn
-	over func()
+	release func()
 }
 
 // Unwrap is the connection itself.
-func (c *counted) Unwrap() net.Conn { return c.Conn }
+func (c *countedConn) Unwrap() net.Conn { return c.Conn }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	err := c.Conn.Close()
-	c.over()
+	c.release()
 	return err
 }
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
-	require.ErrorIs(t, err, errNoConns)
+	require.ErrorIs(t, err, errConnLimit)
 	assert.Equal(t, 1, dropped, "idle ones were asked to go")
 	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "no fault of the engine")
 	assert.Equal(t, decide.Finished, ProbeOutcome(err))
@@ -35,7 +35,7 @@
 	ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
-	assert.ErrorIs(t, err, errNoConns, "closed twice counts once")
+	assert.ErrorIs(t, err, errConnLimit, "closed twice counts once")
 }
 
 func TestSpareMakesWayForADial(t *testing.T) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -25,10 +25,10 @@
 
 // Causes with which a caller ends a dispatch's context.
 var (
-	ErrCancelled = errors.New("cancelled")
-	ErrTimedOut  = errors.New("timed out")
-	ErrIdle      = errors.New("no token within the stream's idle time")
-	ErrHeld      = errors.New("not connected while the state may be held") // of one whose last byte was not written
+	ErrCancelled    = errors.New("cancelled")
+	ErrTimedOut     = errors.New("timed out")
+	ErrStreamIdle   = errors.New("no token within the stream's idle time")
+	ErrNotConnected = errors.New("not connected while the state may be held") // of one whose last byte was not written
 )
 
 // ErrMalformed is an answer that the protocol doesn't allow.
@@ -42,22 +42,22 @@
 
 // Options of a client. All must be given but SourceAddress, MaxConns and Dial.
 type Options struct {
-	ConnectTimeout time.Duration
-	ProbeTimeout   time.Duration
-	IdleConn       time.Duration // an unused connection is kept so long
-	StreamIdle     time.Duration // the longest time between two tokens
-	MaxEventBytes  int           // of one event of a stream, of a read's answer and of an error's body
-	SourceAddress  string        // dial from this address, empty for any
-	MaxConns       int           // open at once to all engines, 0 for no bound
-	Figures        Figures       // where load reports are found
-	Dial           Dial          // in place of TCP from SourceAddress, nil for that
+	ConnectTimeout    time.Duration
+	ProbeTimeout      time.Duration
+	IdleConnTimeout   time.Duration // an unused connection is kept so long
+	StreamIdleTimeout time.Duration // the longest time between two tokens
+	MaxEventBytes     int           // of one event of a stream, of a read's answer and of an error's body
+	SourceAddress     string        // dial from this address, empty for any
+	MaxConns          int           // open at once to all engines, 0 for no bound
+	LoadMetrics       LoadMetrics   // where load reports are found
+	Dial              Dial          // in place of TCP from SourceAddress, nil for that
 }
 
 // Client makes dispatches. It is safe for concurrent use.
 type Client struct {
-	o      Options
-	http   *http.Client
-	dialer *Dialer // nil where there is no bound
+	options Options
+	http    *http.Client
+	dialer  *Dialer // nil where there is no bound
 }
 
 // maxHeaderBytes bounds an engine's answer header.
@@ -74,7 +74,7 @@
 		}
 		d.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	c := &Client{o: o}
+	c := &Client{options: o}
 	dial := d.DialContext
 	if o.Dial != nil {
 		dial = o.Dial
@@ -83,16 +83,16 @@
 		c.dialer = NewDialer(o.MaxConns, dial, func() { c.http.CloseIdleConnections() })
 		dial = c.dialer.Dial
 	}
-	copies := &sync.Pool{New: func() any { b := make([]byte, copyBytes); return &b }}
+	copies := &sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 	c.http = &http.Client{
 		Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &bodyConn{conn, copies}, nil
+			return &pooledCopyConn{conn, copies}, nil
 		}, DisableCompression: true, MaxIdleConnsPerHost: 512,
-			IdleConnTimeout: o.IdleConn, MaxResponseHeaderBytes: maxHeaderBytes, ReadBufferSize: 1 << 10, WriteBufferSize: 1 << 10},
+			IdleConnTimeout: o.IdleConnTimeout, MaxResponseHeaderBytes: maxHeaderBytes, ReadBufferSize: 1 << 10, WriteBufferSize: 1 << 10},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return c, nil
@@ -100,18 +100,18 @@
 
 // bodyConn is a connection that copies a call's body by a buffer of its client's: TCP's own way takes a new one of the body's
 // size for each call.
-type bodyConn struct {
+type pooledCopyConn struct {
 	net.Conn
-	copies *sync.Pool
+	buffers *sync.Pool
 }
 
 // copyBytes is the size of such a buffer: most bodies go in one piece.
-const copyBytes = 32 << 10
+const copyBufferBytes = 32 << 10
 
 // ReadFrom is of io.ReaderFrom.
-func (c *bodyConn) ReadFrom(r io.Reader) (int64, error) {
-	buf := c.copies.Get().(*[]byte) //nolint:forcetypeassert // of New
-	defer c.copies.Put(buf)
+func (c *pooledCopyConn) ReadFrom(r io.Reader) (int64, error) {
+	buf := c.buffers.Get().(*[]byte) //nolint:forcetypeassert // of New
+	defer c.buffers.Put(buf)
 	return io.CopyBuffer(struct{ io.Writer }{c.Conn}, r, *buf)
 }
 
@@ -124,35 +124,35 @@
 }
 
 // Sent tells how a call was written.
-type Sent struct {
-	Connection uint64    // the connection's number at its client
-	Since      time.Time // when the connection was last seen to work: an answer came on it, or it came up where the engine must not be probed
+type ConnInfo struct {
+	Number     uint64    // the connection's number at its client
+	LastActive time.Time // when the connection was last seen to work: an answer came on it, or it came up where the engine must not be probed
 }
 
 // Call is one dispatch.
 type Call struct {
-	Address    string        // host:port
-	ID         string        // X-Request-Id: names the dispatch, and the state that a read leaves
-	Key        string        // Idempotency-Key, empty for none
-	CheckAfter time.Duration // a connection on which no answer came within this time is checked first, 0 for never
-	Trace      string        // traceparent, empty for none
-	Target     string        // of the call, empty for the chat call's own
-	Body       []byte
-	Until      time.Time              // the client waits no longer for the first token; what is told of it is told when it is written
-	Wrote      func(Sent)             // is called once the last byte is written, nil for none
-	Heard      func(report []float64) // is called with a report in the header, nil for none
+	Address        string        // host:port
+	ID             string        // X-Request-Id: names the dispatch, and the state that a read leaves
+	IdempotencyKey string        // Idempotency-Key, empty for none
+	CheckAfter     time.Duration // a connection on which no answer came within this time is checked first, 0 for never
+	TraceParent    string        // traceparent, empty for none
+	Target         string        // of the call, empty for the chat call's own
+	Body           []byte
+	Deadline       time.Time              // the client waits no longer for the first token; what is told of it is told when it is written
+	OnSent         func(ConnInfo)         // is called once the last byte is written, nil for none
+	OnReport       func(report []float64) // is called with a report in the header, nil for none
 }
 
 // Result is how a dispatch, or its beginning, ended.
 type Result struct {
-	Outcome decide.Outcome
-	Done    bool      // the completion has its answer: Status and Body are the client's
-	Found   float64   // prompt tokens found kept; with Full, 1 if there was no state to fetch
-	Report  []float64 // a load report that came at the end
-	State   []byte    // of a read: kv_transfer_params
-	Status  int       // HTTP status, 0 for none
-	Body    []byte    // with Done: the engine's word for what is wrong with the completion
-	Err     error     // what happened, nil if all went well
+	Outcome      decide.Outcome
+	Answered     bool      // the completion has its answer: Status and Body are the client's
+	CachedTokens float64   // prompt tokens found kept; with Full, 1 if there was no state to fetch
+	Report       []float64 // a load report that came at the end
+	State        []byte    // of a read: kv_transfer_params
+	Status       int       // HTTP status, 0 for none
+	Body         []byte    // with Done: the engine's word for what is wrong with the completion
+	Err          error     // what happened, nil if all went well
 }
 
 // post sends a chat call. The body can't be read again (no GetBody): net/http would otherwise repeat a call
@@ -170,26 +170,26 @@
 	h["Content-Type"] = []string{"application/json"}
 	h["X-Request-Id"] = []string{call.ID}
 	h["Endpoint-Load-Metrics-Format"] = []string{"TEXT"}
-	if call.Key != "" {
-		h["Idempotency-Key"] = []string{call.Key}
+	if call.IdempotencyKey != "" {
+		h["Idempotency-Key"] = []string{call.IdempotencyKey}
 	}
-	if call.Trace != "" {
-		h["Traceparent"] = []string{call.Trace}
+	if call.TraceParent != "" {
+		h["Traceparent"] = []string{call.TraceParent}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, &Result{Outcome: OutcomeOf(ctx, err, wrote.Load()), Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
 	}
-	if call.Heard != nil {
-		if report := c.o.Figures.fromORCA(resp.Header.Get("Endpoint-Load-Metrics")); report != nil {
-			call.Heard(report)
+	if call.OnReport != nil {
+		if report := c.options.LoadMetrics.parseORCA(resp.Header.Get("Endpoint-Load-Metrics")); report != nil {
+			call.OnReport(report)
 		}
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, int64(c.o.MaxEventBytes)))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, int64(c.options.MaxEventBytes)))
 	return nil, statusResult(call.Address, resp.StatusCode, body)
 }
 
@@ -201,9 +201,9 @@
 	case http.StatusTooManyRequests:
 		r.Outcome = decide.Full
 	case http.StatusFailedDependency:
-		r.Outcome, r.Found = decide.Full, 1
+		r.Outcome, r.CachedTokens = decide.Full, 1
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
-		r.Outcome, r.Done, r.Body = decide.Cancelled, true, body
+		r.Outcome, r.Answered, r.Body = decide.Cancelled, true, body
 	}
 	return r
 }
@@ -215,9 +215,9 @@
 		return bad
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(c.o.MaxEventBytes)+1))
-	if err == nil && len(body) > c.o.MaxEventBytes {
-		err = fmt.Errorf("%w: over %d bytes", ErrMalformed, c.o.MaxEventBytes)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(c.options.MaxEventBytes)+1))
+	if err == nil && len(body) > c.options.MaxEventBytes {
+		err = fmt.Errorf("%w: over %d bytes", ErrMalformed, c.options.MaxEventBytes)
 	}
 	if err == nil && !gjson.ValidBytes(body) {
 		err = fmt.Errorf("%w: no JSON", ErrMalformed)
@@ -230,13 +230,13 @@
 		return &Result{Outcome: OutcomeOf(ctx, err, true), Status: resp.StatusCode, Err: fmt.Errorf("read at %s: %w", call.Address, err)}
 	}
 	return &Result{Outcome: decide.Read, Status: resp.StatusCode, State: []byte(state.Raw),
-		Found: gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Float()}
+		CachedTokens: gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Float()}
 }
 
 // Release has an engine drop the state, or the place, that it holds under a dispatch's id. The call is
 // cherryhub's own. Dropping what isn't held is no error.
 func (c *Client) Release(ctx context.Context, address, id string) error {
-	return c.small(ctx, http.MethodDelete, address, "/v1/kv_states/"+id, nil, nil)
+	return c.control(ctx, http.MethodDelete, address, "/v1/kv_states/"+id, nil, nil)
 }
 
 // Hold asks a writer for a place for a completion of so many prompt tokens; the call is cherryhub's own. The
@@ -244,7 +244,7 @@
 // stood still, and no release that came before would find it.
 func (c *Client) Reserve(ctx context.Context, address, id string, tokens float64, lease time.Duration) (held bool, err error) {
 	body := fmt.Appendf(nil, `{"id":%q,"prompt_tokens":%.0f,"lease_ms":%d}`, id, tokens, lease.Milliseconds())
-	err = c.small(ctx, http.MethodPost, address, "/v1/kv_places", body, func(answer []byte) error {
+	err = c.control(ctx, http.MethodPost, address, "/v1/kv_places", body, func(answer []byte) error {
 		held = gjson.GetBytes(answer, "held").Bool()
 		return nil
 	})
@@ -253,20 +253,20 @@
 
 // Probe asks an engine for its figures.
 func (c *Client) Probe(ctx context.Context, address string) ([]float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.o.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.options.ProbeTimeout)
 	defer cancel()
 	var report []float64
-	err := c.small(ctx, http.MethodGet, address, "/metrics", nil, func(answer []byte) (err error) {
-		report, err = c.o.Figures.fromPrometheus(answer)
+	err := c.control(ctx, http.MethodGet, address, "/metrics", nil, func(answer []byte) (err error) {
+		report, err = c.options.LoadMetrics.parsePrometheus(answer)
 		return err
 	})
 	return report, err
 }
 
 // maxSmall bounds the answer of a call that is no completion.
-const maxSmall = 4 << 20
+const maxControlAnswerBytes = 4 << 20
 
-func (c *Client) small(ctx context.Context, method, address, path string, body []byte, read func([]byte) error) error {
+func (c *Client) control(ctx context.Context, method, address, path string, body []byte, read func([]byte) error) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("%s %s at %s: %w", method, path, address, err)
@@ -279,7 +279,7 @@
 		return fmt.Errorf("%s %s at %s: %w", method, path, address, err)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxSmall))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxControlAnswerBytes))
 	if err == nil && resp.StatusCode/100 != 2 && resp.StatusCode != http.StatusNotFound {
 		err = fmt.Errorf("status %d", resp.StatusCode)
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -73,8 +73,8 @@
 }
 
 func client(t *testing.T) *Client {
-	c, err := NewClient(Options{ConnectTimeout: 200 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, IdleConn: time.Second,
-		StreamIdle: 150 * time.Millisecond, MaxEventBytes: 4096, Figures: Figures{
+	c, err := NewClient(Options{ConnectTimeout: 200 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, IdleConnTimeout: time.Second,
+		StreamIdleTimeout: 150 * time.Millisecond, MaxEventBytes: 4096, LoadMetrics: LoadMetrics{
 			{Column: "queue", ORCA: "named_metrics.waiting", Prometheus: "vllm:num_requests_waiting", Sum: true},
 			{Column: "x0", ORCA: "named_metrics.kv", Prometheus: "vllm:kv_cache_usage_perc"}}})
 	require.NoError(t, err)
@@ -89,7 +89,7 @@
 	if cancelAfter > 0 {
 		time.AfterFunc(cancelAfter, func() { cancel(ErrCancelled) })
 	}
-	s, result := c.Write(ctx, cancel, &Call{Address: address, ID: "c-0", Key: "k", Body: []byte(`{}`)}, timeout)
+	s, result := c.Write(ctx, cancel, &Call{Address: address, ID: "c-0", IdempotencyKey: "k", Body: []byte(`{}`)}, timeout)
 	events := 0
 	if s != nil {
 		for {
@@ -144,8 +144,8 @@
 			result, events, took := write(t, peer(t, c.script), 300*time.Millisecond, c.cancel)
 			assert.Equal(t, c.outcome, result.Outcome, "%v", result.Err)
 			assert.Equal(t, c.events, events)
-			assert.Equal(t, c.done, result.Done)
-			assert.Equal(t, c.found, result.Found)
+			assert.Equal(t, c.done, result.Answered)
+			assert.Equal(t, c.found, result.CachedTokens)
 			assert.Less(t, took, 2*time.Second)
 			assert.Equal(t, c.outcome == decide.Finished, result.Err == nil, "an error says what happened")
 		})
@@ -211,7 +211,7 @@
 	c := client(t)
 	for i, want := range []decide.Outcome{decide.Finished, decide.Broken} {
 		ctx, cancel := context.WithCancelCause(context.Background())
-		s, result := c.Write(ctx, cancel, &Call{Address: ln.Addr().String(), ID: fmt.Sprintf("c-%d", i), Key: "k", Body: []byte(`{}`)}, time.Second)
+		s, result := c.Write(ctx, cancel, &Call{Address: ln.Addr().String(), ID: fmt.Sprintf("c-%d", i), IdempotencyKey: "k", Body: []byte(`{}`)}, time.Second)
 		if s != nil {
 			for err == nil {
 				_, err = s.Next()
@@ -267,10 +267,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var heard []float64
-			result := client(t).Read(context.Background(), &Call{Address: peer(t, c.script), ID: "c-0", Body: []byte(`{}`), Heard: func(r []float64) { heard = r }})
+			result := client(t).Read(context.Background(), &Call{Address: peer(t, c.script), ID: "c-0", Body: []byte(`{}`), OnReport: func(r []float64) { heard = r }})
 			assert.Equal(t, c.outcome, result.Outcome, "%v", result.Err)
 			assert.Equal(t, c.state, string(result.State))
-			assert.Equal(t, c.found, result.Found)
+			assert.Equal(t, c.found, result.CachedTokens)
 			if name != "cut short" {
 				assert.Equal(t, []float64{3, 0.5}, heard)
 			}
@@ -279,7 +279,7 @@
 }
 
 func TestReports(t *testing.T) {
-	f, nan := client(t).o.Figures, math.NaN()
+	f, nan := client(t).options.LoadMetrics, math.NaN()
 	for header, want := range map[string][]float64{
 		"TEXT named_metrics.waiting=2,named_metrics.kv=0.25, cpu=3": {2, 0.25},
 		"TEXT named_metrics.kv=0.25":                                {nan, 0.25},
@@ -291,13 +291,13 @@
 		"": nil,
 		"TEXT named_metrics.waiting=x, named_metrics.kv=1, =, ,,a==b": {nan, 1},
 	} {
-		got := f.fromORCA(header)
+		got := f.parseORCA(header)
 		assert.Equal(t, fmt.Sprint(want), fmt.Sprint(got), header)
 	}
-	got, err := f.fromPrometheus([]byte("vllm:num_requests_waiting{m=\"a\"} 2\nvllm:num_requests_waiting{m=\"b\"} 3\nvllm:kv_cache_usage_perc{m=\"a\"} 0.5\n"))
+	got, err := f.parsePrometheus([]byte("vllm:num_requests_waiting{m=\"a\"} 2\nvllm:num_requests_waiting{m=\"b\"} 3\nvllm:kv_cache_usage_perc{m=\"a\"} 0.5\n"))
 	require.NoError(t, err)
 	assert.Equal(t, []float64{5, 0.5}, got)
-	_, err = f.fromPrometheus([]byte("{{{"))
+	_, err = f.parsePrometheus([]byte("{{{"))
 	assert.Error(t, err)
 }
 
@@ -305,7 +305,7 @@
 	fields := []Field{{"model", []byte(`"model"`), []byte(`"m"`)}, {"max_tokens", []byte(`"max_tokens"`), []byte("9")},
 		{"stream", []byte(`"stream"`), []byte("false")}, {"odd\"", []byte(`"odd\""`), []byte(`[1]`)},
 		{"kv_transfer_params", []byte(`"kv_transfer_params"`), []byte(`{"from":"a client"}`)}}
-	assert.JSONEq(t, `{"model":"m","odd\"":[1],"max_tokens":1,"max_completion_tokens":1,"stream":false,"kv_transfer_params":`+askForState+`}`, string(ReadBody(fields)))
+	assert.JSONEq(t, `{"model":"m","odd\"":[1],"max_tokens":1,"max_completion_tokens":1,"stream":false,"kv_transfer_params":`+remoteDecodeParams+`}`, string(ReadBody(fields)))
 	assert.JSONEq(t, `{"model":"m","odd\"":[1],"max_tokens":9,"kv_transfer_params":{"a":1},"stream":true,"stream_options":{"include_usage":true}}`,
 		string(WriteBody(fields, []byte(`{"a":1}`), 7)))
 	assert.JSONEq(t, `{"model":"m","max_tokens":7,"stream":true,"stream_options":{"include_usage":true}}`, string(WriteBody(fields[:1], nil, 7)))
@@ -317,11 +317,11 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := &Stream{c: &Client{o: Options{MaxEventBytes: 4096}}, r: bufio.NewReaderSize(bytes.NewReader(text), 64)}
+		s := &Stream{client: &Client{options: Options{MaxEventBytes: 4096}}, r: bufio.NewReaderSize(bytes.NewReader(text), 64)}
 		for range len(text) + 2 {
-			if _, _, err := s.next(); err != nil {
+			if _, _, err := s.readEvent(); err != nil {
 				if errors.Is(err, io.EOF) {
-					require.True(t, s.finish && s.done)
+					require.True(t, s.finishSeen && s.doneSeen)
 					require.Contains(t, string(text), "[DONE]")
 				}
 				return
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -51,8 +51,8 @@
 // TestEndedByItsCaller: what its caller ended before it was sent has not run, whatever the cause; after that it may have.
 func TestEndedByItsCaller(t *testing.T) {
 	for cause, want := range map[error]struct{ before, after decide.Outcome }{
-		ErrCancelled: {decide.NotSent, decide.Cancelled}, ErrTimedOut: {decide.NotSent, decide.TimedOut}, ErrIdle: {decide.NotSent, decide.TimedOut},
-		ErrHeld: {decide.Unreachable, decide.Cancelled}, errors.New("other"): {decide.NotSent, decide.Cancelled},
+		ErrCancelled: {decide.NotSent, decide.Cancelled}, ErrTimedOut: {decide.NotSent, decide.TimedOut}, ErrStreamIdle: {decide.NotSent, decide.TimedOut},
+		ErrNotConnected: {decide.Unreachable, decide.Cancelled}, errors.New("other"): {decide.NotSent, decide.Cancelled},
 	} {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		cancel(cause)
--- a/internal/engine/report.go
+++ b/internal/engine/report.go
@@ -13,7 +13,7 @@
 )
 
 // Figure is where one figure of a load report is found.
-type Figure struct {
+type LoadMetric struct {
 	Column     string // its name in decide.Settings.ReportColumns
 	ORCA       string // a field of endpoint-load-metrics, such as named_metrics.kv_cache_usage_perc
 	Prometheus string // a metric of /metrics
@@ -21,10 +21,10 @@
 }
 
 // Figures are those of a report, in its order.
-type Figures []Figure
+type LoadMetrics []LoadMetric
 
 // Columns are their names.
-func (f Figures) Columns() (names []string) {
+func (f LoadMetrics) Columns() (names []string) {
 	for _, one := range f {
 		names = append(names, one.Column)
 	}
@@ -33,7 +33,7 @@
 
 // fromORCA reads an endpoint-load-metrics header in its TEXT or JSON form. What is missing is NaN; a report
 // that tells nothing is nil.
-func (f Figures) fromORCA(header string) []float64 {
+func (f LoadMetrics) parseORCA(header string) []float64 {
 	format, text, _ := strings.Cut(header, " ")
 	var value func(name string) float64
 	switch format {
@@ -64,17 +64,17 @@
 	default:
 		return nil
 	}
-	return f.collect(func(one Figure) float64 { return value(one.ORCA) })
+	return f.report(func(one LoadMetric) float64 { return value(one.ORCA) })
 }
 
 // fromPrometheus reads figures from the text format of /metrics.
-func (f Figures) fromPrometheus(text []byte) ([]float64, error) {
+func (f LoadMetrics) parsePrometheus(text []byte) ([]float64, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
 	if err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
-	return f.collect(func(one Figure) float64 {
+	return f.report(func(one LoadMetric) float64 {
 		family := families[one.Prometheus]
 		if family == nil {
 			return math.NaN()
@@ -92,7 +92,7 @@
 	}), nil
 }
 
-func (f Figures) collect(value func(Figure) float64) []float64 {
+func (f LoadMetrics) report(value func(LoadMetric) float64) []float64 {
 	report, told := make([]float64, len(f)), false
 	for i, one := range f {
 		v := value(one)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -49,19 +49,19 @@
 
 // Engine is one entry of a list.
 type Engine struct {
-	Address string   `json:"address"` // host:port
-	Zone    string   `json:"zone,omitempty"`
-	Cell    string   `json:"cell,omitempty"`
-	Machine string   `json:"machine,omitempty"`
-	Phase   string   `json:"phase"` // ready, draining or gone
-	Start   int64    `json:"start,omitempty"`
-	Age     *float64 `json:"age_s,omitempty"` // seconds
+	Address     string   `json:"address"` // host:port
+	Zone        string   `json:"zone,omitempty"`
+	Cell        string   `json:"cell,omitempty"`
+	MachineKind string   `json:"machine,omitempty"`
+	Phase       string   `json:"phase"` // ready, draining or gone
+	StartID     int64    `json:"start,omitempty"`
+	AgeSeconds  *float64 `json:"age_s,omitempty"` // seconds
 }
 
 // Limits of what a list may hold and of how long a service may say nothing.
 const (
-	maxLine   = 16 << 20 // bytes
-	quietMost = 4 * time.Second
+	maxLineBytes = 16 << 20 // bytes
+	idleTimeout  = 4 * time.Second
 )
 
 var phases = map[string]decide.Phase{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
@@ -70,31 +70,31 @@
 
 // Follower follows one list.
 type Follower struct {
-	url, file   string
-	poll, retry time.Duration
-	most        int
-	tell        func(link.Event)
-	log         *slog.Logger
-	client      *http.Client
-	last        []byte // of a file
-	ask         bool
+	url, file                string
+	pollInterval, retryDelay time.Duration
+	maxEngines               int
+	notify                   func(link.Event)
+	log                      *slog.Logger
+	client                   *http.Client
+	lastFile                 []byte // of a file
+	pollService              bool
 
 	mu      sync.Mutex
 	epoch   int64 // of the list in force
 	version int64
-	known   bool
+	hasList bool
 }
 
 // Options of a follower: one of URL and File.
 type Options struct {
-	URL, File     string
-	Poll, Retry   time.Duration
-	MaxEngines    int
-	Ask           bool                                                                 // the service pushes nothing
-	SourceAddress string                                                               // dial from this address, empty for any
-	Dial          func(ctx context.Context, network, address string) (net.Conn, error) // in place of that, nil for TCP
-	Tell          func(link.Event)
-	Log           *slog.Logger
+	URL, File                string
+	PollInterval, RetryDelay time.Duration
+	MaxEngines               int
+	PollService              bool                                                                 // the service pushes nothing
+	SourceAddress            string                                                               // dial from this address, empty for any
+	Dial                     func(ctx context.Context, network, address string) (net.Conn, error) // in place of that, nil for TCP
+	Notify                   func(link.Event)
+	Log                      *slog.Logger
 }
 
 // New makes a follower.
@@ -107,24 +107,24 @@
 	if o.Dial != nil {
 		dial = o.Dial
 	}
-	return &Follower{url: o.URL, file: o.File, poll: o.Poll, retry: o.Retry, most: o.MaxEngines, ask: o.Ask, tell: o.Tell, log: o.Log,
-		client: &http.Client{Transport: &http.Transport{DialContext: dial, ResponseHeaderTimeout: quietMost}}}
+	return &Follower{url: o.URL, file: o.File, pollInterval: o.PollInterval, retryDelay: o.RetryDelay, maxEngines: o.MaxEngines, pollService: o.PollService, notify: o.Notify, log: o.Log,
+		client: &http.Client{Transport: &http.Transport{DialContext: dial, ResponseHeaderTimeout: idleTimeout}}}
 }
 
 // Run follows the list until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	trouble := false
 	for ctx.Err() == nil {
-		wait := f.poll
+		wait := f.pollInterval
 		var err error
 		switch {
 		case f.file != "":
-			err = f.read()
-		case f.ask:
-			_, err = f.Ask(ctx)
+			err = f.readFile()
+		case f.pollService:
+			_, err = f.Fetch(ctx)
 		default:
 			err = f.watch(ctx)
-			wait = time.Duration(float64(f.retry) * (0.5 + rand.Float64()))
+			wait = time.Duration(float64(f.retryDelay) * (0.5 + rand.Float64()))
 		}
 		if err != nil && ctx.Err() == nil && !trouble {
 			f.log.Warn("engine list: the last good one stays in force", "err", err)
@@ -138,8 +138,8 @@
 }
 
 // Ask gets the whole list from the service, puts it in force and returns its text, for others to Take.
-func (f *Follower) Ask(ctx context.Context) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, quietMost)
+func (f *Follower) Fetch(ctx context.Context) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url, nil)
 	if err != nil {
@@ -153,54 +153,54 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("list service %s: status %d", f.url, resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLine+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLineBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("list service %s: %w", f.url, err)
 	}
-	if err := f.Take(text); err != nil {
+	if err := f.Apply(text); err != nil {
 		return nil, err
 	}
 	return text, nil
 }
 
 // Take puts a whole list in force that this or another router got, unless it is malformed, empty or stale.
-func (f *Follower) Take(text []byte) error {
-	if err := f.whole(text); err != nil {
+func (f *Follower) Apply(text []byte) error {
+	if err := f.applySnapshot(text); err != nil {
 		return fmt.Errorf("list service %s: %w", f.url, err)
 	}
 	return nil
 }
 
 // whole puts a text in force that must be a whole list.
-func (f *Follower) whole(text []byte) error {
-	line, err := parse(text, f.most)
+func (f *Follower) applySnapshot(text []byte) error {
+	line, err := parseLine(text, f.maxEngines)
 	if err != nil {
 		return err
 	}
 	if line.Kind != "full" {
 		return fmt.Errorf("kind %q, wanted full", line.Kind)
 	}
-	return f.apply(line)
+	return f.applyLine(line)
 }
 
 // read reads the file if it has changed.
-func (f *Follower) read() error {
+func (f *Follower) readFile() error {
 	file, err := os.Open(f.file)
 	if err != nil {
 		return fmt.Errorf("list file: %w", err)
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, maxLine+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxLineBytes+1))
 	if err != nil {
 		return fmt.Errorf("list file: %w", err)
 	}
-	if bytes.Equal(text, f.last) {
+	if bytes.Equal(text, f.lastFile) {
 		return nil
 	}
-	if err := f.whole(text); err != nil {
+	if err := f.applySnapshot(text); err != nil {
 		return fmt.Errorf("list file %s: %w", f.file, err)
 	}
-	f.last = text
+	f.lastFile = text
 	return nil
 }
 
@@ -208,7 +208,7 @@
 func (f *Follower) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	quiet := time.AfterFunc(quietMost, cancel)
+	quiet := time.AfterFunc(idleTimeout, cancel)
 	defer quiet.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"?watch=1", nil)
 	if err != nil {
@@ -223,15 +223,15 @@
 		return fmt.Errorf("list service %s: status %d", f.url, resp.StatusCode)
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 64<<10), maxLine)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for first := true; lines.Scan(); first = false {
-		quiet.Reset(quietMost)
-		line, err := parse(lines.Bytes(), f.most)
+		quiet.Reset(idleTimeout)
+		line, err := parseLine(lines.Bytes(), f.maxEngines)
 		if err == nil && first && line.Kind != "full" {
 			err = fmt.Errorf("begins with kind %q, wanted full", line.Kind)
 		}
 		if err == nil {
-			err = f.apply(line)
+			err = f.applyLine(line)
 		}
 		if err != nil {
 			return fmt.Errorf("list service %s: %w", f.url, err)
@@ -244,7 +244,7 @@
 }
 
 // parse reads a line and checks all of it.
-func parse(text []byte, most int) (*Line, error) {
+func parseLine(text []byte, most int) (*Line, error) {
 	line := &Line{}
 	if err := json.Unmarshal(text, line); err != nil {
 		return nil, fmt.Errorf("malformed: %w", err)
@@ -280,7 +280,7 @@
 }
 
 // apply takes a line that is whole, unless it is stale or leaves a gap.
-func (f *Follower) apply(l *Line) error {
+func (f *Follower) applyLine(l *Line) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Kind == "alive" {
@@ -291,27 +291,27 @@
 	}
 	older := l.Epoch < f.epoch || l.Epoch == f.epoch && l.Version < f.version
 	switch {
-	case f.known && older:
+	case f.hasList && older:
 		return fmt.Errorf("version %d.%d: %w (%d.%d)", l.Epoch, l.Version, errStale, f.epoch, f.version)
 	case l.Kind == "delta" && (l.Epoch != f.epoch || l.Version != f.version+1):
 		return fmt.Errorf("a change to version %d.%d, but %d.%d is in force", l.Epoch, l.Version, f.epoch, f.version)
 	}
-	if f.ask && f.known && l.Epoch == f.epoch && l.Version == f.version {
+	if f.pollService && f.hasList && l.Epoch == f.epoch && l.Version == f.version {
 		return nil // asked again, and nothing is new
 	}
-	f.epoch, f.version, f.known = l.Epoch, l.Version, true
+	f.epoch, f.version, f.hasList = l.Epoch, l.Version, true
 	list := &link.EngineList{Kind: decide.ListSnapshot}
 	if l.Kind == "delta" {
 		list.Kind = decide.ListDelta
 	}
 	for _, e := range l.Engines {
 		age := -1.0
-		if e.Age != nil {
-			age = max(0, *e.Age) // an engine's clock may run ahead: it has only just started
+		if e.AgeSeconds != nil {
+			age = max(0, *e.AgeSeconds) // an engine's clock may run ahead: it has only just started
 		}
-		list.Entries = append(list.Entries, link.EngineEntry{Address: e.Address, Zone: e.Zone, Cell: e.Cell, MachineKind: e.Machine,
-			Phase: phases[e.Phase], StartID: e.Start, Age: age})
+		list.Entries = append(list.Entries, link.EngineEntry{Address: e.Address, Zone: e.Zone, Cell: e.Cell, MachineKind: e.MachineKind,
+			Phase: phases[e.Phase], StartID: e.StartID, Age: age})
 	}
-	f.tell(link.Event{Kind: link.EnginesUpdated, EngineList: list})
+	f.notify(link.Event{Kind: link.EnginesUpdated, EngineList: list})
 	return nil
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 
 func follower(o Options) (*Follower, *[]*link.EngineList) {
 	var told []*link.EngineList
-	o.Tell = func(f link.Event) { told = append(told, f.EngineList) }
+	o.Notify = func(f link.Event) { told = append(told, f.EngineList) }
 	o.Log, o.MaxEngines = slog.New(slog.DiscardHandler), 3
 	return New(o), &told
 }
@@ -64,12 +64,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, told := follower(Options{})
-			first, err := parse([]byte(full), 3)
+			first, err := parseLine([]byte(full), 3)
 			require.NoError(t, err)
-			require.NoError(t, f.apply(first))
-			l, err := parse([]byte(c.text), 3)
+			require.NoError(t, f.applyLine(first))
+			l, err := parseLine([]byte(c.text), 3)
 			if err == nil {
-				err = f.apply(l)
+				err = f.applyLine(l)
 			}
 			if c.says == "" {
 				assert.NoError(t, err)
@@ -81,9 +81,9 @@
 		})
 	}
 	f, told := follower(Options{})
-	l, err := parse([]byte(full), 3)
+	l, err := parseLine([]byte(full), 3)
 	require.NoError(t, err)
-	require.NoError(t, f.apply(l))
+	require.NoError(t, f.applyLine(l))
 	assert.Equal(t, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{{Address: "h:1", Zone: "z", Cell: "c", MachineKind: "m",
 		Phase: decide.Ready, StartID: 5, Age: 2.5}}}, (*told)[0])
 }
@@ -91,18 +91,18 @@
 func TestFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
 	f, told := follower(Options{File: file})
-	assert.ErrorContains(t, f.read(), "list file")
+	assert.ErrorContains(t, f.readFile(), "list file")
 	write := func(text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
 	write(line("full", 1, 1, "h:1"))
-	require.NoError(t, f.read())
-	require.NoError(t, f.read())
+	require.NoError(t, f.readFile())
+	require.NoError(t, f.readFile())
 	assert.Len(t, *told, 1, "what has not changed is not told again")
 	write("")
-	assert.Error(t, f.read())
+	assert.Error(t, f.readFile())
 	write(line("delta", 1, 2, "h:1"))
-	assert.ErrorContains(t, f.read(), "wanted full")
+	assert.ErrorContains(t, f.readFile(), "wanted full")
 	write(line("full", 1, 2, "h:1", "h:2"))
-	require.NoError(t, f.read())
+	require.NoError(t, f.readFile())
 	assert.Len(t, *told, 2)
 }
 
@@ -125,7 +125,7 @@
 	}))
 	defer server.Close()
 	lists := make(chan *link.EngineList, 10)
-	f := New(Options{URL: server.URL, Retry: 5 * time.Millisecond, MaxEngines: 3, Tell: func(f link.Event) { lists <- f.EngineList }, Log: slog.New(slog.DiscardHandler)})
+	f := New(Options{URL: server.URL, RetryDelay: 5 * time.Millisecond, MaxEngines: 3, Notify: func(f link.Event) { lists <- f.EngineList }, Log: slog.New(slog.DiscardHandler)})
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { f.Run(ctx); close(done) }()
@@ -150,15 +150,15 @@
 	f.Add([]byte(line("full", 1, 1, "h:1")))
 	f.Add([]byte(line("delta", 1, 1)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := parse(text, 3)
+		l, err := parseLine(text, 3)
 		if err != nil {
 			return
 		}
 		require.LessOrEqual(t, len(l.Engines), 3)
 		fo, _ := follower(Options{})
-		if fo.apply(l) == nil && l.Kind == "full" {
+		if fo.applyLine(l) == nil && l.Kind == "full" {
 			require.NotEmpty(t, bytes.TrimSpace(text))
-			require.True(t, fo.known)
+			require.True(t, fo.hasList)
 		}
 	})
 }
@@ -166,8 +166,8 @@
 // TestNegativeAge: an engine's clock that runs ahead of the service's makes it just started, not long ago.
 func TestNegativeAge(t *testing.T) {
 	var told link.Event
-	f := New(Options{MaxEngines: 8, Tell: func(l link.Event) { told = l }, Log: slog.New(slog.DiscardHandler)})
-	require.NoError(t, f.Take([]byte(`{"kind":"full","epoch":1,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready","start":7,"age_s":-0.2},
+	f := New(Options{MaxEngines: 8, Notify: func(l link.Event) { told = l }, Log: slog.New(slog.DiscardHandler)})
+	require.NoError(t, f.Apply([]byte(`{"kind":"full","epoch":1,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready","start":7,"age_s":-0.2},
 		{"address":"10.0.0.2:1","phase":"ready"},{"address":"10.0.0.3:1","phase":"ready","age_s":3}]}`)))
 	assert.Equal(t, []float64{0, -1, 3}, []float64{told.EngineList.Entries[0].Age, told.EngineList.Entries[1].Age, told.EngineList.Entries[2].Age})
 }
@@ -180,10 +180,10 @@
 		line := func(epoch int) []byte {
 			return fmt.Appendf(nil, `{"kind":"full","epoch":%d,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready"}]}`, epoch)
 		}
-		require.NoError(t, f.Take(line(1000)))
+		require.NoError(t, f.Apply(line(1000)))
 		for range 24 {
 			time.Sleep(time.Hour)
-			require.ErrorIs(t, f.Take(line(999)), errStale, "finding 28 is mended: say so there, and turn this test round")
+			require.ErrorIs(t, f.Apply(line(999)), errStale, "finding 28 is mended: say so there, and turn this test round")
 		}
 		assert.Len(t, *told, 1)
 	})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -322,7 +322,7 @@
 	}
 	if !p.ownProbes.Allow() {
 		p.options.Observer.ProbeHandled("own need, not met")
-		return nil, fmt.Errorf("probe %s: probe budget exhausted and no shared report received: %w", address, engine.ErrNotAsked)
+		return nil, fmt.Errorf("probe %s: probe budget exhausted and no shared report received: %w", address, engine.ErrProbeSkipped)
 	}
 	p.options.Observer.ProbeHandled("own need")
 	return p.options.Probe(ctx, address)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -209,7 +209,7 @@
 	_, err = p.Probe(t.Context(), "10.9.9.9:1") // not a duty: needs a probe of its own
 	require.NoError(t, err)
 	_, err = p.Probe(t.Context(), "10.9.9.9:1")
-	assert.ErrorIs(t, err, engine.ErrNotAsked)
+	assert.ErrorIs(t, err, engine.ErrProbeSkipped)
 	assert.Equal(t, decide.Finished, engine.ProbeOutcome(err), "does not count as a failure of the engine")
 }
 
--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -18,66 +18,66 @@
 
 // Options of a client.
 type Options struct {
-	Columns        []string // of a load report, in decide's order
-	Probes         bool     // probes are allowed
-	ConnectTimeout time.Duration
-	IdleConn       time.Duration // an engine closes a connection that was idle so long
-	MaxConns       int           // open at once to all engines
-	Dial           engine.Dial   // in place of TCP, nil for that
+	ReportColumns     []string // of a load report, in decide's order
+	ProbesAllowed     bool     // probes are allowed
+	ConnectTimeout    time.Duration
+	EngineIdleTimeout time.Duration // an engine closes a connection that was idle so long
+	MaxConns          int           // open at once to all engines
+	Dial              engine.Dial   // in place of TCP, nil for that
 }
 
 // Client makes dispatches. It is safe for concurrent use.
 type Client struct {
-	o      Options
-	dialer *engine.Dialer
-	report func([]byte) []float64
+	options     Options
+	dialer      *engine.Dialer
+	parseReport func([]byte) []float64
 
-	mu      sync.Mutex
-	targets map[string]*target // by name
-	names   []string           // of all, in the list's order
-	idle    *list.List         // of *conn, those unused for longest first
-	made    uint64             // connections made
+	mu        sync.Mutex
+	endpoints map[string]*endpoint // by name
+	names     []string             // of all, in the list's order
+	idle      *list.List           // of *conn, those unused for longest first
+	connsMade uint64               // connections made
 }
 
 // The bounds of what an engine sends. No body exceeds 256 KiB.
 const (
-	headMost   = 16 << 10
-	bodyMost   = 256 << 10
-	fieldsMost = 64
-	bufferSize = 4 << 10
-	keptMost   = 32 // idle connections to one engine
+	maxHeadBytes          = 16 << 10
+	maxBodyBytes          = 256 << 10
+	maxFields             = 64
+	readBufferBytes       = 4 << 10
+	maxIdleConnsPerEngine = 32 // idle connections to one engine
 )
 
-var limits = http1.Limits{Head: headMost, Fields: fieldsMost, Body: bodyMost}
+var limits = http1.Limits{HeadBytes: maxHeadBytes, Fields: maxFields, BodyBytes: maxBodyBytes}
 
 // Times of a connection. An engine's own idle time is its limit: half of it leaves room for a clock that runs late.
 const (
-	idlePart     = 2
-	probeTimeout = 250 * time.Millisecond
-	checkTimeout = 150 * time.Millisecond
-	restMost     = 100 * time.Millisecond // for the body of an answer whose status says all
-	targetRests  = 2 * time.Minute        // an engine that left the list is still reached for releases
+	idleTimeoutDivisor  = 2
+	probeTimeout        = 250 * time.Millisecond
+	checkTimeout        = 150 * time.Millisecond
+	discardTimeout      = 100 * time.Millisecond // for the body of an answer whose status says all
+	goneEngineRetention = 2 * time.Minute        // an engine that left the list is still reached for releases
 )
 
 // New makes a client.
 func New(o Options) *Client {
-	c := &Client{o: o, targets: map[string]*target{}, idle: list.New()}
+	c := &Client{options: o, endpoints: map[string]*endpoint{}, idle: list.New()}
 	next := o.Dial
 	if next == nil {
 		next = (&net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1}).DialContext
 	}
-	c.dialer = engine.NewDialer(o.MaxConns, next, c.dropIdle)
-	c.report = func(text []byte) []float64 { return reportOf(o.Columns, text) }
+	c.dialer = engine.NewDialer(o.MaxConns, next, c.closeLongestIdle)
+	c.parseReport = func(text []byte) []float64 { return parseReport(o.ReportColumns, text) }
 	return c
 }
 
 // Errors of calls of which nothing was written, and which tell nothing of the engine.
 var (
-	errUnknown = errors.New("an engine that is not on the list")
-	errDrains  = errors.New("an engine that drains or is gone")
-	errTooLate = errors.New("no time left")
-	errSilent  = errors.New("no answer on a connection that is open")
-	errEnds    = errors.New("a connection that ends after its answer")
+	errUnknownEngine  = errors.New("an engine that is not on the list")
+	errEngineDraining = errors.New("an engine that drains or is gone")
+	errNoTimeLeft     = errors.New("no time left")
+	errConnSilent     = errors.New("no answer on a connection that is open")
+	errConnEnding     = errors.New("a connection that ends after its answer")
 )
 
 var _ edge.Engines = (*Client)(nil)
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -17,9 +17,9 @@
 )
 
 func client(t *testing.T, engines ...Engine) *Client {
-	c := New(Options{Columns: []string{"queue", "util"}, Probes: true, ConnectTimeout: 250 * time.Millisecond, IdleConn: 10 * time.Second, MaxConns: 16})
+	c := New(Options{ReportColumns: []string{"queue", "util"}, ProbesAllowed: true, ConnectTimeout: 250 * time.Millisecond, EngineIdleTimeout: 10 * time.Second, MaxConns: 16})
 	t.Cleanup(c.Close)
-	c.Listed(true, engines, nil)
+	c.UpdateEngines(true, engines, nil)
 	return c
 }
 
@@ -27,26 +27,26 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	return c.Read(ctx, &engine.Call{Address: name, ID: "x", Target: "/v1/chat/completions", Body: []byte("{}"),
-		Until: time.Now().Add(time.Second)})
+		Deadline: time.Now().Add(time.Second)})
 }
 
 // TestKept: a connection is used again, one that the engine has closed meanwhile is not, and nothing is sent twice.
 func TestKept(t *testing.T) {
-	w := standin.NewWorld()
-	e, err := w.Start("e", true)
+	w := standin.NewFleet()
+	e, err := w.StartEngine("e", true)
 	require.NoError(t, err)
 	c := client(t, Engine{Name: "e", Address: e.Address()})
 	for range 3 {
 		r := read(c, "e")
 		require.Equal(t, decide.Read, r.Outcome)
 		require.Equal(t, []float64{1, 0.5}, r.Report)
-		require.Equal(t, 128.0, r.Found)
+		require.Equal(t, 128.0, r.CachedTokens)
 	}
 	for _, call := range w.Calls(standin.Read) {
-		require.Equal(t, 1, call.Conn)
+		require.Equal(t, 1, call.ConnNumber)
 	}
 	e.Close()
-	require.Eventually(t, func() bool { return e.Conns() == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return e.ConnCount() == 0 }, time.Second, time.Millisecond)
 	require.Equal(t, decide.Unreachable, read(c, "e").Outcome, "a call that no engine got may not count as run")
 	require.Len(t, w.Calls(standin.Read), 3)
 }
@@ -69,24 +69,24 @@
 		far.Read(make([]byte, 64)) //nolint:errcheck // a part of it
 		far.Close()                //nolint:errcheck // breaks it
 	}()
-	c := New(Options{ConnectTimeout: time.Second, IdleConn: time.Second, MaxConns: 1,
+	c := New(Options{ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return near, nil }})
 	t.Cleanup(c.Close)
-	c.Listed(true, []Engine{{Name: "e", Address: "any"}}, nil)
+	c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
 	require.Equal(t, decide.Unreachable, read(c, "e").Outcome)
 }
 
 // TestReleaseElsewhere: any engine lets go of all, so one that is gone or silent doesn't keep a state held.
 func TestReleaseElsewhere(t *testing.T) {
-	w := standin.NewWorld()
+	w := standin.NewFleet()
 	var all []Engine
 	for _, name := range [...]string{"silent", "well"} {
-		e, err := w.Start(name, true)
+		e, err := w.StartEngine(name, true)
 		require.NoError(t, err)
 		t.Cleanup(e.Close)
 		all = append(all, Engine{Name: name, Address: e.Address()})
 	}
-	w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+	w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Engine == "silent" && c.Kind == standin.Release {
 			return standin.Silent
 		}
@@ -94,11 +94,11 @@
 	}
 	c := client(t, all...)
 	require.Equal(t, decide.Read, read(c, "silent").Outcome)
-	require.Equal(t, 1, w.Held())
+	require.Equal(t, 1, w.HeldCount())
 	began := time.Now()
 	require.NoError(t, c.Release(context.Background(), "silent", "x"))
 	require.Less(t, time.Since(began), 300*time.Millisecond)
-	require.Zero(t, w.Held())
+	require.Zero(t, w.HeldCount())
 }
 
 // TestCommentInEvent: an event that has a comment in it is an event, and a comment alone is none.
@@ -111,12 +111,12 @@
 		far.Read(make([]byte, 4096)) //nolint:errcheck // the body
 		fmt.Fprintf(far, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(chunks), chunks)
 	}()
-	c := New(Options{Columns: []string{"util"}, ConnectTimeout: time.Second, IdleConn: time.Second, MaxConns: 1,
+	c := New(Options{ReportColumns: []string{"util"}, ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return near, nil }})
 	t.Cleanup(c.Close)
-	c.Listed(true, []Engine{{Name: "e", Address: "any"}}, nil)
+	c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	s, bad := c.Write(ctx, cancel, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Until: time.Now().Add(time.Second)}, time.Second)
+	s, bad := c.Write(ctx, cancel, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(time.Second)}, time.Second)
 	require.Nil(t, bad)
 	var got []string
 	for {
@@ -137,9 +137,9 @@
 func TestReports(t *testing.T) {
 	for text, want := range map[string][]float64{`{"util":0.5,"queue":2}`: {2, 0.5}, `{"util":1e999}`: nil, `[1]`: nil, `{"util":`: nil,
 		`{"queue":-1}`: nil, `{"queue":"many"}`: nil, ``: nil} {
-		require.Equal(t, want, reportOf([]string{"queue", "util"}, []byte(text)), text)
+		require.Equal(t, want, parseReport([]string{"queue", "util"}, []byte(text)), text)
 	}
-	one := reportOf([]string{"queue", "util"}, []byte(`{"queue":3}`))
+	one := parseReport([]string{"queue", "util"}, []byte(`{"queue":3}`))
 	require.Len(t, one, 2)
 	require.Equal(t, 3.0, one[0])
 	require.NotEqual(t, one[1], one[1], "a figure that is missing is no number") //nolint:testifylint // NaN
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -12,15 +12,15 @@
 )
 
 // small makes a call without a body and gives its status and body.
-func (c *Client) small(ctx context.Context, name, method, target string, how outgoing) (int, []byte, *http1.Head, error) {
-	text := smallCall(method, target)
-	how.engine, how.message = name, func() ([][]byte, error) { return [][]byte{text}, nil }
+func (c *Client) control(ctx context.Context, name, method, target string, how request) (int, []byte, *http1.Head, error) {
+	text := bodylessRequest(method, target)
+	how.engine, how.build = name, func() ([][]byte, error) { return [][]byte{text}, nil }
 	a, _, err := c.do(ctx, how)
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("%s %s at %s: %w", method, target, name, err)
 	}
 	body, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	a.done(err == nil && !a.head.NoLength)
+	a.finish(err == nil && !a.head.NoLength)
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("%s %s at %s: %w", method, target, name, err)
 	}
@@ -29,18 +29,18 @@
 
 // The targets of calls without a body.
 const (
-	rooms      = "/bootstrap/rooms/"
-	loadTarget = "/metrics/load"
+	roomsPath = "/bootstrap/rooms/"
+	loadPath  = "/metrics/load"
 )
 
 // smallCall is the text of a call without a body.
-func smallCall(method, target string) []byte {
+func bodylessRequest(method, target string) []byte {
 	return []byte(method + " " + target + " HTTP/1.1\r\nHost: engine\r\nContent-Length: 0\r\n\r\n")
 }
 
 // Hold asks a writer for a place for the completion. An error: it is not known whether it is held.
 func (c *Client) Reserve(ctx context.Context, name, id string, _ float64, _ time.Duration) (bool, error) {
-	status, _, _, err := c.small(ctx, name, "POST", rooms+id, outgoing{begins: true})
+	status, _, _, err := c.control(ctx, name, "POST", roomsPath+id, request{startsWork: true})
 	switch {
 	case err != nil:
 		return false, err
@@ -58,9 +58,9 @@
 func (c *Client) Release(ctx context.Context, name, id string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ask := append([]string{name, name}, c.others(name)...)
+	ask := append([]string{name, name}, c.releaseFallbacks(name)...)
 	ended := make(chan error, len(ask))
-	wait := releaseFirst
+	wait := firstReleaseWait
 	next := time.NewTimer(0)
 	defer next.Stop()
 	var last error
@@ -74,7 +74,7 @@
 			go func(at string, anew bool) { ended <- c.releaseAt(ctx, at, id, anew) }(ask[0], anew)
 			ask, out, anew = ask[1:], out+1, true
 			next.Reset(wait)
-			wait = releaseNext
+			wait = nextReleaseWait
 		case err := <-ended:
 			out--
 			if err == nil {
@@ -91,7 +91,7 @@
 
 // releaseAt has one engine let go of all. anew: by a connection of its own.
 func (c *Client) releaseAt(ctx context.Context, name, id string, anew bool) error {
-	status, _, _, err := c.small(ctx, name, "DELETE", rooms+id, outgoing{conn: demand{anew: anew}})
+	status, _, _, err := c.control(ctx, name, "DELETE", roomsPath+id, request{requirement: connRequirement{newConn: anew}})
 	if err == nil && status != 204 {
 		err = fmt.Errorf("release at %s: status %d", name, status)
 	}
@@ -100,28 +100,28 @@
 
 // A release is asked of so many engines, one after another.
 const (
-	releaseMost  = 6
-	releaseFirst = 60 * time.Millisecond // the first is waited for, until the next is asked
-	releaseNext  = 25 * time.Millisecond // each other one
+	maxReleaseEngines = 6
+	firstReleaseWait  = 60 * time.Millisecond // the first is waited for, until the next is asked
+	nextReleaseWait   = 25 * time.Millisecond // each other one
 )
 
 // Probe asks an engine for its load.
 func (c *Client) Probe(ctx context.Context, name string) ([]float64, error) {
-	if !c.o.Probes {
-		return nil, engine.ErrNotAsked
+	if !c.options.ProbesAllowed {
+		return nil, engine.ErrProbeSkipped
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	status, body, head, err := c.small(ctx, name, "GET", loadTarget, outgoing{})
+	status, body, head, err := c.control(ctx, name, "GET", loadPath, request{})
 	if err != nil {
 		return nil, err
 	}
 	if status != 200 {
 		return nil, fmt.Errorf("probe of %s: status %d", name, status)
 	}
-	report := c.report(bytes.TrimSpace(body))
+	report := c.parseReport(bytes.TrimSpace(body))
 	if report == nil {
-		report = c.inHead(head)
+		report = c.reportInHead(head)
 	}
 	return report, nil
 }
--- a/internal/platform/backend/check_test.go
+++ b/internal/platform/backend/check_test.go
@@ -18,7 +18,7 @@
 
 // proxied is a client of one stand-in, "e", behind a proxy that plays faults.
 func proxied(t *testing.T, plan func(int) faultproxy.Plan, late func() time.Duration) (*Client, *faultproxy.Proxy) {
-	e, err := standin.NewWorld().Start("e", true)
+	e, err := standin.NewFleet().StartEngine("e", true)
 	require.NoError(t, err)
 	t.Cleanup(e.Close)
 	p, err := faultproxy.Start(e.Address(), plan, late)
@@ -31,19 +31,19 @@
 func keep(t *testing.T, c *Client, e Engine, count int) {
 	var all []*conn
 	for range count {
-		one, err := c.connect(t.Context(), c.targets[e.Name], e.Address)
+		one, err := c.connect(t.Context(), c.endpoints[e.Name], e.Address)
 		require.NoError(t, err)
 		all = append(all, one)
 	}
 	for _, one := range all {
-		c.put(one)
+		c.returnConn(one)
 	}
 }
 
 // readChecked is a read at "e" whose connection is checked where its last answer is older than a time.
-func readChecked(ctx context.Context, c *Client, after time.Duration, wrote func(engine.Sent)) *engine.Result {
+func readChecked(ctx context.Context, c *Client, after time.Duration, wrote func(engine.ConnInfo)) *engine.Result {
 	return c.Read(ctx, &engine.Call{Address: "e", ID: "y", Target: "/v1/chat/completions", Body: []byte("{}"),
-		Until: time.Now().Add(time.Second), CheckAfter: after, Wrote: wrote})
+		Deadline: time.Now().Add(time.Second), CheckAfter: after, OnSent: wrote})
 }
 
 // TestSilentConnectionIsNotUsed: a dispatch that has its connection checked doesn't go by a kept connection that has fallen silent; another
@@ -60,25 +60,25 @@
 			time.Sleep(5 * time.Millisecond)
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 			defer cancel()
-			var sent engine.Sent
-			r := readChecked(ctx, c, one.after, func(s engine.Sent) { sent = s })
+			var sent engine.ConnInfo
+			r := readChecked(ctx, c, one.after, func(s engine.ConnInfo) { sent = s })
 			require.Equal(t, one.want, r.Outcome)
-			require.Equal(t, one.after > 0, sent.Connection != 1, "a connection that is not the silent one")
+			require.Equal(t, one.after > 0, sent.Number != 1, "a connection that is not the silent one")
 		})
 	}
 }
 
 // TestReleaseBesideSilence: a release is done within a part of the limit though the engines that are asked first are silent.
 func TestReleaseBesideSilence(t *testing.T) {
-	w := standin.NewWorld()
+	w := standin.NewFleet()
 	var engines []Engine
 	for _, name := range []string{"a", "b", "c", "d", "e", "answers"} {
-		e, err := w.Start(name, true)
+		e, err := w.StartEngine(name, true)
 		require.NoError(t, err)
 		defer e.Close()
 		engines = append(engines, Engine{Name: name, Address: e.Address()})
 	}
-	w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+	w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Engine != "answers" {
 			return standin.Silent
 		}
@@ -86,7 +86,7 @@
 	}
 	c := client(t, engines...)
 	for _, e := range engines[1:5] { // so that they are asked before the one that answers
-		c.targets[e.Name].answered = time.Now()
+		c.endpoints[e.Name].lastAnswerAt = time.Now()
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond/3)
 	defer cancel()
@@ -100,7 +100,7 @@
 	silent.Store(true)
 	c, _ := proxied(t, func(int) faultproxy.Plan {
 		if silent.Load() {
-			return faultproxy.Plan{Swallow: faultproxy.AtStart}
+			return faultproxy.Plan{Silence: faultproxy.AtStart}
 		}
 		return faultproxy.Plan{}
 	}, nil)
@@ -108,7 +108,7 @@
 		wrote := false
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		r := readChecked(ctx, c, time.Millisecond, func(engine.Sent) { wrote = true })
+		r := readChecked(ctx, c, time.Millisecond, func(engine.ConnInfo) { wrote = true })
 		require.Equal(t, want, r.Outcome)
 		require.Equal(t, want == decide.Read, wrote)
 		silent.Store(false)
@@ -119,11 +119,11 @@
 // whatever engine, have fallen silent, as new ones work.
 func TestReleaseBesideSilentConnections(t *testing.T) {
 	const keptEach = 2
-	w := standin.NewWorld()
+	w := standin.NewFleet()
 	var engines []Engine
 	var proxies []*faultproxy.Proxy
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		e, err := w.Start(name, true)
+		e, err := w.StartEngine(name, true)
 		require.NoError(t, err)
 		defer e.Close()
 		p, err := faultproxy.Start(e.Address(), nil, nil)
@@ -137,7 +137,7 @@
 		keep(t, c, e, keptEach)
 	}
 	for _, p := range proxies {
-		require.Eventually(t, func() bool { return p.Count() == keptEach }, time.Second, time.Millisecond, "it has accepted them")
+		require.Eventually(t, func() bool { return p.ConnCount() == keptEach }, time.Second, time.Millisecond, "it has accepted them")
 		require.Equal(t, keptEach, p.SilenceOpen())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond/3)
@@ -150,12 +150,12 @@
 	const kept = 4
 	c, p := proxied(t, nil, nil)
 	keep(t, c, Engine{Name: "e", Address: p.Address()}, kept)
-	require.Eventually(t, func() bool { return p.Count() == kept }, time.Second, time.Millisecond, "it has accepted them")
+	require.Eventually(t, func() bool { return p.ConnCount() == kept }, time.Second, time.Millisecond, "it has accepted them")
 	require.Equal(t, kept, p.SilenceOpen())
 	time.Sleep(5 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*checkTimeout)
 	defer cancel()
-	require.Equal(t, decide.Read, readChecked(ctx, c, time.Millisecond, func(engine.Sent) {}).Outcome)
+	require.Equal(t, decide.Read, readChecked(ctx, c, time.Millisecond, func(engine.ConnInfo) {}).Outcome)
 }
 
 // TestFreshKeptConnectionIsAsked: a connection that was made to be kept, and on which no answer has come yet, is asked before a
@@ -164,23 +164,23 @@
 	var silent atomic.Bool // of connections that come up
 	c, p := proxied(t, func(int) faultproxy.Plan {
 		if silent.Load() {
-			return faultproxy.Plan{Swallow: faultproxy.AtStart}
+			return faultproxy.Plan{Silence: faultproxy.AtStart}
 		}
 		return faultproxy.Plan{}
 	}, nil)
 	for _, swallows := range []bool{false, true} {
 		silent.Store(swallows)
-		count := p.Count()
+		count := p.ConnCount()
 		keep(t, c, Engine{Name: "e", Address: p.Address()}, 1)
-		require.Eventually(t, func() bool { return p.Count() > count }, time.Second, time.Millisecond, "it has accepted it")
+		require.Eventually(t, func() bool { return p.ConnCount() > count }, time.Second, time.Millisecond, "it has accepted it")
 	}
 	silent.Store(false)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*checkTimeout)
 	defer cancel()
-	var sent engine.Sent
-	r := readChecked(ctx, c, time.Second, func(s engine.Sent) { sent = s })
+	var sent engine.ConnInfo
+	r := readChecked(ctx, c, time.Second, func(s engine.ConnInfo) { sent = s })
 	require.Equal(t, decide.Read, r.Outcome)
-	require.EqualValues(t, 3, sent.Connection, "one of its own")
+	require.EqualValues(t, 3, sent.Number, "one of its own")
 }
 
 // TestFailedDialIsNotRepeated: where the kept connection is silent and no other comes up, a dispatch counts as not connected behind one
@@ -194,7 +194,7 @@
 		dials++
 		return nil, syscall.ECONNREFUSED
 	}, func() {})
-	require.Equal(t, decide.Unreachable, readChecked(t.Context(), c, time.Second, func(engine.Sent) {}).Outcome)
+	require.Equal(t, decide.Unreachable, readChecked(t.Context(), c, time.Second, func(engine.ConnInfo) {}).Outcome)
 	require.Equal(t, 1, dials)
 }
 
@@ -202,6 +202,6 @@
 // it came up.
 func TestNewConnectionUnasked(t *testing.T) {
 	c, _ := proxied(t, nil, nil)
-	c.o.Probes = false
-	require.Equal(t, decide.Read, readChecked(t.Context(), c, time.Nanosecond, func(engine.Sent) {}).Outcome)
+	c.options.ProbesAllowed = false
+	require.Equal(t, decide.Read, readChecked(t.Context(), c, time.Nanosecond, func(engine.ConnInfo) {}).Outcome)
 }
--- a/internal/platform/backend/dispatch.go
+++ b/internal/platform/backend/dispatch.go
@@ -15,16 +15,16 @@
 )
 
 // message is a dispatch's bytes, which tell the time that is left as they are made.
-func message(call *engine.Call) ([][]byte, error) {
-	left := time.Until(call.Until)
+func dispatchMessage(call *engine.Call) ([][]byte, error) {
+	left := time.Until(call.Deadline)
 	if left <= 0 {
-		return nil, errTooLate
+		return nil, errNoTimeLeft
 	}
 	h := make([]byte, 0, 256)
 	h = append(append(append(h, "POST "...), call.Target...), " HTTP/1.1\r\nHost: engine\r\nContent-Type: application/json\r\nX-Request-Id: "...)
 	h = append(h, call.ID...)
-	if call.Key != "" { // as the client sent it: http1 lets no line end into a value
-		h = append(append(h, "\r\nIdempotency-Key: "...), call.Key...)
+	if call.IdempotencyKey != "" { // as the client sent it: http1 lets no line end into a value
+		h = append(append(h, "\r\nIdempotency-Key: "...), call.IdempotencyKey...)
 	}
 	h = append(h, "\r\nX-Deadline: "...)
 	h = append(strconv.AppendInt(h, max(1, left.Milliseconds()), 10), "m\r\nContent-Length: "...)
@@ -33,16 +33,16 @@
 }
 
 // post sends a dispatch and gives a head of the status that is wanted, or what the dispatch came to.
-func (c *Client) post(ctx context.Context, call *engine.Call, wanted int) (*answer, *engine.Result) {
-	a, sent, err := c.do(ctx, outgoing{engine: call.Address, begins: true, conn: demand{checkAfter: call.CheckAfter}, wrote: call.Wrote,
-		message: func() ([][]byte, error) { return message(call) }})
+func (c *Client) post(ctx context.Context, call *engine.Call, wanted int) (*response, *engine.Result) {
+	a, sent, err := c.do(ctx, request{engine: call.Address, startsWork: true, requirement: connRequirement{checkAfter: call.CheckAfter}, onSent: call.OnSent,
+		build: func() ([][]byte, error) { return dispatchMessage(call) }})
 	if err != nil {
 		r := &engine.Result{Outcome: engine.OutcomeOf(ctx, err, sent), Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
-		if errors.Is(err, errUnknown) || errors.Is(err, errDrains) || errors.Is(err, errTooLate) {
+		if errors.Is(err, errUnknownEngine) || errors.Is(err, errEngineDraining) || errors.Is(err, errNoTimeLeft) {
 			r.Outcome = decide.NotSent
 		}
 		if r.Outcome != decide.Cancelled && r.Outcome != decide.NotSent && r.Outcome != decide.Errored {
-			c.forget(call.Address)
+			c.closeIdleTo(call.Address)
 		}
 		return nil, r
 	}
@@ -51,28 +51,28 @@
 	}
 	status := a.head.Status
 	notRun, _ := a.head.Get("x-not-run")
-	r := &engine.Result{Outcome: decide.Errored, Status: status, Report: c.inHead(a.head),
+	r := &engine.Result{Outcome: decide.Errored, Status: status, Report: c.reportInHead(a.head),
 		Err: fmt.Errorf("dispatch to %s: status %d", call.Address, status)}
 	switch {
 	case status == 410 && notRun == "1":
-		r.Outcome, r.Found = decide.Full, 1
+		r.Outcome, r.CachedTokens = decide.Full, 1
 	case (status == 503 || status == 504) && notRun == "1":
 		r.Outcome = decide.Full
 	}
-	a.drop()
+	a.discardBody()
 	return nil, r
 }
 
 // drop reads a body that tells nothing, so that the connection can be kept.
-func (a *answer) drop() {
-	a.conn.SetDeadline(time.Now().Add(restMost)) //nolint:errcheck // it is closed if this fails
+func (a *response) discardBody() {
+	a.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // it is closed if this fails
 	_, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	a.done(err == nil && !a.head.NoLength)
+	a.finish(err == nil && !a.head.NoLength)
 }
 
-func (c *Client) inHead(h *http1.Head) []float64 {
+func (c *Client) reportInHead(h *http1.Head) []float64 {
 	if text, times := h.Get("x-load"); times > 0 {
-		return c.report([]byte(text))
+		return c.parseReport([]byte(text))
 	}
 	return nil
 }
@@ -88,10 +88,10 @@
 	if err == nil && (!gjson.ValidBytes(body) || found.Type != gjson.Number) {
 		err = fmt.Errorf("%w: a read's answer without cached_tokens", http1.ErrMalformed)
 	}
-	a.done(err == nil && !a.head.NoLength)
+	a.finish(err == nil && !a.head.NoLength)
 	if err != nil {
-		err = broken(err)
+		err = engineError(err)
 		return &engine.Result{Outcome: engine.OutcomeOf(ctx, err, true), Status: 202, Err: fmt.Errorf("read at %s: %w", call.Address, err)}
 	}
-	return &engine.Result{Outcome: decide.Read, Status: 202, Found: found.Float(), Report: c.inHead(a.head)}
+	return &engine.Result{Outcome: decide.Read, Status: 202, CachedTokens: found.Float(), Report: c.reportInHead(a.head)}
 }
--- a/internal/platform/backend/ready_test.go
+++ b/internal/platform/backend/dispatch_test.go
@@ -30,12 +30,12 @@
 func newLateEngine(t *testing.T) *lateEngine {
 	near, far := net.Pipe()
 	l := &lateEngine{up: make(chan struct{}), heads: make(chan *http1.Head, 1)}
-	l.client = New(Options{ConnectTimeout: time.Second, IdleConn: time.Second, MaxConns: 1,
+	l.client = New(Options{ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { // as one that comes up though it was given up
 			<-l.up
 			return near, nil
 		}})
-	l.client.Listed(true, []Engine{{Name: "e", Address: "any"}}, nil)
+	l.client.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
 	go func() {
 		r := bufio.NewReader(far)
 		h, err := http1.ReadRequest(r, limits)
@@ -62,9 +62,9 @@
 	}{
 		"nothing": {func(*lateEngine, context.CancelCauseFunc) {}, decide.Read},
 		"it drains": {func(l *lateEngine, _ context.CancelCauseFunc) {
-			l.client.Listed(false, []Engine{{"e", "any", true}}, nil)
+			l.client.UpdateEngines(false, []Engine{{"e", "any", true}}, nil)
 		}, decide.NotSent},
-		"it is gone":    {func(l *lateEngine, _ context.CancelCauseFunc) { l.client.Listed(false, nil, []string{"e"}) }, decide.NotSent},
+		"it is gone":    {func(l *lateEngine, _ context.CancelCauseFunc) { l.client.UpdateEngines(false, nil, []string{"e"}) }, decide.NotSent},
 		"caller leaves": {func(_ *lateEngine, cancel context.CancelCauseFunc) { cancel(engine.ErrCancelled) }, decide.NotSent},
 		"too late":      {func(*lateEngine, context.CancelCauseFunc) { time.Sleep(given) }, decide.NotSent},
 	} {
@@ -78,7 +78,7 @@
 					one.meanwhile(l, cancel)
 					close(l.up)
 				}()
-				r := l.client.Read(ctx, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Until: time.Now().Add(given)})
+				r := l.client.Read(ctx, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(given)})
 				require.Equal(t, one.want, r.Outcome, "%v", r.Err)
 				if one.want != decide.Read {
 					require.Empty(t, l.heads, "it was written")
@@ -147,10 +147,10 @@
 		"read: ECONNRESET after it":           {conns(faultyConn{writeShort: -1, read: syscall.ECONNRESET}), decide.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			one.o.ConnectTimeout, one.o.IdleConn, one.o.MaxConns = time.Second, time.Second, 2
+			one.o.ConnectTimeout, one.o.EngineIdleTimeout, one.o.MaxConns = time.Second, time.Second, 2
 			c := New(one.o)
 			t.Cleanup(c.Close)
-			c.Listed(true, []Engine{{Name: "e", Address: "any"}}, nil)
+			c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
 			require.Equal(t, one.want, read(c, "e").Outcome)
 		})
 	}
--- a/internal/platform/backend/pool_test.go
+++ b/internal/platform/backend/pool_test.go
@@ -20,7 +20,7 @@
 // pipeTo keeps an idle connection to an engine and returns the engine's side.
 func pipeTo(c *Client, name string) net.Conn {
 	near, far := net.Pipe()
-	c.put(&conn{Conn: near, r: bufio.NewReader(near), t: c.targets[name], address: c.targets[name].address})
+	c.returnConn(&conn{Conn: near, r: bufio.NewReader(near), endpoint: c.endpoints[name], address: c.endpoints[name].address})
 	return far
 }
 
@@ -31,12 +31,12 @@
 }
 
 func poolOf(names ...string) *Client {
-	c := New(Options{IdleConn: 10 * time.Second, MaxConns: 16, ConnectTimeout: time.Second})
+	c := New(Options{EngineIdleTimeout: 10 * time.Second, MaxConns: 16, ConnectTimeout: time.Second})
 	var engines []Engine
 	for _, name := range names {
 		engines = append(engines, Engine{Name: name, Address: name})
 	}
-	c.Listed(true, engines, nil)
+	c.UpdateEngines(true, engines, nil)
 	return c
 }
 
@@ -51,17 +51,17 @@
 		b1 := pipeTo(c, "b")
 		time.Sleep(time.Second)
 		a2, c1 := pipeTo(c, "a"), pipeTo(c, "c")
-		require.Equal(t, 4, c.Idle())
-		c.dropIdle()
+		require.Equal(t, 4, c.IdleConns())
+		c.closeLongestIdle()
 		require.True(t, isClosed(a1))
 		require.False(t, isClosed(b1) || isClosed(a2) || isClosed(c1))
 		time.Sleep(4500 * time.Millisecond) // b1 is idle for 5.5 s
-		c.Tidy()
+		c.Prune()
 		require.True(t, isClosed(b1))
-		require.Equal(t, 2, c.Idle())
-		c.Listed(false, []Engine{{Name: "a", Address: "elsewhere"}}, []string{"c"})
+		require.Equal(t, 2, c.IdleConns())
+		c.UpdateEngines(false, []Engine{{Name: "a", Address: "elsewhere"}}, []string{"c"})
 		require.True(t, isClosed(a2) && isClosed(c1))
-		require.Zero(t, c.Idle())
+		require.Zero(t, c.IdleConns())
 	})
 }
 
@@ -71,16 +71,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := poolOf("a", "b", "c")
 		defer c.Close()
-		c.Listed(false, nil, []string{"a"})
-		c.Listed(true, []Engine{{Name: "c", Address: "c"}}, nil) // b has left too
-		time.Sleep(targetRests / 2)
-		c.Listed(false, []Engine{{Name: "b", Address: "b"}}, nil)
-		c.Tidy()
-		require.Len(t, c.targets, 3)
-		time.Sleep(targetRests)
-		c.Tidy()
+		c.UpdateEngines(false, nil, []string{"a"})
+		c.UpdateEngines(true, []Engine{{Name: "c", Address: "c"}}, nil) // b has left too
+		time.Sleep(goneEngineRetention / 2)
+		c.UpdateEngines(false, []Engine{{Name: "b", Address: "b"}}, nil)
+		c.Prune()
+		require.Len(t, c.endpoints, 3)
+		time.Sleep(goneEngineRetention)
+		c.Prune()
 		require.Equal(t, []string{"b", "c"}, c.names)
-		require.Len(t, c.targets, 2)
+		require.Len(t, c.endpoints, 2)
 	})
 }
 
@@ -89,19 +89,19 @@
 	c := poolOf("a", "b", "c", "d", "e", "f")
 	defer c.Close()
 	for i, name := range []string{"c", "e", "a", "f"} {
-		c.targets[name].answered = time.Now().Add(time.Duration(i) * time.Second)
+		c.endpoints[name].lastAnswerAt = time.Now().Add(time.Duration(i) * time.Second)
 	}
-	require.Equal(t, []string{"a", "e", "c", "d", "b"}, c.others("f"))
-	c.Listed(false, nil, []string{"e"})
-	require.Equal(t, []string{"f", "a", "c", "d"}, c.others("b"))
+	require.Equal(t, []string{"a", "e", "c", "d", "b"}, c.releaseFallbacks("f"))
+	c.UpdateEngines(false, nil, []string{"e"})
+	require.Equal(t, []string{"f", "a", "c", "d"}, c.releaseFallbacks("b"))
 }
 
 func changed(c *Client, engines int) func() {
 	n := 0
 	return func() {
 		name := fmt.Sprint("engine-", n%engines)
-		c.Listed(false, nil, []string{name})
-		c.Listed(false, []Engine{{Name: name, Address: "x"}}, nil)
+		c.UpdateEngines(false, nil, []string{name})
+		c.UpdateEngines(false, []Engine{{Name: name, Address: "x"}}, nil)
 		n++
 	}
 }
@@ -135,27 +135,27 @@
 
 // TestMovedInACall: a connection on which a call runs while its engine moves is not kept: the next call goes to the new address.
 func TestMovedInACall(t *testing.T) {
-	w := standin.NewWorld()
+	w := standin.NewFleet()
 	begun, goOn := make(chan struct{}), make(chan struct{})
 	announce := sync.OnceFunc(func() { close(begun) })
-	w.Work = func(c *standin.Call) time.Duration {
+	w.ServiceTime = func(c *standin.Call) time.Duration {
 		if c.Engine == "before" {
 			announce()
 			<-goOn
 		}
 		return 0
 	}
-	before, err := w.Start("before", true)
+	before, err := w.StartEngine("before", true)
 	require.NoError(t, err)
 	defer before.Close()
-	after, err := w.Start("after", true)
+	after, err := w.StartEngine("after", true)
 	require.NoError(t, err)
 	defer after.Close()
 	c := client(t, Engine{Name: "e", Address: before.Address()})
 	ended := make(chan decide.Outcome)
 	go func() { ended <- read(c, "e").Outcome }()
 	<-begun
-	c.Listed(false, []Engine{{Name: "e", Address: after.Address()}}, nil)
+	c.UpdateEngines(false, []Engine{{Name: "e", Address: after.Address()}}, nil)
 	close(goOn)
 	require.Equal(t, decide.Read, <-ended)
 	require.Equal(t, decide.Read, read(c, "e").Outcome)
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -23,21 +23,21 @@
 
 // Host is one engine as discovery tells it.
 type Host struct {
-	Name    string  `json:"host"`
-	Address string  `json:"dial"`
-	Zone    string  `json:"site"`
-	Machine string  `json:"class"`
-	Cell    int     `json:"block"`
-	Health  string  `json:"health"`
-	Share   float64 `json:"share"`
-	Born    int64   `json:"born_ms"` // Unix time, 0 for long ago
+	Name        string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
+	MachineKind string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	Share       float64 `json:"share"`
+	StartUnixMS int64   `json:"born_ms"` // Unix time, 0 for long ago
 }
 
 // List is one answer.
 type List struct {
-	Version int64  `json:"seq"`
-	Whole   bool   `json:"whole"`
-	Hosts   []Host `json:"hosts"`
+	Version  int64  `json:"seq"`
+	Snapshot bool   `json:"whole"`
+	Hosts    []Host `json:"hosts"`
 }
 
 // phases are the words for an engine's phase.
@@ -50,7 +50,7 @@
 }
 
 // Read reads an answer strictly. Entries that can't be used are left out with a word; the others hold.
-func Read(text []byte, log *slog.Logger) (*List, error) {
+func ParseList(text []byte, log *slog.Logger) (*List, error) {
 	l := &List{Version: -1}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
@@ -99,7 +99,7 @@
 }
 
 // Move has the list come from another address from now on.
-func (f *Follower) Move(address string) {
+func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.address == address {
@@ -133,7 +133,7 @@
 		if moved || ctx.Err() != nil {
 			continue
 		}
-		if a.err == nil && version < 0 && !a.list.Whole {
+		if a.err == nil && version < 0 && !a.list.Snapshot {
 			a.err = errNotWhole
 		}
 		if a.err != nil {
@@ -145,7 +145,7 @@
 		}
 		p.answered(a.late)
 		version = a.list.Version
-		if a.list.Whole || len(a.list.Hosts) > 0 {
+		if a.list.Snapshot || len(a.list.Hosts) > 0 {
 			f.tell(a.list)
 		}
 	}
@@ -243,5 +243,5 @@
 	if resp.StatusCode != http.StatusOK || len(text) > listMost {
 		return nil, fmt.Errorf("list: status %d, %d bytes", resp.StatusCode, len(text))
 	}
-	return Read(text, f.log)
+	return ParseList(text, f.log)
 }
--- a/internal/platform/discovery/follower_test.go
+++ b/internal/platform/discovery/follower_test.go
@@ -100,7 +100,7 @@
 		}
 	}}
 	_, told := follow(t, serve(t, s))
-	require.True(t, next(t, told, time.Second).Whole)
+	require.True(t, next(t, told, time.Second).Snapshot)
 	require.Equal(t, "two", next(t, told, 6*time.Second).Hosts[0].Name)
 	require.Contains(t, s.query(1), "hold_ms=2000")
 	require.Contains(t, s.query(2), "hold_ms=0", "after a failure an answer is wanted at once")
@@ -153,11 +153,11 @@
 	}})
 	f, told := follow(t, old)
 	for range 20 {
-		f.Move(hung)
-		f.Move(old)
+		f.SetAddress(hung)
+		f.SetAddress(old)
 	}
-	f.Move(hung)
-	f.Move(last)
+	f.SetAddress(hung)
+	f.SetAddress(last)
 	require.Equal(t, "last", next(t, told, time.Second).Hosts[0].Name)
 }
 
@@ -166,9 +166,9 @@
 	t.Parallel()
 	var hosts []Host
 	for n := range 3200 {
-		hosts = append(hosts, Host{Name: fmt.Sprintf("engine-%08x", n), Address: "10.11.12.13:8000", Zone: "some-zone", Machine: "some-machine", Cell: n, Health: "Ready", Share: 1, Born: 1764666000000})
+		hosts = append(hosts, Host{Name: fmt.Sprintf("engine-%08x", n), Address: "10.11.12.13:8000", Zone: "some-zone", MachineKind: "some-machine", Cell: n, Health: "Ready", Share: 1, StartUnixMS: 1764666000000})
 	}
-	text, err := json.MarshalIndent(List{Version: 1, Whole: true, Hosts: hosts}, "", "    ")
+	text, err := json.MarshalIndent(List{Version: 1, Snapshot: true, Hosts: hosts}, "", "    ")
 	require.NoError(t, err)
 	_, told := follow(t, serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
--- a/internal/platform/faultproxy/faultproxy_test.go
+++ b/internal/platform/faultproxy/faultproxy_test.go
@@ -64,11 +64,11 @@
 		second string
 	}{
 		"none":                  {Plan{}, "one", "two"},
-		"silent at once":        {Plan{Swallow: AtStart}, "", ""},
-		"silent after bytes":    {Plan{Swallow: AfterBytes, Bytes: 6}, "one", ""},
-		"silent after answer":   {Plan{Swallow: AfterAnswer}, "one", ""},
-		"an answer lost":        {Plan{Swallow: AtAnswer, Answers: 1}, "one", ""},
-		"the first answer lost": {Plan{Swallow: AtAnswer}, "", ""},
+		"silent at once":        {Plan{Silence: AtStart}, "", ""},
+		"silent after bytes":    {Plan{Silence: AfterBytes, Bytes: 6}, "one", ""},
+		"silent after answer":   {Plan{Silence: AfterAnswer}, "one", ""},
+		"an answer lost":        {Plan{Silence: OnAnswer, Answers: 1}, "one", ""},
+		"the first answer lost": {Plan{Silence: OnAnswer}, "", ""},
 		"reset in the middle":   {Plan{Reset: AfterBytes, Bytes: 2}, "reset", "reset"},
 		"reset after an answer": {Plan{Reset: AfterAnswer}, "one", "reset"},
 	} {
@@ -104,10 +104,10 @@
 	require.NoError(t, err)
 	require.Equal(t, "one", ask(conn, "one"))
 	<-lines
-	p.Hold(ToEngine)
+	p.Pause(ToEngine)
 	require.Empty(t, ask(conn, "two"))
 	require.Empty(t, lines)
-	p.Pass(ToEngine)
+	p.Resume(ToEngine)
 	require.Equal(t, "two", <-lines)
 	require.Equal(t, "two\nthree", ask2(conn))
 	require.Equal(t, 1, p.SilenceOpen())
@@ -115,14 +115,14 @@
 	other, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
 	require.Equal(t, "five", ask(other, "five"))
-	p.SilenceOpenAt(len("a long line"))
+	p.SilenceOpenOnSend(len("a long line"))
 	require.Equal(t, "short", ask(other, "short"))
 	require.Empty(t, ask(other, "a long line"))
 	require.Empty(t, ask(other, "short"))
 	last, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
 	require.Equal(t, "another long line", ask(last, "another long line"), "it comes once")
-	p.SwallowPiece(len("a long line"))
+	p.SilenceConnOnSend(len("a long line"))
 	beside, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
 	require.Empty(t, ask(beside, "a long line"))
@@ -134,7 +134,7 @@
 // TestLate: a connection that comes up late passes nothing until then, and all after it.
 func TestLate(t *testing.T) {
 	to, lines := echo(t)
-	p, err := Start(to, func(int) Plan { return Plan{Late: 150 * time.Millisecond} }, nil)
+	p, err := Start(to, func(int) Plan { return Plan{StartDelay: 150 * time.Millisecond} }, nil)
 	require.NoError(t, err)
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
@@ -148,7 +148,7 @@
 func TestBehind(t *testing.T) {
 	const behind = 50 * time.Millisecond
 	to, lines := echo(t)
-	p, err := Start(to, func(int) Plan { return Plan{Behind: behind} }, nil)
+	p, err := Start(to, func(int) Plan { return Plan{SendDelay: behind} }, nil)
 	require.NoError(t, err)
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
@@ -176,7 +176,7 @@
 	meanwhile, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
 	require.Empty(t, ask(meanwhile, "three"))
-	p.Return()
+	p.Restore()
 	require.Equal(t, "reset", ask(before, "four"))
 	require.Equal(t, "reset", ask(meanwhile, "five"))
 	after, err := net.Dial("tcp", p.Address())
--- a/internal/platform/front/closing_test.go
+++ b/internal/platform/front/closing_test.go
@@ -162,12 +162,12 @@
 	r := &rig{t: t, planner: &shedding{}, ln: &hookedListener{Listener: ln, errors: faults, hooks: h}, served: make(chan error, 1)}
 	log := slog.New(slog.DiscardHandler)
 	e := edge.New(edge.Options{Engines: noEngines{}, ReleaseByCompletion: true, HoldLimit: time.Second, Log: log, Observer: quiet{}, Probe: func(context.Context, string) ([]float64, error) {
-		return nil, engine.ErrNotAsked
+		return nil, engine.ErrProbeSkipped
 	}})
 	r.planner.e = e
 	e.SetPlanner(r.planner)
-	r.s = New(Options{Listener: r.ln, Edge: e, Workloads: []string{"chat"}, MaxConns: 64, MaxBodies: 1 << 20, Margin: 10 * time.Millisecond, StreamMost: time.Minute, Log: log})
-	r.s.Ready()
+	r.s = New(Options{Listener: r.ln, Edge: e, Workloads: []string{"chat"}, MaxConns: 64, MaxBufferedBodyBytes: 1 << 20, AnswerMargin: 10 * time.Millisecond, MaxStreamDuration: time.Minute, Log: log})
+	r.s.SetReady()
 	go func() { r.served <- r.s.Serve() }()
 	t.Cleanup(func() {
 		ln.Close()
@@ -223,8 +223,8 @@
 		hooks hooks
 		ends  func(r *rig)
 	}{
-		"it leaves":               {chatCall("a"), 429, hooks{}, func(r *rig) { r.s.Leave() }},
-		"it stops":                {chatCall("a"), 429, hooks{}, func(r *rig) { r.s.Refuse(); require.NoError(r.t, r.s.Close(r.t.Context())) }},
+		"it leaves":               {chatCall("a"), 429, hooks{}, func(r *rig) { r.s.DrainConns() }},
+		"it stops":                {chatCall("a"), 429, hooks{}, func(r *rig) { r.s.RefuseRequests(); require.NoError(r.t, r.s.Close(r.t.Context())) }},
 		"it stops, nothing said":  {"", 0, hooks{}, func(r *rig) { require.NoError(r.t, r.s.Close(r.t.Context())) }},
 		"the idle time is over":   {chatCall("a"), 429, hooks{deadline: shorter}, func(*rig) {}},
 		"the answer said so":      {strings.Replace(chatCall("a"), "Host", "Connection: close\r\nHost", 1), 429, hooks{}, func(*rig) {}},
@@ -302,7 +302,7 @@
 		defer r.s.mu.Unlock()
 		return r.s.room.idle.Len() == len(readers)
 	}, 2*time.Second, time.Millisecond)
-	r.s.Leave()
+	r.s.DrainConns()
 	for _, in := range readers {
 		require.Equal(t, 429, status(t, in))
 		_, err := in.ReadByte()
@@ -321,7 +321,7 @@
 		if time.Until(at) > callMost { // the idle time begins
 			once.Do(func() {
 				<-started
-				go func() { r.s.Leave(); close(left) }()
+				go func() { r.s.DrainConns(); close(left) }()
 				select { // it comes in between, if it can
 				case <-left:
 				case <-time.After(50 * time.Millisecond):
@@ -351,7 +351,7 @@
 			var reads atomic.Int64
 			r = newRig(t, hooks{read: func() {
 				if reads.Add(1) == 2 {
-					r.s.Leave()
+					r.s.DrainConns()
 				}
 			}})
 			conn, in := r.dial()
@@ -425,7 +425,7 @@
 		require.NoError(t, err)
 	}
 	time.Sleep(20 * time.Millisecond) // they are read ahead
-	r.s.Leave()
+	r.s.DrainConns()
 	r.planner.shed()
 	for n := range behind + 1 {
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -26,16 +26,16 @@
 
 // Options of a server.
 type Options struct {
-	Listener   net.Listener
-	Edge       *edge.Edge
-	Workloads  []string // names, in decide's order
-	Tenants    []string // as above; none: no tenant is asked for
-	MaxConns   int
-	MaxBodies  int64         // bytes of all bodies in memory
-	ComeBack   time.Duration // the advice to one who was not taken, 0 for none
-	Margin     time.Duration // of a client timeout, kept for the way of the final answer
-	StreamMost time.Duration
-	Log        *slog.Logger
+	Listener             net.Listener
+	Edge                 *edge.Edge
+	Workloads            []string // names, in decide's order
+	Tenants              []string // as above; none: no tenant is asked for
+	MaxConns             int
+	MaxBufferedBodyBytes int64         // bytes of all bodies in memory
+	RetryAfter           time.Duration // the advice to one who was not taken, 0 for none
+	AnswerMargin         time.Duration // of a client timeout, kept for the way of the final answer
+	MaxStreamDuration    time.Duration
+	Log                  *slog.Logger
 }
 
 // The bounds of a client's call, and of its connection.
@@ -51,7 +51,7 @@
 	flushMost = 16 << 10                // of events that came together
 )
 
-var limits = http1.Limits{Head: headMost, Fields: fieldsMost, Body: bodyMost}
+var limits = http1.Limits{HeadBytes: headMost, Fields: fieldsMost, BodyBytes: bodyMost}
 
 // Server serves clients.
 type Server struct {
@@ -66,8 +66,8 @@
 	again   atomic.Int64    // calls for the rest of a broken stream
 	refused [6]atomic.Int64 // answers by the hundreds of their status
 
-	last     atomic.Pointer[LastCalls] // nil until a stop that takes some more
-	base     context.Context           // of all calls
+	last     atomic.Pointer[StopSchedule] // nil until a stop that takes some more
+	base     context.Context              // of all calls
 	end      context.CancelFunc
 	streams  context.Context // ends when streams are handed over
 	handOver context.CancelFunc
@@ -98,13 +98,13 @@
 }
 
 // Ready has GET /up answer 200.
-func (s *Server) Ready() { s.ready.Store(true) }
+func (s *Server) SetReady() { s.ready.Store(true) }
 
 // Active is how many calls have begun to come and are not answered.
-func (s *Server) Active() int { return int(s.active.Load()) }
+func (s *Server) ActiveRequests() int { return int(s.active.Load()) }
 
 // Leave has each connection closed after its call, those between two calls at once.
-func (s *Server) Leave() {
+func (s *Server) DrainConns() {
 	s.leaving.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 // Close has all connections closed, each after its call if it has one, and waits until they are or the context ends. The
 // listener must be closed before.
 func (s *Server) Close(ctx context.Context) error {
-	s.Leave()
+	s.DrainConns()
 	s.mu.Lock()
 	for id, more := s.room.oldest(s.room.silent); more; id, more = s.room.oldest(s.room.silent) {
 		s.evict(id)
@@ -134,24 +134,24 @@
 }
 
 // LastCalls is what holds while a router stops whose clients ask another one for the rest of a stream.
-type LastCalls struct {
-	From    time.Time // calls that come later have their first event by FirstBy, or an error
-	FirstBy time.Time
-	CutAt   time.Time // all streams are cut off then, those that begin later after their first events
-	EndBy   time.Time // what has no event by then is aborted
+type StopSchedule struct {
+	LateFrom     time.Time // calls that come later have their first event by FirstBy, or an error
+	FirstEventBy time.Time
+	CutStreamsAt time.Time // all streams are cut off then, those that begin later after their first events
+	AbortAt      time.Time // what has no event by then is aborted
 }
 
 // TakeLast has calls be taken until Refuse, and all that runs be ended, by these times.
-func (s *Server) TakeLast(l LastCalls) {
+func (s *Server) ScheduleStop(l StopSchedule) {
 	s.last.Store(&l)
-	time.AfterFunc(time.Until(l.CutAt), s.handOver)
-	time.AfterFunc(time.Until(l.EndBy), s.end)
+	time.AfterFunc(time.Until(l.CutStreamsAt), s.handOver)
+	time.AfterFunc(time.Until(l.AbortAt), s.end)
 }
 
 // Refuse has every call that comes from now on answered with 503.
-func (s *Server) Refuse() { s.closing.Store(true) }
+func (s *Server) RefuseRequests() { s.closing.Store(true) }
 
-func (s *Server) after() float64 { return s.o.ComeBack.Seconds() }
+func (s *Server) after() float64 { return s.o.RetryAfter.Seconds() }
 
 // call reads one call and answers it.
 func (c *client) call(arrived time.Time) {
@@ -221,7 +221,7 @@
 	held := int64(0)
 	giveBack := func() { s.bodies.Add(-held) }
 	body, err := http1.ReadBody(c.r, h, limits, func(n int) error {
-		if s.bodies.Add(int64(n)) > s.o.MaxBodies {
+		if s.bodies.Add(int64(n)) > s.o.MaxBufferedBodyBytes {
 			s.bodies.Add(-int64(n))
 			return errNoRoom
 		}
@@ -256,8 +256,8 @@
 		c.refuse(fault)
 		return
 	}
-	if last := s.last.Load(); last != nil && !arrived.Before(last.From) {
-		w.timeout = max(time.Millisecond, min(w.timeout, last.FirstBy.Sub(arrived)))
+	if last := s.last.Load(); last != nil && !arrived.Before(last.LateFrom) {
+		w.timeout = max(time.Millisecond, min(w.timeout, last.FirstEventBy.Sub(arrived)))
 	}
 	over := sync.OnceFunc(func() {
 		giveBack()
@@ -266,7 +266,7 @@
 		s.mu.Unlock()
 	})
 	c.take(&edge.Request{ID: s.o.Edge.NextID(), ExternalID: w.id, IdempotencyKey: w.key, Target: h.Target, Prompt: w.prompt, ArrivedAt: arrived, FirstTokenTimeout: w.timeout,
-		AnswerMargin: min(s.o.Margin, w.timeout/4), TotalTimeout: s.o.StreamMost, BuildBody: func(bool, []byte) []byte { return body }, OnDone: over})
+		AnswerMargin: min(s.o.AnswerMargin, w.timeout/4), TotalTimeout: s.o.MaxStreamDuration, BuildBody: func(bool, []byte) []byte { return body }, OnDone: over})
 }
 
 // Relay is of edge.Client, as are the methods below: the events go on as they came, and a stream that broke ends
@@ -370,7 +370,7 @@
 
 // Linger has answers say that their connection closes, so that clients go elsewhere. One whose last answer had begun
 // before and did not say so stays until Leave: closed at once it would cross the client's next call.
-func (s *Server) Linger() { s.leaving.Store(true) }
+func (s *Server) AnnounceClose() { s.leaving.Store(true) }
 
 // Counts are the calls for the rest of a stream, the answers of 4xx and those of 5xx so far.
 func (s *Server) Counts() (again, faulty, failed int64) {
--- a/internal/platform/http1/http1.go
+++ b/internal/platform/http1/http1.go
@@ -23,9 +23,9 @@
 
 // Limits bound a message.
 type Limits struct {
-	Head   int // bytes of the first line and the fields
-	Fields int
-	Body   int // bytes
+	HeadBytes int // bytes of the first line and the fields
+	Fields    int
+	BodyBytes int // bytes
 }
 
 // Field is one header field; its name is in lower case.
@@ -60,7 +60,7 @@
 
 // ReadRequest reads a request's head. io.EOF: there was none.
 func ReadRequest(r *bufio.Reader, l Limits) (*Head, error) {
-	left := l.Head
+	left := l.HeadBytes
 	line, err := readLine(r, &left)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 		}
 	}
 	h := &Head{Method: parts[0], Target: parts[1]}
-	if err := h.read(r, l, &left); err != nil {
+	if err := h.readFields(r, l, &left); err != nil {
 		return nil, err
 	}
 	if h.NoLength {
@@ -92,20 +92,20 @@
 
 // ReadResponse reads a response's head, which may be a 1xx answer ahead of it.
 func ReadResponse(r *bufio.Reader, l Limits) (*Head, error) {
-	left := l.Head
+	left := l.HeadBytes
 	line, err := readLine(r, &left)
 	if err != nil {
-		return nil, inside(err)
+		return nil, unexpectedEOF(err)
 	}
 	if len(line) < 12 || !strings.HasPrefix(line, "HTTP/1.1 ") || len(line) > 12 && line[12] != ' ' {
 		return nil, malformed("status line %.80q", line)
 	}
-	status, ok := number(line[9:12], 10)
+	status, ok := parseDigits(line[9:12], 10)
 	if !ok || status < 100 || status > 599 || status == 101 {
 		return nil, malformed("status line %.80q", line)
 	}
 	h := &Head{Status: status}
-	if err := h.read(r, l, &left); err != nil {
+	if err := h.readFields(r, l, &left); err != nil {
 		return nil, err
 	}
 	if status < 200 || status == 204 || status == 304 {
@@ -115,14 +115,14 @@
 }
 
 // read reads the fields and finds how long the body is.
-func (h *Head) read(r *bufio.Reader, l Limits, left *int) error {
+func (h *Head) readFields(r *bufio.Reader, l Limits, left *int) error {
 	for {
 		line, err := readLine(r, left)
 		if err != nil {
-			return inside(err)
+			return unexpectedEOF(err)
 		}
 		if line == "" {
-			return h.frame(l)
+			return h.setFraming(l)
 		}
 		name, value, found := strings.Cut(line, ":")
 		if !found || !isToken(name) { // a folded line begins with a space, which is no token
@@ -141,7 +141,7 @@
 	}
 }
 
-func (h *Head) frame(l Limits) error {
+func (h *Head) setFraming(l Limits) error {
 	if v, _ := h.Get("connection"); strings.EqualFold(v, "close") {
 		h.Close = true
 	}
@@ -158,14 +158,14 @@
 		}
 		h.Length = -1
 	case lengths == 1:
-		n, ok := number(length, 10)
+		n, ok := parseDigits(length, 10)
 		if !ok && len(length) > 0 && strings.Trim(length, "0123456789") == "" {
 			return fmt.Errorf("%w: Content-Length %.40s", ErrTooLarge, length)
 		}
 		if !ok {
 			return malformed("Content-Length %.40q", length)
 		}
-		if n > l.Body {
+		if n > l.BodyBytes {
 			return fmt.Errorf("%w: Content-Length %d", ErrTooLarge, n)
 		}
 		h.Length = n
@@ -189,7 +189,7 @@
 		}
 		if err != nil {
 			if len(long)+len(part) > 0 {
-				err = inside(err)
+				err = unexpectedEOF(err)
 			}
 			return "", err
 		}
@@ -203,7 +203,7 @@
 	}
 }
 
-func inside(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -211,7 +211,7 @@
 }
 
 // number reads digits and nothing else, no more than fit a size that any limit could allow.
-func number(s string, base int) (int, bool) {
+func parseDigits(s string, base int) (int, bool) {
 	if len(s) == 0 || len(s) > 9 {
 		return 0, false
 	}
@@ -236,13 +236,13 @@
 }
 
 // bodyAhead is the memory that a body gets before it came, in bytes.
-const bodyAhead = 8 << 10
+const bodyStepBytes = 8 << 10
 
 // ReadBody reads the body that a head announces. grow is asked before more memory is used, nil for no such question.
 func ReadBody(r *bufio.Reader, h *Head, l Limits, grow func(bytes int) error) ([]byte, error) {
 	var body []byte
 	take := func(n int) error {
-		if len(body)+n > l.Body {
+		if len(body)+n > l.BodyBytes {
 			return fmt.Errorf("%w: its body", ErrTooLarge)
 		}
 		if grow != nil {
@@ -251,11 +251,11 @@
 			}
 		}
 		for n > 0 {
-			step := min(n, max(bodyAhead, len(body)))
+			step := min(n, max(bodyStepBytes, len(body)))
 			at := len(body)
 			body = append(body, make([]byte, step)...)
 			if _, err := io.ReadFull(r, body[at:]); err != nil {
-				return inside(err)
+				return unexpectedEOF(err)
 			}
 			n -= step
 		}
@@ -266,17 +266,17 @@
 		return body, err
 	}
 	for {
-		n, err := chunkSize(r, l.Body)
+		n, err := readChunkSize(r, l.BodyBytes)
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
-			return body, trailer(r)
+			return body, readTrailer(r)
 		}
 		if err := take(n); err != nil {
 			return nil, err
 		}
-		if err := endOfChunk(r); err != nil {
+		if err := readChunkEnd(r); err != nil {
 			return nil, err
 		}
 	}
@@ -285,43 +285,43 @@
 // ReadChunk appends the data of one chunk to buf, once all of it has come and fits. io.EOF: it was the last one, and
 // the message is whole. No chunk is longer than most.
 func ReadChunk(r *bufio.Reader, buf []byte, most int) ([]byte, error) {
-	n, err := chunkSize(r, most)
+	n, err := readChunkSize(r, most)
 	if err != nil {
 		return buf, err
 	}
 	if n == 0 {
-		if err := trailer(r); err != nil {
+		if err := readTrailer(r); err != nil {
 			return buf, err
 		}
 		return buf, io.EOF
 	}
 	begin := len(buf)
 	for n > 0 {
-		step := min(n, bodyAhead)
+		step := min(n, bodyStepBytes)
 		at := len(buf)
 		buf = append(buf, make([]byte, step)...)
 		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return buf[:begin], inside(err)
+			return buf[:begin], unexpectedEOF(err)
 		}
 		n -= step
 	}
-	if err := endOfChunk(r); err != nil {
+	if err := readChunkEnd(r); err != nil {
 		return buf[:begin], err
 	}
 	return buf, nil
 }
 
 // chunkLine bounds a chunk's first line: its size, and extensions, which mean nothing here.
-const chunkLine = 256
+const maxChunkLineBytes = 256
 
-func chunkSize(r *bufio.Reader, most int) (int, error) {
-	left := chunkLine
+func readChunkSize(r *bufio.Reader, most int) (int, error) {
+	left := maxChunkLineBytes
 	line, err := readLine(r, &left)
 	if err != nil {
-		return 0, inside(err)
+		return 0, unexpectedEOF(err)
 	}
 	size, _, _ := strings.Cut(line, ";")
-	n, ok := number(strings.TrimRight(size, " \t"), 16)
+	n, ok := parseDigits(strings.TrimRight(size, " \t"), 16)
 	if !ok {
 		return 0, malformed("chunk size %.40q", line)
 	}
@@ -331,10 +331,10 @@
 	return n, nil
 }
 
-func endOfChunk(r *bufio.Reader) error {
+func readChunkEnd(r *bufio.Reader) error {
 	var end [2]byte
 	if _, err := io.ReadFull(r, end[:]); err != nil {
-		return inside(err)
+		return unexpectedEOF(err)
 	}
 	if !bytes.Equal(end[:], []byte("\r\n")) {
 		return malformed("a chunk that does not fit its size")
@@ -343,11 +343,11 @@
 }
 
 // trailer reads what follows the last chunk.
-func trailer(r *bufio.Reader) error {
-	for left := chunkLine * 16; ; {
+func readTrailer(r *bufio.Reader) error {
+	for left := maxChunkLineBytes * 16; ; {
 		line, err := readLine(r, &left)
 		if err != nil {
-			return inside(err)
+			return unexpectedEOF(err)
 		}
 		if line == "" {
 			return nil
--- a/internal/platform/http1/http1_test.go
+++ b/internal/platform/http1/http1_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var small = Limits{Head: 512, Fields: 8, Body: 1024}
+var small = Limits{HeadBytes: 512, Fields: 8, BodyBytes: 1024}
 
 // TestRequest: what two readers could frame in two ways is refused, and what follows a message stays.
 func TestRequest(t *testing.T) {
@@ -94,7 +94,7 @@
 			var chunks []string
 			for err == nil {
 				var buf []byte
-				if buf, err = ReadChunk(r, nil, small.Body); err == nil {
+				if buf, err = ReadChunk(r, nil, small.BodyBytes); err == nil {
 					chunks = append(chunks, string(buf))
 				}
 			}
--- a/internal/platform/service/clients_test.go
+++ b/internal/platform/service/clients_test.go
@@ -68,7 +68,7 @@
 func TestOtherClientsID(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
-	s.w.Pause = 100 * time.Millisecond
+	s.w.EventInterval = 100 * time.Millisecond
 	_, r := s.open(call("mine", prompt(50)))
 	require.Eventually(t, func() bool { return len(s.w.Calls(standin.Write)) == 1 }, 2*time.Second, time.Millisecond)
 	for range 2 { // while it is open, and after
@@ -148,7 +148,7 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
-			s.w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+			s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 				if c.Kind == kind {
 					return standin.Silent
 				}
@@ -158,7 +158,7 @@
 			require.Eventually(t, func() bool { return len(s.w.Calls(kind)) == 1 }, 2*time.Second, time.Millisecond)
 			require.NoError(t, conn.Close())
 			s.quiet()
-			require.Eventually(t, func() bool { return !s.w.Calls(kind)[0].Over.IsZero() }, time.Second, time.Millisecond,
+			require.Eventually(t, func() bool { return !s.w.Calls(kind)[0].Ended.IsZero() }, time.Second, time.Millisecond,
 				"the engine's connection stays open")
 			require.Len(t, s.w.Calls(kind), 1)
 		})
--- a/internal/platform/service/config.go
+++ b/internal/platform/service/config.go
@@ -14,18 +14,18 @@
 // Config is what a router is told at its start.
 type Config struct {
 	Name, Listen, Discovery string
-	Memory                  int64 // bytes
-	Sockets                 int
-	Known                   json.RawMessage // a list as discovery tells it, nil for none
+	MemoryBytes             int64 // bytes
+	MaxSockets              int
+	InitialList             json.RawMessage // a list as discovery tells it, nil for none
 	Settings                settings.Settings
 }
 
 // BadConfig is a configuration that can't be used; it names the field.
-type BadConfig struct{ error }
+type ConfigError struct{ error }
 
-func (b BadConfig) Unwrap() error { return b.error }
+func (b ConfigError) Unwrap() error { return b.error }
 
-func badConfig(format string, a ...any) error { return BadConfig{fmt.Errorf(format, a...)} }
+func badConfig(format string, a ...any) error { return ConfigError{fmt.Errorf(format, a...)} }
 
 // The least that a router needs.
 const (
@@ -103,8 +103,8 @@
 		return nil, badConfig("config: %w", err)
 	}
 	all.Decide.Seed = seed
-	return &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Memory: raw.Limits.Memory << 20,
-		Sockets: raw.Limits.Sockets, Known: raw.Known, Settings: all}, nil
+	return &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, MemoryBytes: raw.Limits.Memory << 20,
+		MaxSockets: raw.Limits.Sockets, InitialList: raw.Known, Settings: all}, nil
 }
 
 func (c *Config) check() error {
--- a/internal/platform/service/troubles_test.go
+++ b/internal/platform/service/faults_test.go
@@ -93,7 +93,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.lists {
-		l.Change(h)
+		l.Update(h)
 	}
 }
 
@@ -133,11 +133,11 @@
 
 // restart has an engine come back cold, at its own address's successor, as an engine of another name.
 func (r *run) restart() {
-	e, err := r.w.Start("writer-2", false)
+	e, err := r.w.StartEngine("writer-2", false)
 	require.NoError(r.t, err)
 	r.t.Cleanup(e.Close)
 	h := host(e, "writes")
-	h.Born = time.Now().UnixMilli()
+	h.StartUnixMS = time.Now().UnixMilli()
 	r.change(h)
 }
 
@@ -153,7 +153,7 @@
 // told is when the router was told that an engine drains, by any discovery; the zero time for never.
 func (r *run) told(engine string) (first time.Time) {
 	for _, l := range r.lists {
-		if at := l.Told(engine); !at.IsZero() && (first.IsZero() || at.Before(first)) {
+		if at := l.DrainAnnounced(engine); !at.IsZero() && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
@@ -168,9 +168,9 @@
 	case c.Engine == r.hung && c.Kind != standin.Release:
 		return standin.Silent
 	case r.faults[c.ID] && nth == 0 && c.Kind == standin.Read:
-		return standin.CutEarly
+		return standin.CloseBeforeAnswer
 	case r.faults[c.ID] && nth == 0 && c.Kind == standin.Write:
-		return []standin.Fault{standin.CutEarly, standin.CutLate}[len(c.ID)%2]
+		return []standin.Fault{standin.CloseBeforeAnswer, standin.CloseAfterFirstEvent}[len(c.ID)%2]
 	}
 	return standin.None
 }
@@ -224,8 +224,8 @@
 func playTroubles(t *testing.T, seed int64, names ...string) *run {
 	s := newSite(t, `"probes":false`, `"probes":true`)
 	r := &run{site: s, router: s.r, random: rand.New(rand.NewSource(seed)), faults: map[string]bool{}, lists: []*standin.Discovery{s.list}, seen: map[string]*seen{}}
-	s.w.Spoil = r.spoil
-	s.w.Pause = 20 * time.Millisecond
+	s.w.InjectFault = r.spoil
+	s.w.EventInterval = 20 * time.Millisecond
 	var all sync.WaitGroup
 	leaves := false
 	for _, name := range names {
@@ -264,7 +264,7 @@
 			calls[c.ID] = append(calls[c.ID], c)
 		}
 		if told := r.told(c.Engine); !told.IsZero() && c.Kind != standin.Release && c.Kind != standin.Probe {
-			require.False(t, c.At.After(told.Add(drainGrace)), "%s %s at %s, %v after it was told to drain", c.Kind, c.ID, c.Engine, c.At.Sub(told))
+			require.False(t, c.Received.After(told.Add(drainGrace)), "%s %s at %s, %v after it was told to drain", c.Kind, c.ID, c.Engine, c.Received.Sub(told))
 		}
 	}
 	for id, one := range r.seen {
@@ -277,10 +277,10 @@
 
 // unusedFor is the longest that something was held while none of the attempts at its request ran.
 func unusedFor(h standin.Hold, attempts []standin.Call) (longest time.Duration) {
-	slices.SortFunc(attempts, func(a, b standin.Call) int { return a.At.Compare(b.At) })
+	slices.SortFunc(attempts, func(a, b standin.Call) int { return a.Received.Compare(b.Received) })
 	free := h.From
 	for _, c := range attempts {
-		from, to, ran := c.Ran()
+		from, to, ran := c.RunSpan()
 		if !ran || !from.Before(h.To) {
 			continue
 		}
@@ -302,7 +302,7 @@
 			writes++
 		}
 		if !one.leftAt.IsZero() {
-			require.False(t, c.At.After(one.leftAt.Add(leavesWithin)), "%s: an attempt began %v after its client left", id, c.At.Sub(one.leftAt))
+			require.False(t, c.Received.After(one.leftAt.Add(leavesWithin)), "%s: an attempt began %v after its client left", id, c.Received.Sub(one.leftAt))
 		}
 	}
 	if one.class == "once" {
--- a/internal/platform/service/held_test.go
+++ b/internal/platform/service/heldstate_test.go
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, `"probes":false`, `"probes":true`)
 			s.w.Strict = true
-			s.w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+			s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 				if c.ID == "hung" && c.Kind == standin.Write {
 					return standin.Hung
 				}
@@ -61,7 +61,7 @@
 	s.w.Strict = true
 	reader := s.only("reader-0", "reader-1")
 	s.sendMany("before", 2)
-	reader.SwallowPiece(longPiece)
+	reader.SilenceConnOnSend(longPiece)
 	s.sendBeside("lost", 15)
 	require.LessOrEqual(t, s.longestHeld("lost"), letGoMost)
 }
@@ -83,7 +83,7 @@
 func heldWhileAWriteWaits(t *testing.T) {
 	s := newSite(t, `"holds-allowed":true`, `"holds-allowed":false`)
 	s.w.Strict = true
-	s.w.Work = func(c *standin.Call) time.Duration {
+	s.w.ServiceTime = func(c *standin.Call) time.Duration {
 		if c.Kind == standin.Write {
 			return 5 * time.Second
 		}
@@ -110,7 +110,7 @@
 	s := newSite(t, `"holds-allowed":true`, `"holds-allowed":false`)
 	s.w.Strict = true
 	proxies := s.behindProxies(nil)
-	s.w.Work = func(c *standin.Call) time.Duration {
+	s.w.ServiceTime = func(c *standin.Call) time.Duration {
 		if c.ID == "lost" && c.Kind == standin.Read {
 			time.AfterFunc(200*time.Millisecond, func() {
 				for _, name := range [...]string{"reader-0", "reader-1"} {
--- a/internal/platform/service/helper_test.go
+++ b/internal/platform/service/helper_test.go
@@ -35,7 +35,7 @@
 // site is a router before stand-in engines: two readers, two writers.
 type site struct {
 	t       *testing.T
-	w       *standin.World
+	w       *standin.Fleet
 	engines map[string]*standin.Engine
 	list    *standin.Discovery
 	c       *Config
@@ -43,16 +43,16 @@
 }
 
 func host(e *standin.Engine, machine string) discovery.Host {
-	return discovery.Host{Name: e.Name, Address: e.Address(), Zone: "here", Machine: machine, Cell: 1, Health: "Ready", Share: 1}
+	return discovery.Host{Name: e.Name, Address: e.Address(), Zone: "here", MachineKind: machine, Cell: 1, Health: "Ready", Share: 1}
 }
 
 func newSite(t *testing.T, replace ...string) *site {
 	t.Helper()
-	s := &site{t: t, w: standin.NewWorld(), engines: map[string]*standin.Engine{}}
+	s := &site{t: t, w: standin.NewFleet(), engines: map[string]*standin.Engine{}}
 	var hosts []discovery.Host
 	for _, name := range [...]string{"reader-0", "reader-1", "writer-0", "writer-1"} {
 		reads := strings.HasPrefix(name, "reader")
-		e, err := s.w.Start(name, reads)
+		e, err := s.w.StartEngine(name, reads)
 		require.NoError(t, err)
 		t.Cleanup(e.Close)
 		s.engines[name] = e
@@ -168,6 +168,6 @@
 	r := s.r // the last look may come after the test's end
 	require.Eventually(s.t, func() bool {
 		_, runs := r.edge.Active()
-		return runs == 0 && s.w.Held() == 0 && r.planner.Stats().OpenCompletions == 0
+		return runs == 0 && s.w.HeldCount() == 0 && r.planner.Stats().OpenCompletions == 0
 	}, 5*time.Second, 5*time.Millisecond, "dispatches out, or states held")
 }
--- a/internal/platform/service/lifecycle_test.go
+++ b/internal/platform/service/lifecycle_test.go
@@ -48,7 +48,7 @@
 				return
 			}
 			require.ErrorContains(t, err, one.want)
-			require.ErrorAs(t, err, &BadConfig{})
+			require.ErrorAs(t, err, &ConfigError{})
 		})
 	}
 	_, err := Load(func(string) string { return "" })
@@ -62,7 +62,7 @@
 	silent, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
 	defer silent.Close()
-	one, err := json.Marshal(discovery.List{Whole: true, Hosts: []discovery.Host{host(s.engines["writer-0"], "writes")}})
+	one, err := json.Marshal(discovery.List{Snapshot: true, Hosts: []discovery.Host{host(s.engines["writer-0"], "writes")}})
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		known  string
@@ -90,7 +90,7 @@
 // connections between calls are closed.
 func TestStopUnderLoad(t *testing.T) {
 	s := newSite(t)
-	s.w.Pause = 300 * time.Millisecond
+	s.w.EventInterval = 300 * time.Millisecond
 	kept, r := s.open(call("before", prompt(20)))
 	status, _, err := answerOf(r)
 	require.NoError(t, err)
@@ -108,7 +108,7 @@
 	for n := range 8 {
 		ask(fmt.Sprintf("running-%d", n))
 	}
-	require.Eventually(t, func() bool { return s.r.front.Active() == 8 }, 2*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.r.front.ActiveRequests() == 8 }, 2*time.Second, time.Millisecond)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.stop() }()
 	for n := range 8 {
@@ -124,7 +124,7 @@
 	kept.SetReadDeadline(time.Now().Add(time.Second)) //nolint:errcheck // a test
 	_, err = r.ReadByte()
 	require.True(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "the kept connection stays: %v", err)
-	require.Zero(t, s.w.Held())
+	require.Zero(t, s.w.HeldCount())
 }
 
 // TestLastCalls: where clients ask for the rest of a stream, a stopping router takes calls on the connections that
@@ -132,7 +132,7 @@
 // off before the kill and don't look whole, and what has no event by then gets an error, no silence.
 func TestLastCalls(t *testing.T) {
 	s := newSite(t, `"holds-allowed"`, `"resume":true,"holds-allowed"`)
-	s.w.Pause, s.w.Events = 500*time.Millisecond, 12
+	s.w.EventInterval, s.w.EventCount = 500*time.Millisecond, 12
 	conn, r := s.open(up)
 	status, _, err := answerOf(r)
 	require.NoError(t, err)
@@ -141,7 +141,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 400, status)
 
-	s.w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+	s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.ID == "mute" {
 			return standin.Silent
 		}
@@ -181,13 +181,13 @@
 	require.Equal(t, 500, m.status)
 	require.True(t, m.at.Before(kill))
 	require.NoError(t, <-stopped)
-	require.Zero(t, s.w.Held())
+	require.Zero(t, s.w.HeldCount())
 }
 
 // TestReload: the new discovery is followed at once, what runs goes on, and a bad file changes nothing.
 func TestReload(t *testing.T) {
 	s := newSite(t)
-	s.w.Pause = 100 * time.Millisecond
+	s.w.EventInterval = 100 * time.Millisecond
 	next, err := standin.StartDiscovery([]discovery.Host{host(s.engines["reader-1"], "reads"), host(s.engines["writer-1"], "writes")})
 	require.NoError(t, err)
 	defer next.Close()
@@ -196,12 +196,12 @@
 		status, _, _ := s.send(call("running", prompt(2000)))
 		answer <- status
 	}()
-	require.Eventually(t, func() bool { return s.r.front.Active() == 1 }, 2*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.r.front.ActiveRequests() == 1 }, 2*time.Second, time.Millisecond)
 	c := *s.c
 	c.Discovery = next.Address()
 	s.r.Reload(&c)
 	require.NoError(t, s.list.Close())
-	require.Eventually(t, func() bool { return next.Asked() >= 2 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return next.RequestCount() >= 2 }, time.Second, time.Millisecond)
 	require.Equal(t, 200, <-answer)
 	before := len(s.w.Calls(standin.Write))
 	for n := range 6 {
@@ -224,7 +224,7 @@
 	}
 	h := host(s.engines["writer-0"], "writes")
 	h.Health = "Terminating"
-	s.list.Change(h)
+	s.list.Update(h)
 	time.Sleep(50 * time.Millisecond) // the grace is a second
 	told := time.Now()
 	for n := range 8 {
@@ -233,7 +233,7 @@
 		require.Equal(t, 200, status)
 	}
 	for _, w := range s.w.Calls(standin.Write) {
-		require.False(t, w.Engine == "writer-0" && w.At.After(told))
+		require.False(t, w.Engine == "writer-0" && w.Received.After(told))
 	}
 }
 
@@ -247,10 +247,10 @@
 			if broken == "" {
 				require.NoError(t, s.list.Close())
 			} else {
-				s.list.Break(broken)
-				s.list.Change(host(s.engines["writer-0"], "writes")) // ends the watch
-				asked := s.list.Asked()
-				require.Eventually(t, func() bool { return s.list.Asked() > asked+1 }, 4*time.Second, 5*time.Millisecond)
+				s.list.SetFixedAnswer(broken)
+				s.list.Update(host(s.engines["writer-0"], "writes")) // ends the watch
+				asked := s.list.RequestCount()
+				require.Eventually(t, func() bool { return s.list.RequestCount() > asked+1 }, 4*time.Second, 5*time.Millisecond)
 			}
 			status, _, err := s.send(call("served", prompt(2000)))
 			require.NoError(t, err)
--- a/internal/platform/service/size_test.go
+++ b/internal/platform/service/memory_test.go
@@ -27,10 +27,10 @@
 	const engines, most = 3200, 2 << 10 // bytes each
 	s := newSite(t)
 	list := func(round int) *discovery.List {
-		l := &discovery.List{Version: int64(round), Whole: true}
+		l := &discovery.List{Version: int64(round), Snapshot: true}
 		for n := range engines {
 			l.Hosts = append(l.Hosts, discovery.Host{Name: fmt.Sprintf("engine-%d-%d", round, n), Address: fmt.Sprintf("127.0.0.1:%d", 20000+n), Zone: "here",
-				Machine: []string{"reads", "writes"}[n%2], Cell: n / 5, Health: "Ready", Born: int64(round)*1000 + 1})
+				MachineKind: []string{"reads", "writes"}[n%2], Cell: n / 5, Health: "Ready", StartUnixMS: int64(round)*1000 + 1})
 		}
 		return l
 	}
