--- a/internal/platform/service/day_test.go
+++ b/internal/platform/service/mixedfaults_test.go
@@ -18,12 +18,12 @@
 func TestSmallDay(t *testing.T) {
 	const calls, timeout, grace = 120, 4 * time.Second, time.Second
 	s := newSite(t)
-	s.w.Pause = 200 * time.Millisecond // longer than a stand-in takes to note that a call is over
+	s.w.EventInterval = 200 * time.Millisecond // longer than a stand-in takes to note that a call is over
 	rnd := rand.New(rand.NewSource(20261201))
-	faults := [...]standin.Fault{standin.Error, standin.Full, standin.CutEarly, standin.Noise, standin.BadFit, standin.CutLate, standin.Gone}
+	faults := [...]standin.Fault{standin.ServerError, standin.Unavailable, standin.CloseBeforeAnswer, standin.InvalidHead, standin.BadChunkLength, standin.CloseAfterFirstEvent, standin.Gone}
 	var mu sync.Mutex
 	spoilt := map[string][]standin.Fault{} // what befell the writes of an id, in turn
-	s.w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+	s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Kind != standin.Read && c.Kind != standin.Write {
 			return standin.None
 		}
@@ -44,7 +44,7 @@
 		if n == calls/2 {
 			h := host(s.engines["writer-0"], "writes")
 			h.Health = "Terminating"
-			s.list.Change(h)
+			s.list.Update(h)
 			drained = time.Now()
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -59,13 +59,13 @@
 	}
 	clients.Wait()
 	s.quiet()
-	neverRan := map[standin.Fault]bool{standin.Full: true, standin.Gone: true}
+	neverRan := map[standin.Fault]bool{standin.Unavailable: true, standin.Gone: true}
 	out := map[string]time.Time{}
 	for _, c := range s.w.Calls("") {
 		if c.Kind == standin.Read || c.Kind == standin.Write {
-			require.False(t, c.Over.IsZero() || c.At.Before(out[c.ID].Add(-250*time.Millisecond)), "%s: two dispatches out at once", c.ID)
-			out[c.ID] = c.Over
-			require.False(t, c.Engine == "writer-0" && c.At.After(drained.Add(grace)), "%s: sent to a draining engine", c.ID)
+			require.False(t, c.Ended.IsZero() || c.Received.Before(out[c.ID].Add(-250*time.Millisecond)), "%s: two dispatches out at once", c.ID)
+			out[c.ID] = c.Ended
+			require.False(t, c.Engine == "writer-0" && c.Received.After(drained.Add(grace)), "%s: sent to a draining engine", c.ID)
 		}
 	}
 	for id, faults := range spoilt {
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -62,9 +62,9 @@
 }
 
 // Tune sets the process's limits from the configuration.
-func Tune(c *Config) {
+func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(c.Memory * memoryPart / 100)
+	debug.SetMemoryLimit(c.MemoryBytes * memoryPart / 100)
 	debug.SetGCPercent(gcPercent)
 }
 
@@ -77,11 +77,11 @@
 	}
 	r := &Router{c: c, log: log, ln: ln, fault: make(chan error, 2), figures: &figures{}, clock: newClock()}
 	r.births = newBirths(r.clock())
-	free := c.Sockets - ownSockets
+	free := c.MaxSockets - ownSockets
 	clients := free * clientPart / 100
 	engines := free - clients
-	r.backend = backend.New(backend.Options{Columns: s.Decide.ReportColumns, Probes: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
-		IdleConn: s.ConnIdle, MaxConns: engines})
+	r.backend = backend.New(backend.Options{ReportColumns: s.Decide.ReportColumns, ProbesAllowed: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
+		EngineIdleTimeout: s.ConnIdle, MaxConns: engines})
 	r.edge = edge.New(edge.Options{AnswerMargin: margin, HoldLimit: s.LetGo + holdSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.figures})
 	s.Decide.ReservationsUnconfirmed = true // its answer may leave open whether a place is held
 	var machines []planner.MachineKind
@@ -97,7 +97,7 @@
 	r.edge.SetPlanner(r.planner)
 	comeBack := min(comeBackMost, time.Duration(s.Decide.MaxRetryAfter*float64(time.Second)))
 	r.front = front.New(front.Options{Listener: ln, Edge: r.edge, Workloads: s.Workloads, Tenants: s.Tenants, MaxConns: clients,
-		MaxBodies: c.Memory * bodyPart / 100, ComeBack: comeBack, Margin: margin, StreamMost: streamMost, Log: log})
+		MaxBufferedBodyBytes: c.MemoryBytes * bodyPart / 100, RetryAfter: comeBack, AnswerMargin: margin, MaxStreamDuration: streamMost, Log: log})
 	r.follow = discovery.New(c.Discovery, r.tell, log)
 	ctx, end := context.WithCancel(context.Background())
 	r.end = end
@@ -117,28 +117,28 @@
 // known takes the list that the configuration holds. Where it names an engine the router can serve: what has changed
 // since is told by discovery as soon as that answers.
 func (r *Router) known(c *Config) {
-	if len(c.Known) == 0 || string(c.Known) == "null" {
+	if len(c.InitialList) == 0 || string(c.InitialList) == "null" {
 		return
 	}
-	l, err := discovery.Read(c.Known, r.log)
+	l, err := discovery.ParseList(c.InitialList, r.log)
 	if err != nil {
 		r.log.Warn("config: known", "err", err)
 		return
 	}
 	r.hand(l, decide.ListCachedSnapshot)
 	if len(l.Hosts) > 0 {
-		r.front.Ready()
+		r.front.SetReady()
 	}
 }
 
 // tell takes what discovery tells.
 func (r *Router) tell(l *discovery.List) {
 	kind := decide.ListDelta
-	if l.Whole {
+	if l.Snapshot {
 		kind = decide.ListSnapshot
 	}
 	r.hand(l, kind)
-	r.front.Ready()
+	r.front.SetReady()
 }
 
 // hand hands a list to those who need it: addresses first, so that an engine is reached as soon as it is chosen.
@@ -149,23 +149,23 @@
 	var gone []string
 	for _, h := range l.Hosts {
 		p, _ := h.Phase()
-		e := link.EngineEntry{Address: h.Name, Zone: h.Zone, Cell: strconv.Itoa(h.Cell), MachineKind: h.Machine, Phase: p, StartID: h.Born, Age: -1}
-		if h.Born > 0 {
-			e.Age = ages.age(h.Name, h.Born).Seconds()
+		e := link.EngineEntry{Address: h.Name, Zone: h.Zone, Cell: strconv.Itoa(h.Cell), MachineKind: h.MachineKind, Phase: p, StartID: h.StartUnixMS, Age: -1}
+		if h.StartUnixMS > 0 {
+			e.Age = ages.age(h.Name, h.StartUnixMS).Seconds()
 		} else {
 			e.StartID = 1 // long ago is a start as any other
 		}
 		news.Entries = append(news.Entries, e)
-		r.log.Debug("engine", "engine", h.Name, "machine", h.Machine, "zone", h.Zone, "cell", h.Cell, "health", h.Health, "age", e.Age)
+		r.log.Debug("engine", "engine", h.Name, "machine", h.MachineKind, "zone", h.Zone, "cell", h.Cell, "health", h.Health, "age", e.Age)
 		if p == decide.Gone {
 			gone = append(gone, h.Name)
 			r.births.forget(h.Name)
 		} else {
-			engines = append(engines, backend.Engine{Name: h.Name, Address: h.Address, Drains: p == decide.Draining})
+			engines = append(engines, backend.Engine{Name: h.Name, Address: h.Address, Draining: p == decide.Draining})
 		}
 	}
-	r.log.Info("list", "seq", l.Version, "whole", l.Whole, "entries", len(l.Hosts))
-	r.backend.Listed(kind != decide.ListDelta, engines, gone)
+	r.log.Info("list", "seq", l.Version, "whole", l.Snapshot, "entries", len(l.Hosts))
+	r.backend.UpdateEngines(kind != decide.ListDelta, engines, gone)
 	r.planner.Notify(link.Event{Kind: link.EnginesUpdated, EngineList: news})
 }
 
@@ -177,7 +177,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			r.backend.Tidy()
+			r.backend.Prune()
 			if n%figuresEvery == figuresEvery-1 {
 				r.figures.log(r)
 			}
@@ -189,15 +189,15 @@
 func (r *Router) Address() string { return r.ln.Addr().String() }
 
 // Fault tells of a part that ended by itself.
-func (r *Router) Fault() <-chan error { return r.fault }
+func (r *Router) Errors() <-chan error { return r.fault }
 
 // Reload takes a new configuration: another discovery. What else is new in it holds from the next start, and is logged.
 func (r *Router) Reload(c *Config) {
 	r.log.Info("reload", "discovery", c.Discovery)
-	if c.Listen != r.c.Listen || c.Sockets != r.c.Sockets || c.Memory != r.c.Memory {
+	if c.Listen != r.c.Listen || c.MaxSockets != r.c.MaxSockets || c.MemoryBytes != r.c.MemoryBytes {
 		r.log.Warn("reload: listen and limits hold from the next start")
 	}
-	r.follow.Move(c.Discovery)
+	r.follow.SetAddress(c.Discovery)
 }
 
 // Times of a stop. New connections still come for up to 0.4 s after the signal. A call that comes more than 0.7 s
@@ -226,7 +226,7 @@
 // ends all parts.
 func (r *Router) Stop(ctx context.Context) error {
 	began := time.Now()
-	r.log.Info("stop", "calls", r.front.Active())
+	r.log.Info("stop", "calls", r.front.ActiveRequests())
 	wait := func(until time.Duration) {
 		select {
 		case <-time.After(time.Until(began.Add(until))):
@@ -238,20 +238,20 @@
 		// In a rolling restart of few routers none may be in service for a while, and the next one stops about when
 		// this one is killed: what comes then on connections that clients keep would find nobody, nor would a stream
 		// that the kill breaks. It harms, where others are in service, by one more read for each stream cut off.
-		r.front.TakeLast(front.LastCalls{From: began.Add(stopKeeps), CutAt: began.Add(kill - lastCut),
-			FirstBy: began.Add(kill - lastFirst), EndBy: began.Add(kill - lastEnd)})
+		r.front.ScheduleStop(front.StopSchedule{LateFrom: began.Add(stopKeeps), CutStreamsAt: began.Add(kill - lastCut),
+			FirstEventBy: began.Add(kill - lastFirst), AbortAt: began.Add(kill - lastEnd)})
 		wait(takes)
-		r.front.Refuse()
-		r.front.Leave()
+		r.front.RefuseRequests()
+		r.front.DrainConns()
 	} else {
-		r.front.Linger()
+		r.front.AnnounceClose()
 		wait(stopKeeps)
-		r.front.Leave()
+		r.front.DrainConns()
 		wait(stopTakes)
-		r.front.Refuse()
+		r.front.RefuseRequests()
 	}
-	r.log.Info("stop: calls are refused from now on", "calls", r.front.Active())
-	for r.front.Active() > 0 && ctx.Err() == nil {
+	r.log.Info("stop: calls are refused from now on", "calls", r.front.ActiveRequests())
+	for r.front.ActiveRequests() > 0 && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 	// Calls may still have come since that look: no connection is accepted any more, those that are open end in order,
--- a/internal/platform/service/service_test.go
+++ b/internal/platform/service/service_test.go
@@ -16,9 +16,9 @@
 func whole(engine, id string, events int) string {
 	var b strings.Builder
 	for n := range events {
-		b.WriteString(standin.Event(engine, id, n))
+		b.WriteString(standin.EventText(engine, id, n))
 	}
-	return b.String() + standin.Last
+	return b.String() + standin.FinalEvents
 }
 
 // TestServes: a long prompt is read first and written after, a short one is written at once; the prompt goes on byte
@@ -44,7 +44,7 @@
 				require.Equal(t, body, string(c.Body))
 				require.Equal(t, "/v1/chat/completions", c.Target)
 			}
-			for _, c := range s.w.Calls(standin.Place) {
+			for _, c := range s.w.Calls(standin.Reserve) {
 				require.Equal(t, writes[0].Engine, c.Engine)
 			}
 			s.quiet()
@@ -79,13 +79,13 @@
 // TestOutcomes: each way a dispatch can end is told as what it is: what failed before its first event is sent again,
 // and the client gets one whole answer.
 func TestOutcomes(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.Error, standin.Full, standin.CutEarly, standin.Noise, standin.EndlessHead,
-		standin.BadSize, standin.BadFit, standin.HugeChunk, standin.Ahead, standin.BadReport, standin.Behind, standin.None} {
+	for _, fault := range []standin.Fault{standin.ServerError, standin.Unavailable, standin.CloseBeforeAnswer, standin.InvalidHead, standin.EndlessHead,
+		standin.BadChunkSize, standin.BadChunkLength, standin.HugeChunk, standin.InterimAnswers, standin.BadReport, standin.SecondAnswer, standin.None} {
 		for _, kind := range []standin.Kind{standin.Read, standin.Write} {
 			t.Run(fmt.Sprint(kind, " ", fault), func(t *testing.T) {
 				t.Parallel()
 				s := newSite(t)
-				s.w.Spoil = func(c *standin.Call, nth int) standin.Fault {
+				s.w.InjectFault = func(c *standin.Call, nth int) standin.Fault {
 					if c.Kind == kind && nth == 0 {
 						return fault
 					}
@@ -99,9 +99,9 @@
 				s.quiet()
 				again := 1
 				switch fault {
-				case standin.None, standin.Ahead, standin.BadReport, standin.Behind:
+				case standin.None, standin.InterimAnswers, standin.BadReport, standin.SecondAnswer:
 					again = 0
-				case standin.BadSize, standin.BadFit, standin.HugeChunk:
+				case standin.BadChunkSize, standin.BadChunkLength, standin.HugeChunk:
 					if kind == standin.Read { // a read's answer has no chunks
 						again = 0
 					}
@@ -114,11 +114,11 @@
 
 // TestBroken: a stream that breaks after its first event ends the client's connection without the last chunk.
 func TestBroken(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.CutLate, standin.LateBadSize, standin.NoDone, standin.Stall} {
+	for _, fault := range []standin.Fault{standin.CloseAfterFirstEvent, standin.LaterBadChunkSize, standin.MissingFinalEvents, standin.Stall} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
-			s.w.Spoil = func(c *standin.Call, _ int) standin.Fault {
+			s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 				if c.Kind == standin.Write {
 					return fault
 				}
@@ -127,7 +127,7 @@
 			status, got, err := s.send(call("c1", prompt(50)))
 			require.Equal(t, 200, status)
 			require.Error(t, err, "the last chunk came")
-			require.True(t, strings.HasPrefix(got, standin.Event(s.w.Calls(standin.Write)[0].Engine, "c1", 0)))
+			require.True(t, strings.HasPrefix(got, standin.EventText(s.w.Calls(standin.Write)[0].Engine, "c1", 0)))
 			require.Len(t, s.w.Calls(standin.Write), 1, "what has begun is not sent again")
 			s.quiet()
 		})
--- a/internal/platform/service/silence_test.go
+++ b/internal/platform/service/silentconn_test.go
@@ -25,10 +25,10 @@
 		proxies[name] = p
 		h := host(e, "writes")
 		if strings.HasPrefix(name, "reader") {
-			h.Machine = "reads"
+			h.MachineKind = "reads"
 		}
 		h.Address = p.Address()
-		s.list.Change(h)
+		s.list.Update(h)
 	}
 	for used, n := 0, 0; used < 2; n++ { // until the router calls by the new addresses
 		require.Less(s.t, n, 100, "the router never called by the new addresses")
@@ -37,7 +37,7 @@
 		require.Equal(s.t, 200, status, body)
 		used = 0
 		for _, p := range proxies {
-			used += min(1, p.Count())
+			used += min(1, p.ConnCount())
 		}
 	}
 	return proxies
@@ -73,7 +73,7 @@
 	}
 	gone := host(s.engines[other], machine)
 	gone.Health = "Gone"
-	s.list.Change(gone)
+	s.list.Update(gone)
 	delete(s.engines, other)
 	return s.behindProxies(nil)[one]
 }
@@ -99,18 +99,18 @@
 // what the read before the write left to be let go in time.
 func (s *site) silentAtTheSend(alone, others bool) {
 	s.w.Strict = true
-	s.w.Work = func(*standin.Call) time.Duration { return 20 * time.Millisecond } // so that calls sent at once overlap
+	s.w.ServiceTime = func(*standin.Call) time.Duration { return 20 * time.Millisecond } // so that calls sent at once overlap
 	writer := s.oneWriter()
 	s.sendMany("before", 2) // so many connections are kept: the write takes one, and the next write finds that the other is silent
 	if alone {
-		writer.SwallowPiece(longPiece)
+		writer.SilenceConnOnSend(longPiece)
 	} else {
-		writer.SilenceOpenAt(longPiece)
+		writer.SilenceOpenOnSend(longPiece)
 	}
 	var silent sync.WaitGroup
 	silent.Go(func() { s.send(call("silent", prompt(longPrompt), "X-Deadline: 2000m")) })
 	require.Eventually(s.t, func() bool {
-		return slices.ContainsFunc(s.w.Calls(standin.Read), func(c standin.Call) bool { return c.ID == "silent" && !c.Over.IsZero() })
+		return slices.ContainsFunc(s.w.Calls(standin.Read), func(c standin.Call) bool { return c.ID == "silent" && !c.Ended.IsZero() })
 	}, time.Second, time.Millisecond, "its prompt was read")
 	for n := 0; others && n < 10; n++ {
 		time.Sleep(30 * time.Millisecond)
--- a/internal/platform/service/figures.go
+++ b/internal/platform/service/stats.go
@@ -76,6 +76,6 @@
 		"reads", counts(f.outcomes[0][:]), "writes", counts(f.outcomes[1][:]), "releases", f.releases.Load(),
 		"released_at_limit", f.atLimit.Load(), "released_while_writing", f.behind.Load(),
 		"held_longest_ms", time.Duration(f.heldMost.Load()).Milliseconds(),
-		"open", p.OpenCompletions, "runs", runs, "idle", r.backend.Idle(), "conns", r.front.Conns(), "goroutines", runtime.NumGoroutine(),
+		"open", p.OpenCompletions, "runs", runs, "idle", r.backend.IdleConns(), "conns", r.front.Conns(), "goroutines", runtime.NumGoroutine(),
 		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "faults", p.Panics)
 }
--- a/internal/platform/soak/cause.go
+++ b/internal/platform/soak/inject.go
@@ -9,60 +9,60 @@
 )
 
 // cause has a fault come, and waits until it is over where it ends by itself.
-func (p *play) cause(ctx context.Context, e Event) {
+func (p *scenarioRun) inject(ctx context.Context, e Event) {
 	switch e.Fault {
 	case OpenSilent:
 		p.proxies[e.Engine].SilenceOpen()
 	case IdleSilent:
-		p.proxies[e.Engine].SilenceIdle(idleWhile)
+		p.proxies[e.Engine].SilenceIdle(idleTime)
 	case AllSilent:
 		for _, proxy := range p.proxies {
 			proxy.SilenceOpen()
 		}
 	case SendSilent:
-		p.proxies[e.Engine].SilenceOpenAt(longCall)
+		p.proxies[e.Engine].SilenceOpenOnSend(longCallBytes)
 	case EngineVanishes:
-		p.world.Stop(engines[e.Engine].name)
+		p.fleet.MarkStopped(engines[e.Engine].name)
 		p.proxies[e.Engine].Vanish()
-		sleep(ctx, e.Length)
-		p.proxies[e.Engine].Return()
+		sleep(ctx, e.Duration)
+		p.proxies[e.Engine].Restore()
 	case HangsAtCall:
 		p.mu.Lock()
-		p.hangs[engines[e.Engine].name] = e.Length
+		p.hangsAtCall[engines[e.Engine].name] = e.Duration
 		p.mu.Unlock()
 	case EngineRestarts:
 		p.restartEngine(e)
 	case FewDescriptors:
-		end := p.current(e.Router).freezeDescriptors()
-		sleep(ctx, e.Length)
+		end := p.currentProcess(e.Router).freezeDescriptors()
+		sleep(ctx, e.Duration)
 		end()
 	case EngineStopped:
-		p.world.Stop(engines[e.Engine].name)
-		p.hold(ctx, e, p.proxies[e.Engine:e.Engine+1], faultproxy.ToEngine, faultproxy.ToRouter)
+		p.fleet.MarkStopped(engines[e.Engine].name)
+		p.pauseTraffic(ctx, e, p.proxies[e.Engine:e.Engine+1], faultproxy.ToEngine, faultproxy.ToRouter)
 	case ZoneOneWay:
-		p.cut.Lock() // one zone after another: with both cut a router can reach nobody, and nothing could be let go
-		defer p.cut.Unlock()
-		p.hold(ctx, e, p.zoneOf(e.Engine), [...]faultproxy.Direction{faultproxy.ToEngine, faultproxy.ToRouter}[e.Way])
+		p.zoneCut.Lock() // one zone after another: with both cut a router can reach nobody, and nothing could be let go
+		defer p.zoneCut.Unlock()
+		p.pauseTraffic(ctx, e, p.zoneProxies(e.Engine), [...]faultproxy.Direction{faultproxy.ToEngine, faultproxy.ToRouter}[e.Variant])
 	case EngineHung:
-		p.world.Hang(engines[e.Engine].name, time.Now().Add(e.Length))
+		p.fleet.Hang(engines[e.Engine].name, time.Now().Add(e.Duration))
 	case Resets:
 		p.proxies[e.Engine].ResetOpen()
 	case DiscoveryMute:
-		end := p.routers[e.Router].list.Silence()
-		sleep(ctx, e.Length)
+		end := p.routers[e.Router].discovery.Silence()
+		sleep(ctx, e.Duration)
 		end()
 	case EnginesDrain:
-		p.drain(drainable[e.Way])
+		p.announceDrain(drainable[e.Variant])
 	case LogStalls:
-		end := p.current(e.Router).log.stall()
-		sleep(ctx, e.Length)
+		end := p.currentProcess(e.Router).log.stall()
+		sleep(ctx, e.Duration)
 		end()
 	case LogCut:
-		p.current(e.Router).log.cut()
+		p.currentProcess(e.Router).log.closeReader()
 	case RouterPauses:
-		one := p.current(e.Router)
+		one := p.currentProcess(e.Router)
 		one.signal(syscall.SIGSTOP)
-		time.Sleep(pauseLength)
+		time.Sleep(pauseDuration)
 		one.signal(syscall.SIGCONT)
 	case RoutersReload:
 		p.reload(e)
@@ -76,9 +76,9 @@
 }
 
 // restartEngine has an engine lose the calls that it has. Its connections are reset, or stay open and carry nothing.
-func (p *play) restartEngine(e Event) {
-	p.world.Hang(engines[e.Engine].name, time.Now())
-	if e.Way == 0 {
+func (p *scenarioRun) restartEngine(e Event) {
+	p.fleet.Hang(engines[e.Engine].name, time.Now())
+	if e.Variant == 0 {
 		p.proxies[e.Engine].ResetOpen()
 		return
 	}
@@ -86,22 +86,22 @@
 }
 
 // hold holds back what passes in some directions, for the event's length.
-func (p *play) hold(ctx context.Context, e Event, of []*faultproxy.Proxy, ways ...faultproxy.Direction) {
+func (p *scenarioRun) pauseTraffic(ctx context.Context, e Event, of []*faultproxy.Proxy, ways ...faultproxy.Direction) {
 	for _, proxy := range of {
 		for _, way := range ways {
-			proxy.Hold(way)
+			proxy.Pause(way)
 		}
 	}
-	sleep(ctx, e.Length)
+	sleep(ctx, e.Duration)
 	for _, proxy := range of {
 		for _, way := range ways {
-			proxy.Pass(way)
+			proxy.Resume(way)
 		}
 	}
 }
 
 // zoneOf are the proxies of an engine's zone.
-func (p *play) zoneOf(engine int) (zone []*faultproxy.Proxy) {
+func (p *scenarioRun) zoneProxies(engine int) (zone []*faultproxy.Proxy) {
 	for n, kind := range engines {
 		if kind.zone == engines[engine].zone {
 			zone = append(zone, p.proxies[n])
@@ -111,46 +111,46 @@
 }
 
 // drain tells all routers that an engine drains; it stays so.
-func (p *play) drain(engine int) {
+func (p *scenarioRun) announceDrain(engine int) {
 	h := engines[engine].host(p.proxies[engine].Address())
 	h.Health = "Terminating"
 	for _, r := range p.routers {
-		r.list.Change(h)
+		r.discovery.Update(h)
 	}
 }
 
 // current is a router's process.
-func (p *play) current(n int) *process {
+func (p *scenarioRun) currentProcess(n int) *process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.routers[n].process
 }
 
 // reload sends SIGHUP, in one form with SIGTERM right behind.
-func (p *play) reload(e Event) {
+func (p *scenarioRun) reload(e Event) {
 	r := p.routers[e.Router]
-	if e.Way == 0 {
-		p.current(e.Router).signal(syscall.SIGHUP)
+	if e.Variant == 0 {
+		p.currentProcess(e.Router).signal(syscall.SIGHUP)
 		return
 	}
-	r.busy.Lock()
-	defer r.busy.Unlock()
-	p.current(e.Router).signal(syscall.SIGHUP)
-	p.restartHeld(context.Background(), e.Router, p.terminate)
+	r.processLock.Lock()
+	defer r.processLock.Unlock()
+	p.currentProcess(e.Router).signal(syscall.SIGHUP)
+	p.restartLocked(context.Background(), e.Router, p.terminate)
 }
 
 // restart ends a router's process in some way and starts another.
-func (p *play) restart(ctx context.Context, n int, end func(*process)) {
+func (p *scenarioRun) restart(ctx context.Context, n int, end func(*process)) {
 	r := p.routers[n]
-	r.busy.Lock()
-	defer r.busy.Unlock()
-	p.restartHeld(ctx, n, end)
+	r.processLock.Lock()
+	defer r.processLock.Unlock()
+	p.restartLocked(ctx, n, end)
 }
 
 // restartHeld is restart by one that has the router to itself.
-func (p *play) restartHeld(ctx context.Context, n int, end func(*process)) {
-	end(p.current(n))
-	time.Sleep(restartAfter)
+func (p *scenarioRun) restartLocked(ctx context.Context, n int, end func(*process)) {
+	end(p.currentProcess(n))
+	time.Sleep(restartDelay)
 	if err := p.launch(n); err != nil {
 		return // its clients see nobody
 	}
--- a/internal/platform/soak/logpipe.go
+++ b/internal/platform/soak/logpipe.go
@@ -15,13 +15,13 @@
 	file *os.File
 	done chan struct{} // is closed once the file has all
 
-	mu     sync.Mutex
-	reads  *sync.Cond
-	stalls int // calls of stall that are not over
+	mu      sync.Mutex
+	resumed *sync.Cond
+	stalls  int // calls of stall that are not over
 }
 
 // logPipeSize is the least that the system allows, so that a reader that stands still is soon felt.
-const logPipeSize = 4 << 10
+const logPipeBytes = 4 << 10
 
 // newLogPipe makes a pipe to a file; the process gets its other end, which the caller closes.
 func newLogPipe(name string) (l *logPipe, write *os.File, err error) {
@@ -34,11 +34,11 @@
 		file.Close() //nolint:errcheck // nothing was written
 		return nil, nil, fmt.Errorf("log pipe: %w", err)
 	}
-	if _, err := unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, logPipeSize); err != nil {
+	if _, err := unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, logPipeBytes); err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("log pipe: %w", err), file.Close(), read.Close(), write.Close())
 	}
 	l = &logPipe{read: read, file: file, done: make(chan struct{})}
-	l.reads = sync.NewCond(&l.mu)
+	l.resumed = sync.NewCond(&l.mu)
 	go l.copy()
 	return l, write, nil
 }
@@ -48,11 +48,11 @@
 	defer close(l.done)
 	defer l.file.Close() //nolint:errcheck // read by name later
 	defer l.read.Close() //nolint:errcheck // it may be closed already
-	buf := make([]byte, logPipeSize)
+	buf := make([]byte, logPipeBytes)
 	for {
 		l.mu.Lock()
 		for l.stalls > 0 {
-			l.reads.Wait()
+			l.resumed.Wait()
 		}
 		l.mu.Unlock()
 		n, err := l.read.Read(buf)
@@ -72,11 +72,11 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.stalls--
-		l.reads.Broadcast()
+		l.resumed.Broadcast()
 	})
 }
 
 // cut closes the reading end: further writes of the process fail.
-func (l *logPipe) cut() {
+func (l *logPipe) closeReader() {
 	l.read.Close() //nolint:errcheck // it may be closed already
 }
--- a/internal/platform/soak/process.go
+++ b/internal/platform/soak/process.go
@@ -21,8 +21,8 @@
 	log  *logPipe
 	done chan struct{} // is closed once it has ended
 
-	mu   sync.Mutex
-	life Life
+	mu  sync.Mutex
+	rec ProcessRecord
 }
 
 // startProcess starts a router with a configuration file.
@@ -35,14 +35,14 @@
 	p := &process{cmd: exec.Command(program[0], program[1:]...), log: log, done: make(chan struct{})} //nolint:gosec // our own program
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "CHERRYHUB_LOG=debug")
 	p.cmd.Stderr = write
-	p.life = Life{Router: router, Started: time.Now()}
+	p.rec = ProcessRecord{Router: router, Started: time.Now()}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("soak: start router %d: %w", router, err)
 	}
 	go func() {
 		err := p.cmd.Wait()
 		p.mu.Lock()
-		p.life.Ended, p.life.Err = time.Now(), err
+		p.rec.Ended, p.rec.Err = time.Now(), err
 		p.mu.Unlock()
 		close(p.done)
 	}()
@@ -54,10 +54,10 @@
 	p.mu.Lock()
 	now := time.Now()
 	switch {
-	case s == syscall.SIGTERM && p.life.Terminated.IsZero():
-		p.life.Terminated = now
-	case s == syscall.SIGKILL && p.life.Ended.IsZero():
-		p.life.Killed = now
+	case s == syscall.SIGTERM && p.rec.Terminated.IsZero():
+		p.rec.Terminated = now
+	case s == syscall.SIGKILL && p.rec.Ended.IsZero():
+		p.rec.Killed = now
 	}
 	p.mu.Unlock()
 	p.cmd.Process.Signal(s) //nolint:errcheck // it may have ended
@@ -93,21 +93,21 @@
 }
 
 // watch books the process's usage.
-func (p *process) watch() {
+func (p *process) sampleUsage() {
 	u, err := usageOf(p.cmd.Process.Pid)
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	most := &p.life.Usage
-	most.Descriptors, most.Memory, most.Threads = max(most.Descriptors, u.Descriptors), max(most.Memory, u.Memory), max(most.Threads, u.Threads)
+	most := &p.rec.Usage
+	most.Descriptors, most.MemoryBytes, most.Threads = max(most.Descriptors, u.Descriptors), max(most.MemoryBytes, u.MemoryBytes), max(most.Threads, u.Threads)
 }
 
-func (p *process) record() Life {
+func (p *process) record() ProcessRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life
+	return p.rec
 }
 
 // usageOf reads a process's usage from the system.
@@ -131,7 +131,7 @@
 		n, _ := strconv.ParseInt(fields[0], 10, 64) //nolint:errcheck // other lines hold no numbers
 		switch name {
 		case "VmRSS":
-			u.Memory = n << 10
+			u.MemoryBytes = n << 10
 		case "Threads":
 			u.Threads = int(n)
 		}
--- a/internal/platform/soak/records.go
+++ b/internal/platform/soak/records.go
@@ -7,24 +7,24 @@
 )
 
 // Seen is one request as its client saw it.
-type Seen struct {
-	ID       string
-	Router   int
-	Class    string
-	Sent     time.Time // its last byte was written
-	Deadline time.Duration
-	Answers  int
-	Status   int
-	First    time.Time // the answer's first byte
-	Left     time.Time // the client closed its connection before the answer; zero: it did not
-	Whole    bool
-	Again    bool // sent once more on a new connection, as the first was closed between two requests
-	Err      error
-	Stalled  time.Duration // of one that stopped in the middle of its request: how long it waited for an error or the end; else 0
+type ClientRequest struct {
+	ID        string
+	Router    int
+	Class     string
+	Sent      time.Time // its last byte was written
+	Timeout   time.Duration
+	Answers   int
+	Status    int
+	FirstByte time.Time // the answer's first byte
+	Left      time.Time // the client closed its connection before the answer; zero: it did not
+	Complete  bool
+	Resent    bool // sent once more on a new connection, as the first was closed between two requests
+	Err       error
+	StallWait time.Duration // of one that stopped in the middle of its request: how long it waited for an error or the end; else 0
 }
 
 // Life is one process of a router.
-type Life struct {
+type ProcessRecord struct {
 	Router     int
 	Started    time.Time
 	Terminated time.Time // SIGTERM was sent; zero: it was not
@@ -37,23 +37,23 @@
 // Usage is what a process holds.
 type Usage struct {
 	Descriptors int
-	Memory      int64 // bytes
+	MemoryBytes int64 // bytes
 	Threads     int
 }
 
 // Record is all that a play left behind, from stand-ins, clients and processes. No word of a router is in it.
 type Record struct {
-	Scenario *Scenario
-	Began    time.Time
-	Calls    []standin.Call
-	Holds    []standin.Hold
-	Seen     []Seen
-	Lives    []Life
-	Told     map[Notice]time.Time // when a router was first told that an engine drains
+	Scenario       *Scenario
+	Started        time.Time
+	Calls          []standin.Call
+	Holds          []standin.Hold
+	Requests       []ClientRequest
+	Processes      []ProcessRecord
+	DrainAnnounced map[RouterEngine]time.Time // when a router was first told that an engine drains
 }
 
 // Notice is a router's news of an engine.
-type Notice struct {
+type RouterEngine struct {
 	Router int
 	Engine string
 }
--- a/internal/platform/soak/play.go
+++ b/internal/platform/soak/run.go
@@ -20,9 +20,9 @@
 )
 
 // engineKind is one engine of the site.
-type engineKind struct {
+type engineSpec struct {
 	name, zone string
-	reads      bool
+	isReader   bool
 }
 
 // The zones of the site.
@@ -32,7 +32,7 @@
 )
 
 // engines are the site's. Those that drain are the last of their role.
-var engines = []engineKind{
+var engines = []engineSpec{
 	{"reader-0", zoneHere, true}, {"reader-1", zoneThere, true}, {"reader-2", zoneHere, true},
 	{"writer-0", zoneHere, false}, {"writer-1", zoneThere, false}, {"writer-2", zoneHere, false}, {"writer-3", zoneThere, false},
 }
@@ -42,30 +42,30 @@
 
 // The site's figures.
 const (
-	letGoBy        = 500 * time.Millisecond
-	socketsMost    = 256
-	clientsEach    = 6 // of one router
-	crowdEach      = 150
-	readMost       = 80 * time.Millisecond
-	writeMost      = 60 * time.Millisecond
-	queueMost      = 1500 * time.Millisecond // what a write waits at a busy engine
-	busyOf         = 6                       // one write of so many comes to a busy engine
-	hangsMost      = 10 * time.Millisecond   // behind a call
-	answersMost    = 4                       // that pass on a connection before one is lost
-	lateMost       = 500 * time.Millisecond
-	lateConnMost   = time.Second
-	longCall       = 4000 // bytes that a call with a long prompt has at least, and no other
-	idleWhile      = 50 * time.Millisecond
-	pauseLength    = 150 * time.Millisecond
-	restartAfter   = 300 * time.Millisecond
-	killGrace      = 700 * time.Millisecond
-	readyMost      = 10 * time.Second
-	settleMost     = 1500 * time.Millisecond // for what is held when all clients have their answers
-	betweenSignals = 400 * time.Millisecond
+	holdingLimit         = 500 * time.Millisecond
+	maxSockets           = 256
+	clientsPerRouter     = 6 // of one router
+	idleClientsPerRouter = 150
+	maxReadTime          = 80 * time.Millisecond
+	maxWriteTime         = 60 * time.Millisecond
+	maxQueueTime         = 1500 * time.Millisecond // what a write waits at a busy engine
+	busyOneIn            = 6                       // one write of so many comes to a busy engine
+	maxHangDelay         = 10 * time.Millisecond   // behind a call
+	maxAnswersBeforeLoss = 4                       // that pass on a connection before one is lost
+	maxDelay             = 500 * time.Millisecond
+	maxConnDelay         = time.Second
+	longCallBytes        = 4000 // bytes that a call with a long prompt has at least, and no other
+	idleTime             = 50 * time.Millisecond
+	pauseDuration        = 150 * time.Millisecond
+	restartDelay         = 300 * time.Millisecond
+	killGrace            = 700 * time.Millisecond
+	readyTimeout         = 10 * time.Second
+	settleTime           = 1500 * time.Millisecond // for what is held when all clients have their answers
+	signalInterval       = 400 * time.Millisecond
 )
 
 // settings are the site's, for a router's configuration.
-const settings = `{"name":"r%d","listen":%q,"discovery":%q,"seed":"%016x",
+const configTemplate = `{"name":"r%d","listen":%q,"discovery":%q,"seed":"%016x",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"seq":0,"whole":true,"hosts":[]},
 "settings":{"balancers":%d,"my-zone":%d,"zones":["here","there"],"kinds":["reads","writes"],"granularity-ns":2000000,
 "family-info":{"holds-allowed":true,"kv-tokens":[200000,200000],"let-go-by-ns":%d,"stage-of-kind":["read","write"],"writers-read":true},
@@ -77,64 +77,64 @@
 
 // router is one of the site's, through all its processes.
 type router struct {
-	listen  string
-	config  string
-	log     string
-	list    *standin.Discovery
-	process *process
-	busy    sync.Mutex // one after another starts and ends it
+	listen      string
+	configFile  string
+	logFile     string
+	discovery   *standin.Discovery
+	process     *process
+	processLock sync.Mutex // one after another starts and ends it
 }
 
 // play is one scenario as it runs.
-type play struct {
+type scenarioRun struct {
 	program  []string
 	dir      string
 	scenario *Scenario
-	world    *standin.World
+	fleet    *standin.Fleet
 	proxies  []*faultproxy.Proxy
 	closers  []func()
 	routers  []*router
-	began    time.Time
+	started  time.Time
 
-	cut sync.Mutex // is held while a zone is cut off
+	zoneCut sync.Mutex // is held while a zone is cut off
 
-	mu     sync.Mutex
-	random *rand.Rand // of engines and proxies; the lock guards it
-	seen   []Seen
-	lives  []*process
-	over   []bool                   // a router's clients stop
-	hangs  map[string]time.Duration // engines that are to hang for so long once they have taken a call
-	told   []*standin.Discovery
+	mu                sync.Mutex
+	random            *rand.Rand // of engines and proxies; the lock guards it
+	requests          []ClientRequest
+	processes         []*process
+	stopped           []bool                   // a router's clients stop
+	hangsAtCall       map[string]time.Duration // engines that are to hang for so long once they have taken a call
+	unusedDiscoveries []*standin.Discovery
 }
 
 // Play plays a scenario with routers that are processes of the program, started by EDGE_CONFIG, and gives its record.
-func Play(ctx context.Context, program []string, dir string, s *Scenario) (*Record, error) {
-	p := &play{program: program, dir: dir, scenario: s, world: standin.NewWorld(), over: make([]bool, s.Routers),
-		random: rand.New(rand.NewPCG(s.Seed, 2)), hangs: map[string]time.Duration{}} //nolint:gosec // not for secrets
+func RunScenario(ctx context.Context, program []string, dir string, s *Scenario) (*Record, error) {
+	p := &scenarioRun{program: program, dir: dir, scenario: s, fleet: standin.NewFleet(), stopped: make([]bool, s.Routers),
+		random: rand.New(rand.NewPCG(s.Seed, 2)), hangsAtCall: map[string]time.Duration{}} //nolint:gosec // not for secrets
 	defer p.close()
 	if err := p.start(ctx); err != nil {
 		return nil, err
 	}
-	p.began = time.Now()
+	p.started = time.Now()
 	var clients, faults sync.WaitGroup
 	for r := range s.Routers {
-		for n := range clientsEach {
-			c := &client{play: p, router: r, name: fmt.Sprintf("s%d-r%d-c%d", s.Seed, r, n), random: rand.New(rand.NewPCG(s.Seed, uint64(100*r+n)))} //nolint:gosec // as above
-			clients.Go(c.run)
+		for n := range clientsPerRouter {
+			c := &client{run: p, router: r, name: fmt.Sprintf("s%d-r%d-c%d", s.Seed, r, n), random: rand.New(rand.NewPCG(s.Seed, uint64(100*r+n)))} //nolint:gosec // as above
+			clients.Go(c.loop)
 		}
 	}
 	if s.Has(ClientsCrowd) {
-		p.crowd()
+		p.openIdleClients()
 	}
 	for _, e := range s.Events {
 		faults.Go(func() {
 			if sleep(ctx, e.At) {
-				p.cause(ctx, e)
+				p.inject(ctx, e)
 			}
 		})
 	}
-	faults.Go(func() { p.watch(ctx) })
-	sleep(ctx, playLength)
+	faults.Go(func() { p.sampleUsage(ctx) })
+	sleep(ctx, runDuration)
 	faults.Wait()
 	p.stopAll()
 	clients.Wait()
@@ -152,23 +152,23 @@
 }
 
 // chance draws below a number.
-func (p *play) chance(below int64) int64 {
+func (p *scenarioRun) randomBelow(below int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.random.Int64N(below)
 }
 
 // start starts engines, proxies, discoveries and routers.
-func (p *play) start(ctx context.Context) error {
-	p.world.Strict, p.world.Pause, p.world.Work, p.world.Spoil = true, 5*time.Millisecond, p.work, p.spoil
+func (p *scenarioRun) start(ctx context.Context) error {
+	p.fleet.Strict, p.fleet.EventInterval, p.fleet.ServiceTime, p.fleet.InjectFault = true, 5*time.Millisecond, p.serviceTime, p.injectFault
 	var hosts []discovery.Host
 	for _, kind := range engines {
-		e, err := p.world.Start(kind.name, kind.reads)
+		e, err := p.fleet.StartEngine(kind.name, kind.isReader)
 		if err != nil {
 			return err
 		}
 		p.closers = append(p.closers, e.Close)
-		proxy, err := faultproxy.Start(e.Address(), func(int) faultproxy.Plan { return p.plan() }, p.wait())
+		proxy, err := faultproxy.Start(e.Address(), func(int) faultproxy.Plan { return p.plan() }, p.answerDelay())
 		if err != nil {
 			return err
 		}
@@ -184,15 +184,15 @@
 	return nil
 }
 
-func (k *engineKind) host(address string) discovery.Host {
-	h := discovery.Host{Name: k.name, Address: address, Zone: k.zone, Machine: "writes", Cell: 1, Health: "Ready", Share: 1}
-	if k.reads {
-		h.Machine = "reads"
+func (k *engineSpec) host(address string) discovery.Host {
+	h := discovery.Host{Name: k.name, Address: address, Zone: k.zone, MachineKind: "writes", Cell: 1, Health: "Ready", Share: 1}
+	if k.isReader {
+		h.MachineKind = "reads"
 	}
 	return h
 }
 
-func (p *play) startRouter(ctx context.Context, n int, hosts []discovery.Host) error {
+func (p *scenarioRun) startRouter(ctx context.Context, n int, hosts []discovery.Host) error {
 	list, err := standin.StartDiscovery(append([]discovery.Host(nil), hosts...))
 	if err != nil {
 		return err
@@ -204,14 +204,14 @@
 	}
 	listen := ln.Addr().String()
 	ln.Close() //nolint:errcheck // the router listens there
-	r := &router{listen: listen, list: list, config: filepath.Join(p.dir, fmt.Sprintf("r%d.json", n)), log: filepath.Join(p.dir, fmt.Sprintf("r%d.log", n))}
+	r := &router{listen: listen, discovery: list, configFile: filepath.Join(p.dir, fmt.Sprintf("r%d.json", n)), logFile: filepath.Join(p.dir, fmt.Sprintf("r%d.log", n))}
 	p.routers = append(p.routers, r)
-	deadline := p.scenario.Deadline.Nanoseconds()
-	text := fmt.Sprintf(settings, n, listen, list.Address(), p.scenario.Seed+uint64(n), socketsMost, p.scenario.Routers, n%2, letGoBy.Nanoseconds(), deadline, deadline)
+	deadline := p.scenario.ClientTimeout.Nanoseconds()
+	text := fmt.Sprintf(configTemplate, n, listen, list.Address(), p.scenario.Seed+uint64(n), maxSockets, p.scenario.Routers, n%2, holdingLimit.Nanoseconds(), deadline, deadline)
 	if !json.Valid([]byte(text)) {
 		return fmt.Errorf("soak: router %d: the configuration is no JSON", n)
 	}
-	if err := os.WriteFile(r.config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(r.configFile, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("soak: router %d: %w", n, err)
 	}
 	if err := p.launch(n); err != nil {
@@ -221,43 +221,43 @@
 }
 
 // launch starts a router's process.
-func (p *play) launch(n int) error {
+func (p *scenarioRun) launch(n int) error {
 	r := p.routers[n]
-	one, err := startProcess(p.program, n, r.config, r.log)
+	one, err := startProcess(p.program, n, r.configFile, r.logFile)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
 	r.process = one
-	p.lives = append(p.lives, one)
+	p.processes = append(p.processes, one)
 	p.mu.Unlock()
 	return nil
 }
 
 // awaitReady waits until a router takes calls.
-func (p *play) awaitReady(ctx context.Context, n int) error {
+func (p *scenarioRun) awaitReady(ctx context.Context, n int) error {
 	r := p.routers[n]
-	for until := time.Now().Add(readyMost); time.Now().Before(until); {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); {
 		if r.process.ended() {
-			return fmt.Errorf("soak: router %d ended at its start, see %s: %w", n, r.log, r.process.record().Err)
+			return fmt.Errorf("soak: router %d ended at its start, see %s: %w", n, r.logFile, r.process.record().Err)
 		}
-		if isUp(r.listen) {
+		if isReady(r.listen) {
 			return nil
 		}
 		if !sleep(ctx, 10*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("soak: router %d was not ready within %v", n, readyMost)
+	return fmt.Errorf("soak: router %d was not ready within %v", n, readyTimeout)
 }
 
-func isUp(address string) bool {
-	conn, err := net.DialTimeout("tcp", address, connectMost)
+func isReady(address string) bool {
+	conn, err := net.DialTimeout("tcp", address, connectTimeout)
 	if err != nil {
 		return false
 	}
-	defer conn.Close()                            //nolint:errcheck // done with it
-	conn.SetDeadline(time.Now().Add(connectMost)) //nolint:errcheck // shows in reading
+	defer conn.Close()                               //nolint:errcheck // done with it
+	conn.SetDeadline(time.Now().Add(connectTimeout)) //nolint:errcheck // shows in reading
 	if _, err := conn.Write([]byte("GET /up HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")); err != nil {
 		return false
 	}
@@ -267,25 +267,25 @@
 }
 
 // plan is what becomes of the next connection to an engine.
-func (p *play) plan() (plan faultproxy.Plan) {
+func (p *scenarioRun) plan() (plan faultproxy.Plan) {
 	s := p.scenario
-	spoils := func(f Fault) bool { return s.Has(f) && p.chance(4) == 0 }
+	spoils := func(f Fault) bool { return s.Has(f) && p.randomBelow(4) == 0 }
 	switch {
 	case spoils(StartSilent):
-		plan.Swallow = faultproxy.AtStart
+		plan.Silence = faultproxy.AtStart
 	case spoils(AnswerSilent):
-		plan.Swallow = faultproxy.AfterAnswer
+		plan.Silence = faultproxy.AfterAnswer
 	case spoils(BytesSilent):
-		plan.Swallow, plan.Bytes = faultproxy.AfterBytes, int(p.chance(60_000))
+		plan.Silence, plan.Bytes = faultproxy.AfterBytes, int(p.randomBelow(60_000))
 	case spoils(AnswerLost):
-		plan.Swallow, plan.Answers = faultproxy.AtAnswer, int(p.chance(answersMost))
+		plan.Silence, plan.Answers = faultproxy.OnAnswer, int(p.randomBelow(maxAnswersBeforeLoss))
 	case spoils(LateBytes):
-		plan.Behind = time.Duration(p.chance(int64(lateMost)))
+		plan.SendDelay = time.Duration(p.randomBelow(int64(maxDelay)))
 	case spoils(LateConns):
-		plan.Late = time.Duration(p.chance(int64(lateConnMost)))
+		plan.StartDelay = time.Duration(p.randomBelow(int64(maxConnDelay)))
 	case spoils(Resets):
 		plan.Reset = faultproxy.AfterBytes
-		if plan.Bytes = int(p.chance(60_000)); plan.Bytes%2 == 0 {
+		if plan.Bytes = int(p.randomBelow(60_000)); plan.Bytes%2 == 0 {
 			plan.Reset = faultproxy.AfterAnswer
 		}
 	}
@@ -293,61 +293,61 @@
 }
 
 // wait is how long pieces of answers are held back, nil for not at all.
-func (p *play) wait() func() time.Duration {
+func (p *scenarioRun) answerDelay() func() time.Duration {
 	if !p.scenario.Has(LateAnswers) {
 		return nil
 	}
 	return func() time.Duration {
-		if p.chance(3) > 0 {
+		if p.randomBelow(3) > 0 {
 			return 0
 		}
-		return time.Duration(p.chance(int64(lateMost)))
+		return time.Duration(p.randomBelow(int64(maxDelay)))
 	}
 }
 
 // work is how long an engine takes up to its answer.
-func (p *play) work(c *standin.Call) time.Duration {
+func (p *scenarioRun) serviceTime(c *standin.Call) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case c.Kind == standin.Read:
-		return time.Duration(p.random.Int64N(int64(readMost)))
-	case p.random.IntN(busyOf) == 0:
-		return time.Duration(p.random.Int64N(int64(queueMost)))
+		return time.Duration(p.random.Int64N(int64(maxReadTime)))
+	case p.random.IntN(busyOneIn) == 0:
+		return time.Duration(p.random.Int64N(int64(maxQueueTime)))
 	}
-	return time.Duration(p.random.Int64N(int64(writeMost)))
+	return time.Duration(p.random.Int64N(int64(maxWriteTime)))
 }
 
 // spoil has an engine hang once it has taken a call, where it is to.
-func (p *play) spoil(c *standin.Call, _ int) standin.Fault {
+func (p *scenarioRun) injectFault(c *standin.Call, _ int) standin.Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if length := p.hangs[c.Engine]; isAttempt(c) && length > 0 {
-		delete(p.hangs, c.Engine)
-		time.AfterFunc(time.Duration(p.random.Int64N(int64(hangsMost))), func() { p.world.Hang(c.Engine, time.Now().Add(length)) })
+	if length := p.hangsAtCall[c.Engine]; isAttempt(c) && length > 0 {
+		delete(p.hangsAtCall, c.Engine)
+		time.AfterFunc(time.Duration(p.random.Int64N(int64(maxHangDelay))), func() { p.fleet.Hang(c.Engine, time.Now().Add(length)) })
 	}
 	return standin.None
 }
 
 // saw books a request.
-func (p *play) saw(one *Seen) {
+func (p *scenarioRun) addRequest(one *ClientRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seen = append(p.seen, *one)
+	p.requests = append(p.requests, *one)
 }
 
 // clientsOver tells whether a router's clients are to stop.
-func (p *play) clientsOver(n int) bool {
+func (p *scenarioRun) clientsStopped(n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.over[n]
+	return p.stopped[n]
 }
 
 // crowd opens connections that say nothing, at each router, up to the play's end.
-func (p *play) crowd() {
+func (p *scenarioRun) openIdleClients() {
 	for _, r := range p.routers {
-		for range crowdEach {
-			if conn, err := net.DialTimeout("tcp", r.listen, connectMost); err == nil {
+		for range idleClientsPerRouter {
+			if conn, err := net.DialTimeout("tcp", r.listen, connectTimeout); err == nil {
 				p.closers = append(p.closers, func() { conn.Close() }) //nolint:errcheck // done with it
 			}
 		}
@@ -355,54 +355,54 @@
 }
 
 // watch books what the routers' processes hold.
-func (p *play) watch(ctx context.Context) {
-	for time.Since(p.began) < playLength && sleep(ctx, 200*time.Millisecond) {
+func (p *scenarioRun) sampleUsage(ctx context.Context) {
+	for time.Since(p.started) < runDuration && sleep(ctx, 200*time.Millisecond) {
 		p.mu.Lock()
-		lives := append([]*process(nil), p.lives...)
+		lives := append([]*process(nil), p.processes...)
 		p.mu.Unlock()
 		for _, one := range lives {
-			one.watch()
+			one.sampleUsage()
 		}
 	}
 }
 
 // stopAll ends the routers one after another. Their clients send on until each process ends, at the latest by SIGKILL at
 // its earliest.
-func (p *play) stopAll() {
+func (p *scenarioRun) stopAll() {
 	var all sync.WaitGroup
 	for n := range p.routers {
 		all.Go(func() { p.stopRouter(n) })
-		time.Sleep(betweenSignals)
+		time.Sleep(signalInterval)
 	}
 	all.Wait()
-	time.Sleep(settleMost)
+	time.Sleep(settleTime)
 }
 
 // stopRouter sends SIGTERM to a router and, where it has not ended by then, SIGKILL at its earliest.
-func (p *play) stopRouter(n int) {
+func (p *scenarioRun) stopRouter(n int) {
 	r := p.routers[n]
-	r.busy.Lock()
-	defer r.busy.Unlock()
+	r.processLock.Lock()
+	defer r.processLock.Unlock()
 	p.terminate(r.process)
 	p.mu.Lock()
-	p.over[n] = true
+	p.stopped[n] = true
 	p.mu.Unlock()
 }
 
 // terminate ends a process by SIGTERM and SIGKILL.
-func (p *play) terminate(one *process) {
+func (p *scenarioRun) terminate(one *process) {
 	one.signal(syscall.SIGTERM)
 	select {
 	case <-one.done:
-	case <-time.After(p.scenario.Deadline + killGrace):
+	case <-time.After(p.scenario.ClientTimeout + killGrace):
 		one.kill()
 	}
 }
 
 // close ends all that the play started.
-func (p *play) close() {
+func (p *scenarioRun) close() {
 	p.mu.Lock()
-	lives := p.lives
+	lives := p.processes
 	p.mu.Unlock()
 	for _, one := range lives {
 		if !one.ended() {
@@ -417,28 +417,28 @@
 
 // calls are all calls that arrived. One is over once its engine has ended it, or the router has closed its connection. A read
 // counts, answered or not: it is over only once its answer has come through to the router.
-func (p *play) calls() []standin.Call {
+func (p *scenarioRun) calls() []standin.Call {
 	proxies := map[string]*faultproxy.Proxy{}
 	for n, kind := range engines {
 		proxies[kind.name] = p.proxies[n]
 	}
-	all := p.world.Calls("")
+	all := p.fleet.Calls("")
 	for i := range all {
 		c := &all[i]
-		passage := proxies[c.Engine].Passage(c.Peer)
+		passage := proxies[c.Engine].ConnRecord(c.RemoteAddr)
 		switch {
 		case passage == nil:
 			continue
-		case c.Kind != standin.Read || c.Begun.IsZero():
-			if !passage.Ended.IsZero() && (c.Over.IsZero() || passage.Ended.Before(c.Over)) {
-				c.Over = passage.Ended
+		case c.Kind != standin.Read || c.AnswerStarted.IsZero():
+			if !passage.Closed.IsZero() && (c.Ended.IsZero() || passage.Closed.Before(c.Ended)) {
+				c.Ended = passage.Closed
 			}
 			continue
 		}
-		c.Over = passage.Ended
-		for _, at := range passage.Answers {
-			if !at.Before(c.Begun) {
-				c.Over = at
+		c.Ended = passage.Closed
+		for _, at := range passage.AnswerTimes {
+			if !at.Before(c.AnswerStarted) {
+				c.Ended = at
 				break
 			}
 		}
@@ -447,17 +447,17 @@
 }
 
 // record is what the play left behind.
-func (p *play) record() *Record {
+func (p *scenarioRun) record() *Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := &Record{Scenario: p.scenario, Began: p.began, Calls: p.calls(), Holds: p.world.Holds(), Seen: p.seen, Told: map[Notice]time.Time{}}
-	for _, one := range p.lives {
-		r.Lives = append(r.Lives, one.record())
+	r := &Record{Scenario: p.scenario, Started: p.started, Calls: p.calls(), Holds: p.fleet.Holds(), Requests: p.requests, DrainAnnounced: map[RouterEngine]time.Time{}}
+	for _, one := range p.processes {
+		r.Processes = append(r.Processes, one.record())
 	}
 	for n, one := range p.routers {
 		for _, kind := range engines {
-			if at := one.list.Told(kind.name); !at.IsZero() {
-				r.Told[Notice{n, kind.name}] = at
+			if at := one.discovery.DrainAnnounced(kind.name); !at.IsZero() {
+				r.DrainAnnounced[RouterEngine{n, kind.name}] = at
 			}
 		}
 	}
--- a/internal/platform/soak/scenario.go
+++ b/internal/platform/soak/scenario.go
@@ -56,52 +56,52 @@
 	ClientsReset, ClientsStall, ClientsPipeline, LogStalls, LogCut, EngineRestarts, AnswerLost, LateBytes}
 
 // delaying are the classes in which a call may arrive long after it was sent.
-var delaying = []Fault{EngineStopped, ZoneOneWay, LateConns, LateBytes}
+var delayingFaults = []Fault{EngineStopped, ZoneOneWay, LateConns, LateBytes}
 
 // Scenario is what a seed plays. It follows from the seed alone.
 type Scenario struct {
-	Seed     uint64
-	Faults   []Fault       // one main and one or two others
-	Deadline time.Duration // the longest that clients wait for a first token
-	Routers  int
-	Events   []Event
+	Seed          uint64
+	Faults        []Fault       // one main and one or two others
+	ClientTimeout time.Duration // the longest that clients wait for a first token
+	Routers       int
+	Events        []Event
 }
 
 // Event is a fault that begins at a time of the play.
 type Event struct {
-	At     time.Duration
-	Fault  Fault
-	Engine int           // its index, or a member of the zone that is meant
-	Router int           // its index
-	Length time.Duration // until it is over, where it ends
-	Way    int           // 0 or 1: one of two forms
+	At       time.Duration
+	Fault    Fault
+	Engine   int           // its index, or a member of the zone that is meant
+	Router   int           // its index
+	Duration time.Duration // until it is over, where it ends
+	Variant  int           // 0 or 1: one of two forms
 }
 
 // The bounds of a scenario.
 const (
-	playLength    = 6 * time.Second
-	firstEvent    = time.Second // before it, connections are made and used
-	eventsEach    = 3
-	routersMost   = 3
-	longDeadline  = 3 * time.Second
-	shortDeadline = 800 * time.Millisecond
+	runDuration    = 6 * time.Second
+	firstEventAt   = time.Second // before it, connections are made and used
+	eventsPerFault = 3
+	maxRouters     = 3
+	longTimeout    = 3 * time.Second
+	shortTimeout   = 800 * time.Millisecond
 )
 
 // Has tells whether a class is among those that the scenario plays.
 func (s *Scenario) Has(f Fault) bool { return slices.Contains(s.Faults, f) }
 
 // delays tells whether a call may arrive long after it was sent.
-func (s *Scenario) delays() bool { return slices.ContainsFunc(delaying, s.Has) }
+func (s *Scenario) delaysCalls() bool { return slices.ContainsFunc(delayingFaults, s.Has) }
 
 // shuts tells whether a router may lack the descriptors to accept or keep a connection.
-func (s *Scenario) shuts() bool { return s.Has(ClientsCrowd) || s.Has(FewDescriptors) }
+func (s *Scenario) limitsDescriptors() bool { return s.Has(ClientsCrowd) || s.Has(FewDescriptors) }
 
 // Draw draws the scenario of a seed; only: its classes of fault, in place of drawn ones.
-func Draw(seed uint64, only ...Fault) *Scenario {
+func NewScenario(seed uint64, only ...Fault) *Scenario {
 	random := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // not for secrets
-	s := &Scenario{Seed: seed, Faults: []Fault{Faults[seed%uint64(len(Faults))]}, Deadline: longDeadline, Routers: 1 + random.IntN(routersMost)}
+	s := &Scenario{Seed: seed, Faults: []Fault{Faults[seed%uint64(len(Faults))]}, ClientTimeout: longTimeout, Routers: 1 + random.IntN(maxRouters)}
 	if random.IntN(4) == 0 {
-		s.Deadline = shortDeadline
+		s.ClientTimeout = shortTimeout
 	}
 	others := 1 + random.IntN(2)
 	if len(only) > 0 {
@@ -114,10 +114,10 @@
 		}
 	}
 	for _, f := range s.Faults {
-		for range eventsEach {
-			s.Events = append(s.Events, Event{Fault: f, At: firstEvent + time.Duration(random.Int64N(int64(playLength-2*firstEvent))),
-				Engine: random.IntN(len(engines)), Router: random.IntN(s.Routers), Way: random.IntN(2),
-				Length: 300*time.Millisecond + time.Duration(random.Int64N(int64(2*time.Second)))})
+		for range eventsPerFault {
+			s.Events = append(s.Events, Event{Fault: f, At: firstEventAt + time.Duration(random.Int64N(int64(runDuration-2*firstEventAt))),
+				Engine: random.IntN(len(engines)), Router: random.IntN(s.Routers), Variant: random.IntN(2),
+				Duration: 300*time.Millisecond + time.Duration(random.Int64N(int64(2*time.Second)))})
 		}
 	}
 	slices.SortStableFunc(s.Events, func(a, b Event) int { return int(a.At - b.At) })
--- a/internal/platform/soak/soak.go
+++ b/internal/platform/soak/soak.go
@@ -20,39 +20,39 @@
 
 // Options of a run.
 type Options struct {
-	Program  []string // starts a router by EDGE_CONFIG
-	First    uint64   // the first seed
-	Seeds    int
-	Faults   []Fault // beside the first, in place of those that seeds draw; empty: as drawn
-	Parallel int     // scenarios at once
-	Dir      string  // for logs; empty: a temporary one, removed at the end
+	Program   []string // starts a router by EDGE_CONFIG
+	FirstSeed uint64   // the first seed
+	Seeds     int
+	Faults    []Fault // beside the first, in place of those that seeds draw; empty: as drawn
+	Parallel  int     // scenarios at once
+	Dir       string  // for logs; empty: a temporary one, removed at the end
 }
 
 // The bounds of a run.
 const (
-	SeedsMost    = 1000
-	ParallelMost = 8
+	MaxSeeds    = 1000
+	MaxParallel = 8
 )
 
 // Errors of options.
 var (
-	ErrFault    = errors.New("unknown fault")
-	ErrSeeds    = fmt.Errorf("seeds: wanted from 1 to %d", SeedsMost)
-	ErrParallel = fmt.Errorf("scenarios at once: wanted from 1 to %d, each of which has up to %d routers", ParallelMost, routersMost)
-	ErrProgram  = errors.New("the router's program can't be run")
+	ErrUnknownFault = errors.New("unknown fault")
+	ErrSeedCount    = fmt.Errorf("seeds: wanted from 1 to %d", MaxSeeds)
+	ErrParallel     = fmt.Errorf("scenarios at once: wanted from 1 to %d, each of which has up to %d routers", MaxParallel, maxRouters)
+	ErrProgram      = errors.New("the router's program can't be run")
 )
 
 // Check tells what is wrong with the options.
-func (o *Options) Check() error {
-	if o.Seeds < 1 || o.Seeds > SeedsMost {
-		return fmt.Errorf("%w, not %d", ErrSeeds, o.Seeds)
+func (o *Options) Validate() error {
+	if o.Seeds < 1 || o.Seeds > MaxSeeds {
+		return fmt.Errorf("%w, not %d", ErrSeedCount, o.Seeds)
 	}
-	if o.Parallel < 1 || o.Parallel > ParallelMost {
+	if o.Parallel < 1 || o.Parallel > MaxParallel {
 		return fmt.Errorf("%w, not %d", ErrParallel, o.Parallel)
 	}
 	for _, f := range o.Faults {
 		if !slices.Contains(Faults, f) {
-			return fmt.Errorf("%w %q: wanted some of %v", ErrFault, f, Faults)
+			return fmt.Errorf("%w %q: wanted some of %v", ErrUnknownFault, f, Faults)
 		}
 	}
 	if len(o.Program) == 0 {
@@ -65,21 +65,21 @@
 }
 
 // Verdict is what a scenario came to.
-type Verdict struct {
+type Result struct {
 	Scenario *Scenario
 	Requests int
 	Served   int
 	Attempts int
 
-	HeldLongest time.Duration // while nothing was out
-	Breaks      []Break
+	LongestHeld time.Duration // while nothing was out
+	Violations  []Violation
 	Timeline    string // of the worst broken request
 	Err         error  // it could not be played
 }
 
 // Run plays scenarios and hands on each verdict as it comes, in any order.
-func Run(ctx context.Context, o Options, verdict func(*Verdict)) error {
-	if err := o.Check(); err != nil {
+func Run(ctx context.Context, o Options, verdict func(*Result)) error {
+	if err := o.Validate(); err != nil {
 		return err
 	}
 	dir := o.Dir
@@ -97,7 +97,7 @@
 	for range o.Parallel {
 		players.Go(func() {
 			for seed := range seeds {
-				v := playSeed(ctx, &o, dir, seed)
+				v := runSeed(ctx, &o, dir, seed)
 				one.Lock()
 				verdict(v)
 				one.Unlock()
@@ -106,7 +106,7 @@
 	}
 	for n := range o.Seeds {
 		select {
-		case seeds <- o.First + uint64(n):
+		case seeds <- o.FirstSeed + uint64(n):
 		case <-ctx.Done():
 		}
 	}
@@ -116,20 +116,20 @@
 }
 
 // playSeed plays and judges one scenario.
-func playSeed(ctx context.Context, o *Options, dir string, seed uint64) *Verdict {
-	s := Draw(seed, o.Faults...)
-	v := &Verdict{Scenario: s}
+func runSeed(ctx context.Context, o *Options, dir string, seed uint64) *Result {
+	s := NewScenario(seed, o.Faults...)
+	v := &Result{Scenario: s}
 	own := filepath.Join(dir, fmt.Sprintf("seed-%d", seed))
 	if v.Err = errors.Join(os.RemoveAll(own), os.MkdirAll(own, 0o700)); v.Err != nil {
 		return v
 	}
-	r, err := Play(ctx, o.Program, own, s)
+	r, err := RunScenario(ctx, o.Program, own, s)
 	if v.Err = err; err != nil {
 		return v
 	}
-	v.Requests = len(r.Seen)
-	for i := range r.Seen {
-		if r.Seen[i].Whole && r.Seen[i].Status == 200 {
+	v.Requests = len(r.Requests)
+	for i := range r.Requests {
+		if r.Requests[i].Complete && r.Requests[i].Status == 200 {
 			v.Served++
 		}
 	}
@@ -138,39 +138,39 @@
 			v.Attempts++
 		}
 	}
-	if v.Breaks, v.HeldLongest = Judge(r); len(v.Breaks) > 0 {
-		v.Timeline = timeline(r, &v.Breaks[0], own)
+	if v.Violations, v.LongestHeld = CheckRules(r); len(v.Violations) > 0 {
+		v.Timeline = timeline(r, &v.Violations[0], own)
 	}
 	return v
 }
 
 // timelineMost bounds the log lines of a timeline.
-const timelineMost = 60
+const maxTimelineLines = 60
 
 // timeline tells all that is known of the request of a break.
-func timeline(r *Record, b *Break, dir string) string {
+func timeline(r *Record, b *Violation, dir string) string {
 	var out strings.Builder
 	at := func(t time.Time) string {
 		if t.IsZero() {
 			return "-"
 		}
-		return fmt.Sprintf("%.3f", t.Sub(r.Began).Seconds())
+		return fmt.Sprintf("%.3f", t.Sub(r.Started).Seconds())
 	}
 	for _, e := range r.Scenario.Events {
-		fmt.Fprintf(&out, "  event %.3f %s engine %s router %d for %.3f way %d\n", e.At.Seconds(), e.Fault, engines[e.Engine].name, e.Router, e.Length.Seconds(), e.Way)
+		fmt.Fprintf(&out, "  event %.3f %s engine %s router %d for %.3f way %d\n", e.At.Seconds(), e.Fault, engines[e.Engine].name, e.Router, e.Duration.Seconds(), e.Variant)
 	}
-	for _, l := range r.Lives {
+	for _, l := range r.Processes {
 		fmt.Fprintf(&out, "  router %d started %s SIGTERM %s SIGKILL %s ended %s\n", l.Router, at(l.Started), at(l.Terminated), at(l.Killed), at(l.Ended))
 	}
-	for _, one := range r.Seen {
+	for _, one := range r.Requests {
 		if one.ID == b.ID {
 			fmt.Fprintf(&out, "  client of router %d: %s sent %s, would wait %v, first byte %s, left %s, status %d, whole %v, again %v, err %v\n",
-				one.Router, one.Class, at(one.Sent), one.Deadline, at(one.First), at(one.Left), one.Status, one.Whole, one.Again, one.Err)
+				one.Router, one.Class, at(one.Sent), one.Timeout, at(one.FirstByte), at(one.Left), one.Status, one.Complete, one.Resent, one.Err)
 		}
 	}
 	for _, c := range r.Calls {
 		if c.ID == b.ID {
-			fmt.Fprintf(&out, "  %s at %s, connection %d: arrived %s, over %s, not run %v\n", c.Kind, c.Engine, c.Conn, at(c.At), at(c.Over), c.NotRun)
+			fmt.Fprintf(&out, "  %s at %s, connection %d: arrived %s, over %s, not run %v\n", c.Kind, c.Engine, c.ConnNumber, at(c.Received), at(c.Ended), c.NotRun)
 		}
 	}
 	for _, h := range r.Holds {
@@ -193,7 +193,7 @@
 		return nil
 	}
 	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan() && len(lines) < timelineMost; {
+	for in := bufio.NewScanner(f); in.Scan() && len(lines) < maxTimelineLines; {
 		if line := in.Text(); strings.Contains(line+" ", "="+id+" ") {
 			lines = append(lines, line)
 		}
--- a/internal/platform/standin/list.go
+++ b/internal/platform/standin/discovery.go
@@ -16,16 +16,16 @@
 
 // Discovery is a stand-in of the platform's list of engines.
 type Discovery struct {
-	mu     sync.Mutex
-	list   discovery.List
-	log    []discovery.List // changes, in turn
-	news   chan struct{}
-	asked  int
-	Broken string               // in place of each answer, where not empty
-	told   map[string]time.Time // when an answer that has an engine as draining was first written, by engine
-	silent chan struct{}        // no call is answered until it is closed, nil for none
-	server *http.Server
-	ln     net.Listener
+	mu             sync.Mutex
+	list           discovery.List
+	changes        []discovery.List // changes, in turn
+	changed        chan struct{}
+	requestCount   int
+	FixedAnswer    string               // in place of each answer, where not empty
+	drainAnnounced map[string]time.Time // when an answer that has an engine as draining was first written, by engine
+	silent         chan struct{}        // no call is answered until it is closed, nil for none
+	server         *http.Server
+	ln             net.Listener
 }
 
 // StartDiscovery starts one.
@@ -34,9 +34,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{list: discovery.List{Whole: true, Hosts: hosts}, news: make(chan struct{}), told: map[string]time.Time{}, ln: ln}
+	d := &Discovery{list: discovery.List{Snapshot: true, Hosts: hosts}, changed: make(chan struct{}), drainAnnounced: map[string]time.Time{}, ln: ln}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", d.hosts)
+	mux.HandleFunc("GET /discovery/hosts", d.serveHosts)
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go d.server.Serve(ln) //nolint:errcheck // ends with Close
 	return d, nil
@@ -49,17 +49,17 @@
 func (d *Discovery) Close() error { return d.server.Close() }
 
 // Asked is how often it was asked.
-func (d *Discovery) Asked() int {
+func (d *Discovery) RequestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked
+	return d.requestCount
 }
 
 // Break has it answer with this text from now on, or well again for an empty one.
-func (d *Discovery) Break(text string) {
+func (d *Discovery) SetFixedAnswer(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Broken = text
+	d.FixedAnswer = text
 }
 
 // Silence has it answer nothing, calls that wait already included, until the function that it returns is called; those
@@ -80,7 +80,7 @@
 }
 
 // mute waits for the caller to give up where it is silent.
-func (d *Discovery) mute(r *http.Request) bool {
+func (d *Discovery) waitSilent(r *http.Request) bool {
 	d.mu.Lock()
 	silent := d.silent
 	d.mu.Unlock()
@@ -92,10 +92,10 @@
 }
 
 // Told is when a router was first told that an engine drains, the zero time for never.
-func (d *Discovery) Told(engine string) time.Time {
+func (d *Discovery) DrainAnnounced(engine string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told[engine]
+	return d.drainAnnounced[engine]
 }
 
 // Hosts are the engines as they are.
@@ -106,11 +106,11 @@
 }
 
 // Change tells of one engine.
-func (d *Discovery) Change(h discovery.Host) {
+func (d *Discovery) Update(h discovery.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list.Version++
-	d.log = append(d.log, discovery.List{Version: d.list.Version, Hosts: []discovery.Host{h}})
+	d.changes = append(d.changes, discovery.List{Version: d.list.Version, Hosts: []discovery.Host{h}})
 	found := false
 	for i := range d.list.Hosts {
 		if d.list.Hosts[i].Name == h.Name {
@@ -120,20 +120,20 @@
 	if !found {
 		d.list.Hosts = append(d.list.Hosts, h)
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
-	if d.mute(r) {
+func (d *Discovery) serveHosts(w http.ResponseWriter, r *http.Request) {
+	if d.waitSilent(r) {
 		return
 	}
 	from, watch := r.URL.Query()["from"]
 	d.mu.Lock()
-	d.asked++
-	if d.Broken != "" {
+	d.requestCount++
+	if d.FixedAnswer != "" {
 		defer d.mu.Unlock()
-		w.Write([]byte(d.Broken)) //nolint:errcheck // a stand-in
+		w.Write([]byte(d.FixedAnswer)) //nolint:errcheck // a stand-in
 		return
 	}
 	answer := d.list
@@ -141,7 +141,7 @@
 		at, _ := strconv.ParseInt(from[0], 10, 64)
 		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 		if at >= d.list.Version {
-			news := d.news
+			news := d.changed
 			d.mu.Unlock()
 			select {
 			case <-news:
@@ -149,13 +149,13 @@
 			case <-r.Context().Done():
 				return
 			}
-			if d.mute(r) {
+			if d.waitSilent(r) {
 				return
 			}
 			d.mu.Lock()
 		}
 		answer = discovery.List{Version: d.list.Version, Hosts: []discovery.Host{}}
-		for _, change := range d.log {
+		for _, change := range d.changes {
 			if change.Version > at {
 				answer.Hosts = append(answer.Hosts, change.Hosts...)
 			}
@@ -163,8 +163,8 @@
 	}
 	text, err := json.Marshal(answer)
 	for _, h := range answer.Hosts {
-		if _, before := d.told[h.Name]; !before && h.Health == "Terminating" {
-			d.told[h.Name] = time.Now()
+		if _, before := d.drainAnnounced[h.Name]; !before && h.Health == "Terminating" {
+			d.drainAnnounced[h.Name] = time.Now()
 		}
 	}
 	d.mu.Unlock()
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -26,37 +26,37 @@
 const (
 	Read    Kind = "read"
 	Write   Kind = "write"
-	Place   Kind = "place"
+	Reserve Kind = "place"
 	Release Kind = "release"
 	Probe   Kind = "probe"
 )
 
 // Call is one call whose last byte came.
 type Call struct {
-	At     time.Time
-	Engine string
-	Kind   Kind
-	ID     string
-	Target string
-	Body   []byte
-	Conn   int // number of the connection at its engine, from 1
-	Fields []http1.Field
-	Over   time.Time // when its connection ended or its answer was written
-	NotRun bool      // its engine said that it did not run
-	Begun  time.Time // when its answer began to be written, zero for never
-	Peer   string    // the other end of its connection
-	Dead   time.Time // its engine hung, stopped, vanished or was started anew then, as it came or later; zero: it did not
-	lost   bool      // its engine never answers it
+	Received      time.Time
+	Engine        string
+	Kind          Kind
+	ID            string
+	Target        string
+	Body          []byte
+	ConnNumber    int // number of the connection at its engine, from 1
+	Fields        []http1.Field
+	Ended         time.Time // when its connection ended or its answer was written
+	NotRun        bool      // its engine said that it did not run
+	AnswerStarted time.Time // when its answer began to be written, zero for never
+	RemoteAddr    string    // the other end of its connection
+	EngineDown    time.Time // its engine hung, stopped, vanished or was started anew then, as it came or later; zero: it did not
+	lost          bool      // its engine never answers it
 }
 
 // Ran is the span in which the call was at an engine that runs, by the strictest reading: up to its answer or the end of its
 // connection, and no longer than its engine ran. One that came to an engine which did not run has none. The end is zero while it runs.
-func (c *Call) Ran() (from, to time.Time, ran bool) {
-	to = c.Over
-	if !c.Dead.IsZero() && (to.IsZero() || c.Dead.Before(to)) {
-		to = c.Dead
+func (c *Call) RunSpan() (from, to time.Time, ran bool) {
+	to = c.Ended
+	if !c.EngineDown.IsZero() && (to.IsZero() || c.EngineDown.Before(to)) {
+		to = c.EngineDown
 	}
-	return c.At, to, to.IsZero() || to.After(c.At)
+	return c.Received, to, to.IsZero() || to.After(c.Received)
 }
 
 // Fault is how an engine spoils a call.
@@ -64,50 +64,50 @@
 
 // The faults. None is a good answer.
 const (
-	None        Fault = ""
-	Error       Fault = "500"
-	Full        Fault = "503 not run"
-	Gone        Fault = "410 not run"
-	Silent      Fault = "silent"
-	Hung        Fault = "hung" // as Silent, by an engine that does not run any more as far as this call goes
-	CutEarly    Fault = "cut before the answer"
-	CutLate     Fault = "cut after the first event"
-	Noise       Fault = "noise for a head"
-	EndlessHead Fault = "a head without end"
-	BadSize     Fault = "a chunk whose size can't be read"
-	BadFit      Fault = "a chunk that doesn't fit"
-	HugeChunk   Fault = "a chunk of 3 GB"
-	LateBadSize Fault = "a later chunk whose size can't be read"
-	NoDone      Fault = "a stream that ends without its last events"
-	Stall       Fault = "a stream that stops after its first event"
-	Ahead       Fault = "1xx ahead"
-	BadReport   Fault = "a report that can't be read"
-	Behind      Fault = "a second answer behind"
+	None                 Fault = ""
+	ServerError          Fault = "500"
+	Unavailable          Fault = "503 not run"
+	Gone                 Fault = "410 not run"
+	Silent               Fault = "silent"
+	Hung                 Fault = "hung" // as Silent, by an engine that does not run any more as far as this call goes
+	CloseBeforeAnswer    Fault = "cut before the answer"
+	CloseAfterFirstEvent Fault = "cut after the first event"
+	InvalidHead          Fault = "noise for a head"
+	EndlessHead          Fault = "a head without end"
+	BadChunkSize         Fault = "a chunk whose size can't be read"
+	BadChunkLength       Fault = "a chunk that doesn't fit"
+	HugeChunk            Fault = "a chunk of 3 GB"
+	LaterBadChunkSize    Fault = "a later chunk whose size can't be read"
+	MissingFinalEvents   Fault = "a stream that ends without its last events"
+	Stall                Fault = "a stream that stops after its first event"
+	InterimAnswers       Fault = "1xx ahead"
+	BadReport            Fault = "a report that can't be read"
+	SecondAnswer         Fault = "a second answer behind"
 )
 
 // World is what the engines of a test share.
-type World struct {
-	mu     sync.Mutex
-	calls  []*Call
-	held   map[string]map[string]time.Time // by id, by engine: since when
-	holds  []Hold                          // that have ended
-	Pause  time.Duration                   // between two events
-	Events int                             // of an answer
-	Spoil  func(c *Call, nth int) Fault    // nth call of its id and kind, from 0; nil: none
-	Work   func(c *Call) time.Duration     // what a read or a write takes up to its answer, nil: nothing
-	Strict bool                            // what is held follows the protocol to the letter, see strict.go
-	counts map[string]int
-	read   map[string]bool      // ids whose prompt was read
-	hung   map[string]time.Time // engines that hang, until when
+type Fleet struct {
+	mu            sync.Mutex
+	calls         []*Call
+	held          map[string]map[string]time.Time // by id, by engine: since when
+	holds         []Hold                          // that have ended
+	EventInterval time.Duration                   // between two events
+	EventCount    int                             // of an answer
+	InjectFault   func(c *Call, nth int) Fault    // nth call of its id and kind, from 0; nil: none
+	ServiceTime   func(c *Call) time.Duration     // what a read or a write takes up to its answer, nil: nothing
+	Strict        bool                            // what is held follows the protocol to the letter, see strict.go
+	callCounts    map[string]int
+	prefilled     map[string]bool      // ids whose prompt was read
+	hungUntil     map[string]time.Time // engines that hang, until when
 }
 
 // NewWorld makes a world.
-func NewWorld() *World {
-	return &World{held: map[string]map[string]time.Time{}, counts: map[string]int{}, read: map[string]bool{}, hung: map[string]time.Time{}, Events: 3}
+func NewFleet() *Fleet {
+	return &Fleet{held: map[string]map[string]time.Time{}, callCounts: map[string]int{}, prefilled: map[string]bool{}, hungUntil: map[string]time.Time{}, EventCount: 3}
 }
 
 // Calls are a copy of the record, of one kind or of all.
-func (w *World) Calls(kind Kind) (all []Call) {
+func (w *Fleet) Calls(kind Kind) (all []Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.calls {
@@ -119,7 +119,7 @@
 }
 
 // Held is how many states and places are held.
-func (w *World) Held() (n int) {
+func (w *Fleet) HeldCount() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, at := range w.held {
@@ -135,7 +135,7 @@
 }
 
 // Holds are all that were held, to now where they still are.
-func (w *World) Holds() []Hold {
+func (w *Fleet) Holds() []Hold {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	all := slices.Clone(w.holds)
@@ -148,7 +148,7 @@
 }
 
 // hold books that an engine holds something for an id; it is called with the lock, as is letGo.
-func (w *World) hold(id, engine string) {
+func (w *Fleet) addHold(id, engine string) {
 	if w.held[id] == nil {
 		w.held[id] = map[string]time.Time{}
 	}
@@ -158,7 +158,7 @@
 }
 
 // letGo books that nothing is held for an id any more.
-func (w *World) letGo(id string) {
+func (w *Fleet) endHolds(id string) {
 	for engine, since := range w.held[id] {
 		w.holds = append(w.holds, Hold{id, engine, since, time.Now()})
 	}
@@ -167,22 +167,22 @@
 
 // Engine is one engine.
 type Engine struct {
-	w     *World
-	Name  string
-	reads bool
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	n     int
+	fleet     *Fleet
+	Name      string
+	isReader  bool
+	ln        net.Listener
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	connCount int
 }
 
 // Start starts an engine; reads: it is a reader.
-func (w *World) Start(name string, reads bool) (*Engine, error) {
+func (w *Fleet) StartEngine(name string, reads bool) (*Engine, error) {
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
 		return nil, fmt.Errorf("engine %s: %w", name, err)
 	}
-	e := &Engine{w: w, Name: name, reads: reads, ln: ln, conns: map[net.Conn]bool{}}
+	e := &Engine{fleet: w, Name: name, isReader: reads, ln: ln, conns: map[net.Conn]bool{}}
 	go e.serve()
 	return e, nil
 }
@@ -201,7 +201,7 @@
 }
 
 // Conns is how many connections are open.
-func (e *Engine) Conns() int {
+func (e *Engine) ConnCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns)
@@ -215,11 +215,11 @@
 		}
 		e.mu.Lock()
 		e.conns[conn] = true
-		e.n++
-		n := e.n
+		e.connCount++
+		n := e.connCount
 		e.mu.Unlock()
 		go func() {
-			e.speak(conn, n)
+			e.serveConn(conn, n)
 			conn.Close() //nolint:errcheck // a stand-in
 			e.mu.Lock()
 			delete(e.conns, conn)
@@ -228,12 +228,12 @@
 	}
 }
 
-var limits = http1.Limits{Head: 16 << 10, Fields: 64, Body: 256 << 10}
+var limits = http1.Limits{HeadBytes: 16 << 10, Fields: 64, BodyBytes: 256 << 10}
 
-const rooms = "/bootstrap/rooms/"
+const roomsPath = "/bootstrap/rooms/"
 
 // speak answers calls until the connection ends or is of no further use.
-func (e *Engine) speak(conn net.Conn, n int) {
+func (e *Engine) serveConn(conn net.Conn, n int) {
 	r := bufio.NewReader(conn)
 	for {
 		h, err := http1.ReadRequest(r, limits)
@@ -244,25 +244,25 @@
 		if err != nil {
 			return
 		}
-		c := &Call{At: time.Now(), Engine: e.Name, Target: h.Target, Body: body, Conn: n, Fields: h.Fields, Peer: conn.RemoteAddr().String()}
-		switch id, room := strings.CutPrefix(h.Target, rooms); {
+		c := &Call{Received: time.Now(), Engine: e.Name, Target: h.Target, Body: body, ConnNumber: n, Fields: h.Fields, RemoteAddr: conn.RemoteAddr().String()}
+		switch id, room := strings.CutPrefix(h.Target, roomsPath); {
 		case room && h.Method == "POST":
-			c.Kind, c.ID = Place, id
+			c.Kind, c.ID = Reserve, id
 		case room:
 			c.Kind, c.ID = Release, id
 		case h.Method == "GET":
 			c.Kind = Probe
 		default:
 			c.ID, _ = h.Get("x-request-id")
-			if c.Kind = Write; e.reads {
+			if c.Kind = Write; e.isReader {
 				c.Kind = Read
 			}
 		}
-		fault := e.note(c)
+		fault := e.record(c)
 		good := e.answer(conn, c, fault)
-		e.w.mu.Lock()
-		c.Over = time.Now()
-		e.w.mu.Unlock()
+		e.fleet.mu.Lock()
+		c.Ended = time.Now()
+		e.fleet.mu.Unlock()
 		if !good {
 			return
 		}
@@ -270,40 +270,40 @@
 }
 
 // note books a call and what it does to what is held.
-func (e *Engine) note(c *Call) Fault {
-	w := e.w
+func (e *Engine) record(c *Call) Fault {
+	w := e.fleet
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls = append(w.calls, c)
 	key := string(c.Kind) + " " + c.ID
-	nth := w.counts[key]
-	w.counts[key]++
+	nth := w.callCounts[key]
+	w.callCounts[key]++
 	fault := None
-	if w.Spoil != nil {
-		fault = w.Spoil(c, nth)
+	if w.InjectFault != nil {
+		fault = w.InjectFault(c, nth)
 	}
 	switch c.Kind {
 	case Release:
-		if !w.Strict || !w.writeWaits(c.ID) {
-			w.letGo(c.ID)
+		if !w.Strict || !w.hasWaitingWrite(c.ID) {
+			w.endHolds(c.ID)
 		}
-	case Place:
+	case Reserve:
 		if fault == None && !w.Strict {
-			w.hold(c.ID, e.Name)
+			w.addHold(c.ID, e.Name)
 		}
 	case Write:
-		if fault != Full && fault != Gone && !w.Strict {
-			w.letGo(c.ID)
+		if fault != Unavailable && fault != Gone && !w.Strict {
+			w.endHolds(c.ID)
 		}
 	}
-	c.NotRun = fault == Full || fault == Gone
-	if fault == Hung || c.isAttempt() && c.At.Before(w.hung[e.Name]) {
-		c.Dead, c.lost = c.At, true
+	c.NotRun = fault == Unavailable || fault == Gone
+	if fault == Hung || c.isAttempt() && c.Received.Before(w.hungUntil[e.Name]) {
+		c.EngineDown, c.lost = c.Received, true
 	}
 	return fault
 }
 
-func say(conn net.Conn, format string, a ...any) bool {
+func writeTo(conn net.Conn, format string, a ...any) bool {
 	_, err := fmt.Fprintf(conn, format, a...)
 	return err == nil
 }
@@ -311,17 +311,17 @@
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const (
-	sseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	report  = `{"util":0.5,"queue":1,"x0":0.25}`
+	streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	loadReport = `{"util":0.5,"queue":1,"x0":0.25}`
 )
 
 // Event is the text of an answer's event, as a client must get it.
-func Event(engine, id string, n int) string {
+func EventText(engine, id string, n int) string {
 	return fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{"content":"%s %s %d"},"finish_reason":null}]}`+"\n\n", engine, id, n)
 }
 
 // Last is the text of an answer's last events.
-const Last = `data: {"choices":[{"index":0,"delta":{"content":"."},"finish_reason":"stop"}]}` + "\n\n" +
+const FinalEvents = `data: {"choices":[{"index":0,"delta":{"content":"."},"finish_reason":"stop"}]}` + "\n\n" +
 	`data: {"choices":[],"usage":{"prompt_tokens":512,"completion_tokens":8,"prompt_tokens_details":{"cached_tokens":64}}}` + "\n\n" +
 	"data: [DONE]\n\n"
 
@@ -333,114 +333,114 @@
 		var timeout net.Error
 		return err == nil || errors.As(err, &timeout) && timeout.Timeout()
 	}
-	if fault == None && !e.work(conn, c) {
+	if fault == None && !e.waitServiceTime(conn, c) {
 		return false
 	}
-	if e.w.Strict && fault == None && !e.w.isLost(c) {
-		if fault = e.w.settle(c); fault == noPlace {
-			return say(conn, "HTTP/1.1 204 No Content\r\n\r\n")
+	if e.fleet.Strict && fault == None && !e.fleet.isLost(c) {
+		if fault = e.fleet.admit(c); fault == noOpenRead {
+			return writeTo(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 		}
 	}
-	e.w.mu.Lock()
+	e.fleet.mu.Lock()
 	if c.lost {
 		fault = Hung
 	} else {
-		c.Begun = time.Now()
+		c.AnswerStarted = time.Now()
 	}
-	e.w.mu.Unlock()
+	e.fleet.mu.Unlock()
 	switch fault {
 	case Silent, Hung:
 		wait()
 		return false
-	case CutEarly:
+	case CloseBeforeAnswer:
 		return false
-	case Error:
-		return say(conn, "HTTP/1.1 500 Internal Server Error\r\nX-Load: %s\r\nContent-Length: 4\r\n\r\noops", report)
-	case Full:
-		return say(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	case ServerError:
+		return writeTo(conn, "HTTP/1.1 500 Internal Server Error\r\nX-Load: %s\r\nContent-Length: 4\r\n\r\noops", loadReport)
+	case Unavailable:
+		return writeTo(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	case Gone:
-		return say(conn, "HTTP/1.1 410 Gone\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	case Noise:
-		say(conn, "\x00\x17\xfe noise\r\n\r\n")
+		return writeTo(conn, "HTTP/1.1 410 Gone\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	case InvalidHead:
+		writeTo(conn, "\x00\x17\xfe noise\r\n\r\n")
 		wait()
 		return false
 	case EndlessHead:
-		say(conn, "HTTP/1.1 200 OK\r\n")
-		for say(conn, "X-More: %s\r\n", bytes.Repeat([]byte("m"), 512)) {
+		writeTo(conn, "HTTP/1.1 200 OK\r\n")
+		for writeTo(conn, "X-More: %s\r\n", bytes.Repeat([]byte("m"), 512)) {
 		}
 		return false
-	case Ahead:
-		say(conn, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n")
+	case InterimAnswers:
+		writeTo(conn, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n")
 	}
-	text := report
+	text := loadReport
 	if fault == BadReport {
 		text = `{"util":nonsense`
 	}
 	switch c.Kind {
 	case Read:
-		e.w.mu.Lock()
-		e.w.hold(c.ID, e.Name)
-		e.w.read[c.ID] = true
-		e.w.mu.Unlock()
-		good := say(conn, "HTTP/1.1 202 Accepted\r\nX-Load: %s\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":128}", text)
-		if fault == Behind {
-			say(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		e.fleet.mu.Lock()
+		e.fleet.addHold(c.ID, e.Name)
+		e.fleet.prefilled[c.ID] = true
+		e.fleet.mu.Unlock()
+		good := writeTo(conn, "HTTP/1.1 202 Accepted\r\nX-Load: %s\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":128}", text)
+		if fault == SecondAnswer {
+			writeTo(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}
 		return good
-	case Place:
-		return say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	case Reserve:
+		return writeTo(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	case Release:
-		return say(conn, "HTTP/1.1 204 No Content\r\n\r\n")
+		return writeTo(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	case Probe:
-		return say(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		return writeTo(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
 	return e.stream(conn, c, fault, text, wait)
 }
 
 func (e *Engine) stream(conn net.Conn, c *Call, fault Fault, text string, wait func() bool) bool {
-	first := chunk(Event(e.Name, c.ID, 0))
+	first := chunk(EventText(e.Name, c.ID, 0))
 	switch fault {
-	case BadSize:
+	case BadChunkSize:
 		first = "zz\r\n" + first
-	case BadFit:
+	case BadChunkLength:
 		first = strings.Replace(first, "\r\n", "\r\ndata: too much", 1)
 	case HugeChunk:
-		say(conn, "%sc0000000\r\n", sseHead)
-		for say(conn, "%s", bytes.Repeat([]byte("h"), 4096)) {
+		writeTo(conn, "%sc0000000\r\n", streamHead)
+		for writeTo(conn, "%s", bytes.Repeat([]byte("h"), 4096)) {
 		}
 		return false
 	}
-	if !say(conn, "%s%s", sseHead, first) {
+	if !writeTo(conn, "%s%s", streamHead, first) {
 		return false
 	}
 	switch fault {
-	case BadSize, BadFit:
+	case BadChunkSize, BadChunkLength:
 		wait()
 		return false
-	case CutLate:
+	case CloseAfterFirstEvent:
 		return false
 	case Stall:
 		wait()
 		return false
 	}
-	for n := 1; n < e.w.Events; n++ {
-		time.Sleep(e.w.Pause)
-		if !say(conn, "%s", chunk(Event(e.Name, c.ID, n))) {
+	for n := 1; n < e.fleet.EventCount; n++ {
+		time.Sleep(e.fleet.EventInterval)
+		if !writeTo(conn, "%s", chunk(EventText(e.Name, c.ID, n))) {
 			return false
 		}
 	}
 	switch fault {
-	case LateBadSize:
-		say(conn, "-5\r\nabc\r\n")
+	case LaterBadChunkSize:
+		writeTo(conn, "-5\r\nabc\r\n")
 		wait()
 		return false
-	case NoDone:
-		say(conn, "0\r\n\r\n")
+	case MissingFinalEvents:
+		writeTo(conn, "0\r\n\r\n")
 		return true
 	}
-	good := say(conn, "%s%s0\r\n\r\n", chunk(Last), chunk(": X-Load: "+text+"\n\n"))
-	if fault == Behind {
-		say(conn, "%s%s0\r\n\r\n", sseHead, chunk(Event("nobody", c.ID, 9)))
+	good := writeTo(conn, "%s%s0\r\n\r\n", chunk(FinalEvents), chunk(": X-Load: "+text+"\n\n"))
+	if fault == SecondAnswer {
+		writeTo(conn, "%s%s0\r\n\r\n", streamHead, chunk(EventText("nobody", c.ID, 9)))
 	}
 	return good
 }
--- a/internal/platform/standin/strict.go
+++ b/internal/platform/standin/strict.go
@@ -12,17 +12,17 @@
 // write waits for. Where the protocol leaves open whether a place is held, it is.
 
 // noPlace is the answer to a call for a place that came when no read was out.
-const noPlace Fault = "no read is out"
+const noOpenRead Fault = "no read is out"
 
 // placeWait is how long a call for a place waits for the read that it is for.
-const placeWait = 300 * time.Millisecond
+const reservationWait = 300 * time.Millisecond
 
 // work is what a read or a write takes up to its answer. False: the other side gave it up meanwhile.
-func (e *Engine) work(conn net.Conn, c *Call) bool {
-	if e.w.Work == nil || c.Kind != Read && c.Kind != Write {
+func (e *Engine) waitServiceTime(conn net.Conn, c *Call) bool {
+	if e.fleet.ServiceTime == nil || c.Kind != Read && c.Kind != Write {
 		return true
 	}
-	takes := e.w.Work(c)
+	takes := e.fleet.ServiceTime(c)
 	if takes <= 0 {
 		return true
 	}
@@ -33,41 +33,41 @@
 }
 
 // settle is what becomes of a place or of a write that is about to begin.
-func (w *World) settle(c *Call) Fault {
+func (w *Fleet) admit(c *Call) Fault {
 	switch c.Kind {
-	case Place:
-		return w.settlePlace(c)
+	case Reserve:
+		return w.admitReservation(c)
 	case Write:
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.read[c.ID] && len(w.held[c.ID]) == 0 {
+		if w.prefilled[c.ID] && len(w.held[c.ID]) == 0 {
 			c.NotRun = true
 			return Gone
 		}
-		w.letGo(c.ID)
+		w.endHolds(c.ID)
 	}
 	return None
 }
 
-func (w *World) settlePlace(c *Call) Fault {
+func (w *Fleet) admitReservation(c *Call) Fault {
 	w.mu.Lock()
-	w.hold(c.ID, c.Engine)
+	w.addHold(c.ID, c.Engine)
 	w.mu.Unlock()
-	for until := time.Now().Add(placeWait); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(reservationWait); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
 		w.mu.Lock()
-		out := w.readOut(c.ID)
+		out := w.hasOpenRead(c.ID)
 		w.mu.Unlock()
 		if out {
 			return None
 		}
 	}
-	return noPlace
+	return noOpenRead
 }
 
 // readOut tells whether a read of an id is out; it is called with the lock.
-func (w *World) readOut(id string) bool {
+func (w *Fleet) hasOpenRead(id string) bool {
 	for _, c := range w.calls {
-		if c.ID == id && c.Kind == Read && c.Over.IsZero() {
+		if c.ID == id && c.Kind == Read && c.Ended.IsZero() {
 			return true
 		}
 	}
@@ -78,7 +78,7 @@
 func (c *Call) isAttempt() bool { return c.Kind == Read || c.Kind == Write }
 
 // isLost tells whether a call's engine never answers it.
-func (w *World) isLost(c *Call) bool {
+func (w *Fleet) isLost(c *Call) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return c.lost
@@ -86,33 +86,33 @@
 
 // Hang has an engine lose the reads and writes that it has, and all that come until a time: it takes them and never answers.
 // Everything else it answers. A time that is past: it was started anew.
-func (w *World) Hang(engine string, until time.Time) { w.ends(engine, until, true) }
+func (w *Fleet) Hang(engine string, until time.Time) { w.loseCalls(engine, until, true) }
 
 // Stop books that an engine's machine stops or vanishes: the writes that it has do not run from now on, as far as anybody can tell. A read
 // that has arrived counts, answered or not.
-func (w *World) Stop(engine string) { w.ends(engine, time.Time{}, false) }
+func (w *Fleet) MarkStopped(engine string) { w.loseCalls(engine, time.Time{}, false) }
 
-func (w *World) ends(engine string, until time.Time, lost bool) {
+func (w *Fleet) loseCalls(engine string, until time.Time, lost bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if lost {
-		w.hung[engine] = until
+		w.hungUntil[engine] = until
 	}
 	for _, c := range w.calls {
-		if c.Engine != engine || !c.isAttempt() || !c.Over.IsZero() || !c.Begun.IsZero() || !lost && c.Kind == Read {
+		if c.Engine != engine || !c.isAttempt() || !c.Ended.IsZero() || !c.AnswerStarted.IsZero() || !lost && c.Kind == Read {
 			continue
 		}
 		c.lost = c.lost || lost
-		if c.Dead.IsZero() {
-			c.Dead = time.Now()
+		if c.EngineDown.IsZero() {
+			c.EngineDown = time.Now()
 		}
 	}
 }
 
 // writeWaits tells whether a write of an id is at an engine that runs, and has not begun; it is called with the lock.
-func (w *World) writeWaits(id string) bool {
+func (w *Fleet) hasWaitingWrite(id string) bool {
 	for _, c := range w.calls {
-		if c.ID == id && c.Kind == Write && !c.NotRun && c.Begun.IsZero() && c.Over.IsZero() && c.Dead.IsZero() {
+		if c.ID == id && c.Kind == Write && !c.NotRun && c.AnswerStarted.IsZero() && c.Ended.IsZero() && c.EngineDown.IsZero() {
 			return true
 		}
 	}
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -71,22 +71,22 @@
 			}
 		}
 	}()
-	r := crowd.Run(t.Context(), crowd.Options{Target: h.Address(), Model: "m", From: sourceAddresses(9, 8), Flood: 160, Length: 3 * time.Second, Least: 50 * connections,
-		Patience: 3 * time.Second, Known: keys, KnownFrom: sourceAddresses(10, clients), Before: 500 * time.Millisecond, Pause: 300 * time.Millisecond})
-	sum := r.Sum()
-	times, failed := r.KnownTimes()
+	r := crowd.Run(t.Context(), crowd.Options{Target: h.Address(), Model: "m", FloodAddresses: sourceAddresses(9, 8), FloodConns: 160, Duration: 3 * time.Second, MinConns: 50 * connections,
+		HangTimeout: 3 * time.Second, KnownKeys: keys, KnownAddresses: sourceAddresses(10, clients), KnownDelay: 500 * time.Millisecond, KnownPause: 300 * time.Millisecond})
+	sum := r.Total()
+	times, failed := r.KnownFirstTokenTimes()
 	stats, _ := h.listener.Stats(0)
 	t.Logf("flood %+v, waits p50 %v p99 %v µs; known: %d streams, %d failed, p50 %v p99 %v max %v µs; ended %v refused %v", *sum, sum.Waits.ValueAtQuantile(50),
-		sum.Waits.ValueAtQuantile(99), len(r.Known), failed, times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), stats.Evicted, stats.Refused)
+		sum.Waits.ValueAtQuantile(99), len(r.KnownClients), failed, times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), stats.Evicted, stats.Refused)
 	assert.LessOrEqual(t, <-done, connections)
 	assert.GreaterOrEqual(t, sum.Tried, 50*connections, "the flood made enough attempts")
 	assert.Zero(t, failed)
 	assert.Less(t, times.Max(), int64(2_000_000), "µs until the first token of a known client")
-	assert.GreaterOrEqual(t, len(r.Known), clients)
+	assert.GreaterOrEqual(t, len(r.KnownClients), clients)
 	assert.Empty(t, sum.Wrong, "every refusal is a complete response")
 	assert.Zero(t, sum.Hung)
 	assert.Zero(t, sum.Broken)
-	waits := r.Flood[crowd.Calls].Waits
+	waits := r.Flood[crowd.SendsRequest].Waits
 	assert.Less(t, waits.ValueAtQuantile(50), int64(100_000), "µs to a refusal")
 	assert.Less(t, waits.ValueAtQuantile(99), int64(1_000_000), "µs to a refusal, with the flood and the race detector on the same cores")
 	require.True(t, h.finishes(`"afterwards"`))
@@ -100,9 +100,9 @@
 	assert.False(t, h.admissionStatus().On)
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
-	r := crowd.Run(ctx, crowd.Options{Target: h.Address(), Model: "m", From: sourceAddresses(9, 2), Flood: 20, Manners: []crowd.Manner{crowd.Silent},
-		Length: time.Second, Patience: 300 * time.Millisecond})
-	assert.Positive(t, r.Sum().Hung, "silent connections are not closed")
+	r := crowd.Run(ctx, crowd.Options{Target: h.Address(), Model: "m", FloodAddresses: sourceAddresses(9, 2), FloodConns: 20, Behaviors: []crowd.Behavior{crowd.SendsNothing},
+		Duration: time.Second, HangTimeout: 300 * time.Millisecond})
+	assert.Positive(t, r.Total().Hung, "silent connections are not closed")
 	h.stopAndCheck()
 }
 
@@ -394,10 +394,10 @@
 	h := startHarness(t, func(_ *pb.Router, f *pb.Fleet) {
 		f.Engines[1].Count, f.Engines[1].Slots, f.Engines[1].TokenMs = proto.Int32(4), proto.Int32(200), proto.Float64(1)
 	})
-	r := crowd.Run(t.Context(), crowd.Options{Target: h.Address(), Model: "m", Length: 10 * time.Second, Known: make([]string, 200), KnownFrom: sourceAddresses(11, 1)})
-	times, failed := r.KnownTimes()
+	r := crowd.Run(t.Context(), crowd.Options{Target: h.Address(), Model: "m", Duration: 10 * time.Second, KnownKeys: make([]string, 200), KnownAddresses: sourceAddresses(11, 1)})
+	times, failed := r.KnownFirstTokenTimes()
 	assert.Zero(t, failed)
-	assert.Len(t, r.Known, 200)
+	assert.Len(t, r.KnownClients, 200)
 	assert.Less(t, times.Max(), int64(2_000_000), "µs")
 	stats, _ := h.listener.Stats(0)
 	assert.Zero(t, stats.Refused[admit.ReasonConnectionRate]+stats.Refused[admit.ReasonAddressLimit]+stats.Refused[admit.ReasonPoolFull])
--- a/internal/router/limit_test.go
+++ b/internal/router/limit_test.go
@@ -193,9 +193,9 @@
 	}
 	time.Sleep(500 * time.Millisecond) // until all stream
 	before := l.command("limit 6")
-	r := crowd.Run(t.Context(), crowd.Options{Target: l.address, Model: "m", From: sourceAddresses(9, 4), Flood: 60, Length: 2 * time.Second, Patience: 3 * time.Second})
+	r := crowd.Run(t.Context(), crowd.Options{Target: l.address, Model: "m", FloodAddresses: sourceAddresses(9, 4), FloodConns: 60, Duration: 2 * time.Second, HangTimeout: 3 * time.Second})
 	refused := l.command("no limit") - before
-	sum := r.Sum()
+	sum := r.Total()
 	t.Logf("%+v; %d refused for lack of descriptors", *sum, refused)
 	assert.Greater(t, refused, 100, "descriptors ran out")
 	assert.Zero(t, sum.Hung)
@@ -225,7 +225,7 @@
 	settings.Log = &pb.Log{Level: pb.Level_ERROR.Enum()}
 	l := startLimitedRouter(t, h, settings)
 	reading := func() (unread bool) {
-		h.forEachEngine("reader", func(e *standin.Engine) { unread = unread || e.Unread() > 0 })
+		h.forEachEngine("reader", func(e *standin.Engine) { unread = unread || e.UnreadTokens() > 0 })
 		return unread
 	}
 	read := func(prompt, limit string) (answer string, took time.Duration) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -94,13 +94,13 @@
 		undo = append(undo, router.listener.Shutdown)
 	}
 	list := settings.GetList()
-	follower := fleet.New(fleet.Options{URL: list.GetUrl(), File: list.GetFile(), Poll: config.Seconds(list.GetPollS()), Ask: list.GetAsk(),
-		Retry: config.Seconds(list.GetRetryS()), MaxEngines: int(list.GetMaxEngines()), SourceAddress: settings.GetSourceAddress(), Tell: router.updateEngines, Log: log})
+	follower := fleet.New(fleet.Options{URL: list.GetUrl(), File: list.GetFile(), PollInterval: config.Seconds(list.GetPollS()), PollService: list.GetAsk(),
+		RetryDelay: config.Seconds(list.GetRetryS()), MaxEngines: int(list.GetMaxEngines()), SourceAddress: settings.GetSourceAddress(), Notify: router.updateEngines, Log: log})
 	if peerOptions := config.Peer(settings); peerOptions != nil {
 		peerOptions.Probe, peerOptions.Log, peerOptions.Observer = client.Probe, log, metrics
 		peerOptions.Notify = func(e link.Event) { router.Planner.Notify(e) }
 		if list.GetAsk() {
-			peerOptions.ListRefresh = &peer.ListRefresh{Subject: list.GetUrl(), Interval: list.GetPollS(), Fetch: follower.Ask, Apply: follower.Take}
+			peerOptions.ListRefresh = &peer.ListRefresh{Subject: list.GetUrl(), Interval: list.GetPollS(), Fetch: follower.Fetch, Apply: follower.Apply}
 		}
 		if router.peer, err = peer.New(*peerOptions); err != nil {
 			return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -134,7 +134,7 @@
 }
 
 func (h *harness) forEachEngine(name string, do func(*standin.Engine)) {
-	for _, e := range h.fleet.Find(name) {
+	for _, e := range h.fleet.FindEngines(name) {
 		do(e)
 	}
 }
@@ -172,14 +172,14 @@
 		assert.Len(t, models.Data, 2)
 	})
 	t.Run("times out", func(t *testing.T) {
-		h.forEachEngine("writer", func(e *standin.Engine) { e.Silent(true) })
+		h.forEachEngine("writer", func(e *standin.Engine) { e.SetSilent(true) })
 		began := time.Now()
 		_, err := client.Chat.Completions.New(t.Context(), params, option.WithRequestTimeout(time.Second))
 		var answer *openai.Error
 		require.ErrorAs(t, err, &answer, "an error response of the router, not the client's own timeout")
 		assert.Contains(t, []int{429, 504}, answer.StatusCode)
 		assert.Less(t, time.Since(began), time.Second)
-		h.forEachEngine("writer", func(e *standin.Engine) { e.Silent(false) })
+		h.forEachEngine("writer", func(e *standin.Engine) { e.SetSilent(false) })
 	})
 	t.Run("cancels", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -192,14 +192,14 @@
 		assert.Eventually(t, func() bool { c, d := h.Edge.Active(); return c == 0 && d == 0 }, time.Second, time.Millisecond)
 	})
 	t.Run("retries", func(t *testing.T) {
-		h.forEachEngine("writer", func(e *standin.Engine) { require.NoError(t, e.Unreachable(true)) })
+		h.forEachEngine("writer", func(e *standin.Engine) { require.NoError(t, e.SetUnreachable(true)) })
 		_, err := client.Chat.Completions.New(t.Context(), params)
 		var answer *openai.Error
 		require.ErrorAs(t, err, &answer)
 		require.Equal(t, 429, answer.StatusCode)
 		assert.NotEmpty(t, answer.Response.Header.Get("Retry-After-Ms"))
 		time.AfterFunc(100*time.Millisecond, func() {
-			h.forEachEngine("writer", func(e *standin.Engine) { assert.NoError(t, e.Unreachable(false)) })
+			h.forEachEngine("writer", func(e *standin.Engine) { assert.NoError(t, e.SetUnreachable(false)) })
 		})
 		_, err = client.Chat.Completions.New(t.Context(), params, option.WithMaxRetries(20))
 		assert.NoError(t, err)
@@ -210,7 +210,7 @@
 // TestWriterDiesMidStream checks that a stream that breaks after a separate read gets one error event and no [DONE].
 func TestWriterDiesMidStream(t *testing.T) {
 	h := startHarness(t, nil)
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Breaks(1) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetBrokenShare(1) })
 	aborted := 0
 	for range 10 {
 		status, text, err := h.post(t.Context(), "m", longPrompt, `,"stream":true,"max_tokens":30`)
@@ -231,7 +231,7 @@
 func TestFailureNearTimeout(t *testing.T) {
 	for _, model := range []string{"m", "once"} {
 		h := startHarness(t, func(_ *pb.Router, f *pb.Fleet) { f.Engines[0].ReadTokensPerS = proto.Float64(1300) })
-		h.forEachEngine("writer", func(e *standin.Engine) { e.Fails(1) })
+		h.forEachEngine("writer", func(e *standin.Engine) { e.SetFailureShare(1) })
 		began := time.Now()
 		status, text, err := h.post(t.Context(), model, longPrompt, "") // the read takes nearly two seconds
 		require.NoError(t, err)
@@ -245,7 +245,7 @@
 // the rules checked at the end.
 func TestClientLeavesBetweenReadAndWrite(t *testing.T) {
 	h := startHarness(t, nil)
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Paused(true) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetPaused(true) })
 	for range 5 {
 		ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond)
 		_, _, err := h.post(ctx, "m", longPrompt, "")
@@ -253,7 +253,7 @@
 		cancel()
 	}
 	time.Sleep(400 * time.Millisecond)
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Paused(false) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetPaused(false) })
 	entries := h.stopAndCheck()
 	assert.Equal(t, 5, countEvents(entries, pb.EngineEvent_STATE_HELD))
 	assert.Equal(t, 5, countEvents(entries, pb.EngineEvent_STATE_RELEASED))
@@ -263,13 +263,13 @@
 // client is not asked to retry.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	h := startHarness(t, nil)
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Loses(1) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetLostShare(1) })
 	began := time.Now()
 	status, _, err := h.post(t.Context(), "once", `"x"`, "")
 	require.NoError(t, err)
 	assert.Contains(t, []int{503, 504}, status)
 	assert.Less(t, time.Since(began), 2*time.Second)
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Loses(0) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetLostShare(0) })
 	entries := h.stopAndCheck()
 	runs := 0
 	for _, e := range entries {
@@ -348,17 +348,17 @@
 // is still released once the reader can be reached again.
 func TestReaderUnreachable(t *testing.T) {
 	h := startHarness(t, func(r *pb.Router, f *pb.Fleet) { f.FetchTokensPerS = proto.Float64(3000) })
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Paused(true) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetPaused(true) })
 	done := make(chan int)
 	go func() {
 		status, _, _ := h.post(context.Background(), "m", longPrompt, "")
 		done <- status
 	}()
 	time.Sleep(250 * time.Millisecond) // the prompt is read, and the write waits at a paused writer
-	h.forEachEngine("reader", func(e *standin.Engine) { require.NoError(t, e.Unreachable(true)) })
-	h.forEachEngine("writer", func(e *standin.Engine) { e.Paused(false) })
+	h.forEachEngine("reader", func(e *standin.Engine) { require.NoError(t, e.SetUnreachable(true)) })
+	h.forEachEngine("writer", func(e *standin.Engine) { e.SetPaused(false) })
 	assert.Equal(t, 200, <-done, "a writer reads the prompt itself")
-	h.forEachEngine("reader", func(e *standin.Engine) { require.NoError(t, e.Unreachable(false)) })
+	h.forEachEngine("reader", func(e *standin.Engine) { require.NoError(t, e.SetUnreachable(false)) })
 	time.Sleep(400 * time.Millisecond)
 	assert.Equal(t, 1, countEvents(h.stopAndCheck(), pb.EngineEvent_STATE_RELEASED))
 }
@@ -372,7 +372,7 @@
 				r.Allowed.Places = proto.Bool(true)
 				f.Engines[1].Count = proto.Int32(1)
 			})
-			h.forEachEngine("writer", func(e *standin.Engine) { e.Paused(true) })
+			h.forEachEngine("writer", func(e *standin.Engine) { e.SetPaused(true) })
 			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			done := make(chan struct{})
@@ -384,7 +384,7 @@
 			if timeout < time.Second {
 				time.Sleep(800 * time.Millisecond) // the reservation call has been given up too
 			}
-			h.forEachEngine("writer", func(e *standin.Engine) { e.Paused(false) })
+			h.forEachEngine("writer", func(e *standin.Engine) { e.SetPaused(false) })
 			<-done
 			time.Sleep(400 * time.Millisecond)
 			entries := h.stopAndCheck()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,68 +18,68 @@
 
 // Engine is one stand-in engine.
 type Engine struct {
-	fleet *Fleet
-	set   *pb.EngineSet
-	name  string
-	cell  string
+	fleet    *Fleet
+	settings *pb.EngineSet
+	name     string
+	cell     string
 
 	address string
 	server  *http.Server
 
-	mu       sync.Mutex
-	up       bool
-	draining bool
-	fallen   bool
-	started  time.Time // zero for long ago: warm
-	life     context.Context
-	die      context.CancelFunc
-	laneFree time.Time // when the reading lane has done what it has
-	unread   float64   // tokens that wait to be read
-	running  int       // slots in use
-	waiting  []chan struct{}
-	used     float64 // tokens of memory held
-	kept     map[uint64]*list.Element
-	order    *list.List // of kept blocks, latest first
-	states   map[string]*state
-	places   map[string]float64
-	pushes   []push
-	ills     ills
-	changed  chan struct{} // closed when it hears again
+	mu             sync.Mutex
+	up             bool
+	draining       bool
+	crashed        bool
+	started        time.Time // zero for long ago: warm
+	lifetime       context.Context
+	endLifetime    context.CancelFunc
+	prefillFreeAt  time.Time // when the reading lane has done what it has
+	unreadTokens   float64   // tokens that wait to be read
+	running        int       // slots in use
+	waiting        []chan struct{}
+	usedTokens     float64 // tokens of memory held
+	cachedBlocks   map[uint64]*list.Element
+	blockOrder     *list.List // of kept blocks, latest first
+	states         map[string]*state
+	reservations   map[string]float64
+	recentWork     []coldWork
+	faults         faults
+	reachableAgain chan struct{} // closed when it hears again
 }
 
 // ills are the troubles in force.
-type ills struct {
-	fails      float64 // share that fails at once
-	slower     float64 // times
-	silent     bool
-	paused     bool
-	breaks     float64 // share of answers that break
-	loses      float64 // share of answers that never come
-	failsModel int     // index of a workload that fails, -1 for none
+type faults struct {
+	failureShare    float64 // share that fails at once
+	slowdown        float64 // times
+	silent          bool
+	paused          bool
+	brokenShare     float64 // share of answers that break
+	lostShare       float64 // share of answers that never come
+	failingWorkload int     // index of a workload that fails, -1 for none
 }
 
 type state struct {
-	tokens  float64
-	expires *time.Timer
-	name    string
+	tokens     float64
+	expires    *time.Timer
+	completion string
 }
 
-type push struct {
-	at   time.Time
-	work float64
-	told bool
+type coldWork struct {
+	at        time.Time
+	seconds   float64
+	knewStart bool
 }
 
 const (
-	blockBytes   = 256 // of a prompt's text, one kept block
-	blockTokens  = blockBytes / 4
-	stateExpires = 30 * time.Second // the engine's own clock, far past any router's limit
-	toldShare    = 2.0 / 3          // of a push that must come from routers that knew of the start
+	blockBytes     = 256 // of a prompt's text, one kept block
+	blockTokens    = blockBytes / 4
+	stateLifetime  = 30 * time.Second // the engine's own clock, far past any router's limit
+	knewStartShare = 2.0 / 3          // of a push that must come from routers that knew of the start
 )
 
 func newEngine(f *Fleet, s *pb.EngineSet, name, cell string) *Engine {
-	return &Engine{fleet: f, set: s, name: name, cell: cell, kept: map[uint64]*list.Element{}, order: list.New(),
-		states: map[string]*state{}, places: map[string]float64{}, ills: ills{slower: 1, failsModel: -1}, changed: make(chan struct{})}
+	return &Engine{fleet: f, settings: s, name: name, cell: cell, cachedBlocks: map[uint64]*list.Element{}, blockOrder: list.New(),
+		states: map[string]*state{}, reservations: map[string]float64{}, faults: faults{slowdown: 1, failingWorkload: -1}, reachableAgain: make(chan struct{})}
 }
 
 func (e *Engine) listen(address string) error {
@@ -90,7 +90,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
 	mux.HandleFunc("DELETE /v1/kv_states/{id}", e.serveRelease)
-	mux.HandleFunc("POST /v1/kv_places", e.servePlace)
+	mux.HandleFunc("POST /v1/kv_places", e.serveReservation)
 	mux.HandleFunc("GET /metrics", e.serveMetrics)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 5 * time.Second}
 	e.mu.Lock()
@@ -98,17 +98,17 @@
 		e.address = ln.Addr().String()
 	}
 	e.server, e.up = server, true
-	e.life, e.die = context.WithCancel(context.Background())
+	e.lifetime, e.endLifetime = context.WithCancel(context.Background())
 	cold := !e.started.IsZero()
 	e.mu.Unlock()
-	e.note(&pb.EngineEvent{Kind: pb.EngineEvent_UP.Enum(), Cold: proto.Bool(cold)})
+	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_UP.Enum(), Cold: proto.Bool(cold)})
 	go server.Serve(ln) //nolint:errcheck // ends with hangUp
 	return nil
 }
 
-func (e *Engine) note(ev *pb.EngineEvent) {
+func (e *Engine) record(ev *pb.EngineEvent) {
 	ev.Engine = proto.String(e.name)
-	e.fleet.write(&pb.Entry{What: &pb.Entry_Engine{Engine: ev}})
+	e.fleet.writeEntry(&pb.Entry{What: &pb.Entry_Engine{Engine: ev}})
 }
 
 func (e *Engine) startedAt() time.Time {
@@ -118,28 +118,28 @@
 }
 
 // hangUp closes the listener and all connections. What it holds stays.
-func (e *Engine) hangUp() {
+func (e *Engine) stopServing() {
 	e.mu.Lock()
 	if !e.up {
 		e.mu.Unlock()
 		return
 	}
 	e.up = false
-	server, die := e.server, e.die
+	server, die := e.server, e.endLifetime
 	e.mu.Unlock()
-	e.note(&pb.EngineEvent{Kind: pb.EngineEvent_DOWN.Enum()})
+	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_DOWN.Enum()})
 	server.Close() //nolint:errcheck // nothing is to be saved
 	die()
 }
 
 // Unreachable makes it refuse connections and drop those it has, or take them again.
-func (e *Engine) Unreachable(so bool) error {
+func (e *Engine) SetUnreachable(so bool) error {
 	if so {
-		e.hangUp()
+		e.stopServing()
 		return nil
 	}
 	e.mu.Lock()
-	stays := e.up || e.fallen
+	stays := e.up || e.crashed
 	e.mu.Unlock()
 	if stays {
 		return nil
@@ -148,18 +148,18 @@
 }
 
 // Die kills it outright; the list tells late.
-func (e *Engine) Die() {
-	e.hangUp()
-	e.forget()
+func (e *Engine) Kill() {
+	e.stopServing()
+	e.clearMemory()
 	e.fleet.List.publish(e, "gone")
 }
 
 // Return brings it back cold. One that fell over stays down.
-func (e *Engine) Return() error {
+func (e *Engine) Restart() error {
 	e.mu.Lock()
-	stays := e.up || e.fallen
+	stays := e.up || e.crashed
 	if !stays {
-		e.started, e.draining, e.pushes = time.Now(), false, nil
+		e.started, e.draining, e.recentWork = time.Now(), false, nil
 	}
 	e.mu.Unlock()
 	if stays {
@@ -181,43 +181,43 @@
 }
 
 // forget empties its memory.
-func (e *Engine) forget() {
+func (e *Engine) clearMemory() {
 	e.mu.Lock()
-	lost, places := e.states, e.places
-	e.states, e.places, e.used = map[string]*state{}, map[string]float64{}, 0
-	e.kept, e.laneFree, e.unread = map[uint64]*list.Element{}, time.Time{}, 0
-	e.order.Init()
+	lost, places := e.states, e.reservations
+	e.states, e.reservations, e.usedTokens = map[string]*state{}, map[string]float64{}, 0
+	e.cachedBlocks, e.prefillFreeAt, e.unreadTokens = map[uint64]*list.Element{}, time.Time{}, 0
+	e.blockOrder.Init()
 	e.mu.Unlock()
 	for id, s := range lost {
 		s.expires.Stop()
-		e.note(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_LOST.Enum(), Dispatch: proto.String(id), Completion: proto.String(s.name)})
+		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_LOST.Enum(), Dispatch: proto.String(id), Completion: proto.String(s.completion)})
 	}
 	for id := range places {
-		e.note(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_RELEASED.Enum(), Dispatch: proto.String(id), Completion: proto.String(completionOf(id)), Detail: proto.String("lost")})
+		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_RELEASED.Enum(), Dispatch: proto.String(id), Completion: proto.String(completionID(id)), Detail: proto.String("lost")})
 	}
 }
 
 // Flush drops a share of the kept text.
-func (e *Engine) Flush(share float64) {
+func (e *Engine) EvictPrefixes(share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := int(share * float64(e.order.Len()))
+	n := int(share * float64(e.blockOrder.Len()))
 	for range n {
-		last := e.order.Back()
-		delete(e.kept, last.Value.(uint64))
-		e.order.Remove(last)
+		last := e.blockOrder.Back()
+		delete(e.cachedBlocks, last.Value.(uint64))
+		e.blockOrder.Remove(last)
 	}
 }
 
 // change changes the troubles in force.
-func (e *Engine) change(f func(*ills)) {
+func (e *Engine) setFaults(f func(*faults)) {
 	e.mu.Lock()
-	was := e.ills.silent || e.ills.paused
-	f(&e.ills)
-	is := e.ills.silent || e.ills.paused
+	was := e.faults.silent || e.faults.paused
+	f(&e.faults)
+	is := e.faults.silent || e.faults.paused
 	if was && !is {
-		close(e.changed)
-		e.changed = make(chan struct{})
+		close(e.reachableAgain)
+		e.reachableAgain = make(chan struct{})
 	}
 	e.mu.Unlock()
 	if was != is {
@@ -225,42 +225,46 @@
 		if is {
 			kind = pb.EngineEvent_DEAF
 		}
-		e.note(&pb.EngineEvent{Kind: kind.Enum()})
+		e.record(&pb.EngineEvent{Kind: kind.Enum()})
 	}
 }
 
 // Fails makes a share of completions fail at once.
-func (e *Engine) Fails(share float64) { e.change(func(i *ills) { i.fails = share }) }
+func (e *Engine) SetFailureShare(share float64) {
+	e.setFaults(func(i *faults) { i.failureShare = share })
+}
 
 // Slow makes all its work so many times longer; 1 is as usual.
-func (e *Engine) Slow(times float64) { e.change(func(i *ills) { i.slower = times }) }
+func (e *Engine) SetSlowdown(times float64) { e.setFaults(func(i *faults) { i.slowdown = times }) }
 
 // Silent makes it take what comes and answer nothing; what it took meanwhile is never answered.
-func (e *Engine) Silent(so bool) { e.change(func(i *ills) { i.silent = so }) }
+func (e *Engine) SetSilent(so bool) { e.setFaults(func(i *faults) { i.silent = so }) }
 
 // Paused makes it stand still, and go on.
-func (e *Engine) Paused(so bool) { e.change(func(i *ills) { i.paused = so }) }
+func (e *Engine) SetPaused(so bool) { e.setFaults(func(i *faults) { i.paused = so }) }
 
 // Breaks makes a share of answers break in the middle.
-func (e *Engine) Breaks(share float64) { e.change(func(i *ills) { i.breaks = share }) }
+func (e *Engine) SetBrokenShare(share float64) {
+	e.setFaults(func(i *faults) { i.brokenShare = share })
+}
 
 // Loses makes a share of answers never come; the work is done, probes are answered.
-func (e *Engine) Loses(share float64) { e.change(func(i *ills) { i.loses = share }) }
+func (e *Engine) SetLostShare(share float64) { e.setFaults(func(i *faults) { i.lostShare = share }) }
 
 // FailsWorkload makes one workload fail, by its name; none for "".
-func (e *Engine) FailsWorkload(name string) {
+func (e *Engine) SetFailingWorkload(name string) {
 	index := -1
 	if w, known := e.fleet.workloads[name]; known {
 		index = w.index
 	}
-	e.change(func(i *ills) { i.failsModel = index })
+	e.setFaults(func(i *faults) { i.failingWorkload = index })
 }
 
 // hear waits until the engine hears the peer. False: the peer has gone, or it never will.
-func (e *Engine) hear(ctx context.Context, peer place) bool {
+func (e *Engine) awaitReachable(ctx context.Context, peer peer) bool {
 	for {
 		e.mu.Lock()
-		silent, deaf, changed, life := e.ills.silent, e.ills.paused, e.changed, e.life
+		silent, deaf, changed, life := e.faults.silent, e.faults.paused, e.reachableAgain, e.lifetime
 		e.mu.Unlock()
 		if silent {
 			select {
@@ -269,7 +273,7 @@
 			}
 			return false
 		}
-		cut := peer.zone != "" && !e.fleet.passes(peer.zone, e.set.GetZone())
+		cut := peer.zone != "" && !e.fleet.connected(peer.zone, e.settings.GetZone())
 		if !deaf && !cut {
 			return ctx.Err() == nil && life.Err() == nil
 		}
@@ -285,10 +289,10 @@
 }
 
 // alive ends when the engine goes down.
-func (e *Engine) alive() context.Context {
+func (e *Engine) lifetimeContext() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.lifetime
 }
 
 // sleep stands for work, which stops when the peer goes or the engine dies.
@@ -303,13 +307,13 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-e.alive().Done():
+	case <-e.lifetimeContext().Done():
 		return errDown
 	}
 }
 
 // blocks are the hashes of a prompt's blocks, each over all that comes before it.
-func blocks(prompt string) []uint64 {
+func blockHashes(prompt string) []uint64 {
 	h, all := xxhash.New(), []uint64(nil)
 	for at := 0; at+blockBytes <= len(prompt); at += blockBytes {
 		h.WriteString(prompt[at : at+blockBytes]) //nolint:errcheck // never fails
@@ -319,69 +323,69 @@
 }
 
 // cached is how many of a prompt's tokens are kept; they count as used now.
-func (e *Engine) cached(b []uint64) float64 {
+func (e *Engine) countCachedTokens(b []uint64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
 	for _, hash := range b {
-		at, kept := e.kept[hash]
+		at, kept := e.cachedBlocks[hash]
 		if !kept {
 			break
 		}
-		e.order.MoveToFront(at)
+		e.blockOrder.MoveToFront(at)
 		n++
 	}
 	return float64(n * blockTokens)
 }
 
 // keep keeps a prompt's blocks, pushing out the oldest for which memory has no room.
-func (e *Engine) keep(b []uint64) {
+func (e *Engine) cachePrefix(b []uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, hash := range b {
-		if at, kept := e.kept[hash]; kept {
-			e.order.MoveToFront(at)
+		if at, kept := e.cachedBlocks[hash]; kept {
+			e.blockOrder.MoveToFront(at)
 		} else {
-			e.kept[hash] = e.order.PushFront(hash)
+			e.cachedBlocks[hash] = e.blockOrder.PushFront(hash)
 		}
 	}
-	room := max(e.set.GetMemoryTokens()*0.1, e.set.GetMemoryTokens()-e.used)
-	for float64(e.order.Len()*blockTokens) > room {
-		last := e.order.Back()
-		delete(e.kept, last.Value.(uint64))
-		e.order.Remove(last)
+	room := max(e.settings.GetMemoryTokens()*0.1, e.settings.GetMemoryTokens()-e.usedTokens)
+	for float64(e.blockOrder.Len()*blockTokens) > room {
+		last := e.blockOrder.Back()
+		delete(e.cachedBlocks, last.Value.(uint64))
+		e.blockOrder.Remove(last)
 	}
 }
 
 // read reads so many tokens in the engine's one lane, after what is before them.
-func (e *Engine) read(ctx context.Context, tokens float64) error {
+func (e *Engine) prefill(ctx context.Context, tokens float64) error {
 	e.mu.Lock()
 	now := time.Now()
-	if e.laneFree.Before(now) {
-		e.laneFree = now
+	if e.prefillFreeAt.Before(now) {
+		e.prefillFreeAt = now
 	}
-	d := time.Duration(tokens / e.set.GetReadTokensPerS() * e.ills.slower / e.share() * float64(time.Second))
-	e.laneFree = e.laneFree.Add(d)
-	until := e.laneFree
-	e.unread += tokens
+	d := time.Duration(tokens / e.settings.GetReadTokensPerS() * e.faults.slowdown / e.capacityShare() * float64(time.Second))
+	e.prefillFreeAt = e.prefillFreeAt.Add(d)
+	until := e.prefillFreeAt
+	e.unreadTokens += tokens
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		e.unread = max(0, e.unread-tokens)
+		e.unreadTokens = max(0, e.unreadTokens-tokens)
 		e.mu.Unlock()
 	}()
 	return e.sleep(ctx, time.Until(until))
 }
 
 // Unread is how many tokens wait to be read.
-func (e *Engine) Unread() float64 {
+func (e *Engine) UnreadTokens() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.unread
+	return e.unreadTokens
 }
 
 // share is the share of its capacity that the engine has: a cold one warms up evenly.
-func (e *Engine) share() float64 {
+func (e *Engine) capacityShare() float64 {
 	c := e.fleet.settings.GetCold()
 	if e.started.IsZero() || c.GetWarmS() <= 0 {
 		return 1
@@ -393,14 +397,14 @@
 var errFull = errors.New("no slot and no room to wait")
 
 // enter waits for a slot.
-func (e *Engine) enter(ctx context.Context) error {
+func (e *Engine) acquireSlot(ctx context.Context) error {
 	e.mu.Lock()
-	if e.running < int(e.set.GetSlots()) {
+	if e.running < int(e.settings.GetSlots()) {
 		e.running++
 		e.mu.Unlock()
 		return nil
 	}
-	if len(e.waiting) >= int(e.set.GetQueue()) {
+	if len(e.waiting) >= int(e.settings.GetQueue()) {
 		e.mu.Unlock()
 		return errFull
 	}
@@ -411,7 +415,7 @@
 	case <-turn:
 		return nil
 	case <-ctx.Done():
-	case <-e.alive().Done():
+	case <-e.lifetimeContext().Done():
 	}
 	e.mu.Lock()
 	for i, w := range e.waiting {
@@ -422,11 +426,11 @@
 		}
 	}
 	e.mu.Unlock()
-	e.leave() // its turn came in the same instant
+	e.releaseSlot() // its turn came in the same instant
 	return context.Canceled
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.waiting) > 0 {
@@ -438,106 +442,106 @@
 }
 
 // take takes memory; false: there is none.
-func (e *Engine) take(tokens float64) bool {
+func (e *Engine) allocate(tokens float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.used+tokens > e.set.GetMemoryTokens() {
+	if e.usedTokens+tokens > e.settings.GetMemoryTokens() {
 		return false
 	}
-	e.used += tokens
+	e.usedTokens += tokens
 	return true
 }
 
-func (e *Engine) giveBack(tokens float64) {
+func (e *Engine) free(tokens float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.used = max(0, e.used-tokens)
+	e.usedTokens = max(0, e.usedTokens-tokens)
 }
 
 // pushed books work sent to a cold engine, and tells whether that made it fall over: more than the multiple
 // of what it can do now, over the window, most of it by routers that knew that it had started.
-func (e *Engine) pushed(seconds float64, told bool) bool {
+func (e *Engine) addColdWork(seconds float64, told bool) bool {
 	c := e.fleet.settings.GetCold()
 	e.mu.Lock()
-	share := e.share()
+	share := e.capacityShare()
 	if share >= 1 || c.GetFallWindowS() <= 0 {
 		e.mu.Unlock()
 		return false
 	}
 	now := time.Now()
-	e.pushes = append(e.pushes, push{now, seconds, told})
+	e.recentWork = append(e.recentWork, coldWork{now, seconds, told})
 	sum, known := 0.0, 0.0
-	kept := e.pushes[:0]
-	for _, p := range e.pushes {
+	kept := e.recentWork[:0]
+	for _, p := range e.recentWork {
 		if now.Sub(p.at).Seconds() <= c.GetFallWindowS() {
 			kept = append(kept, p)
-			sum += p.work
-			if p.told {
-				known += p.work
+			sum += p.seconds
+			if p.knewStart {
+				known += p.seconds
 			}
 		}
 	}
-	e.pushes = kept
+	e.recentWork = kept
 	falls := sum > c.GetFallMultiple()*share*c.GetFallWindowS()
 	if falls {
-		e.fallen = true
+		e.crashed = true
 	}
 	e.mu.Unlock()
 	if falls {
-		e.note(&pb.EngineEvent{Kind: pb.EngineEvent_FELL.Enum(),
+		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_FELL.Enum(),
 			Detail: proto.String(fmt.Sprintf("%.2f s of work in %.1f s, %.0f%% by routers told of its start", sum, c.GetFallWindowS(), 100*known/sum)),
-			Cold:   proto.Bool(known >= toldShare*sum)})
+			Cold:   proto.Bool(known >= knewStartShare*sum)})
 	}
 	return falls
 }
 
 // hold keeps a read's state.
-func (e *Engine) hold(id, completion string, tokens float64) {
-	s := &state{tokens: tokens, name: completion}
-	s.expires = time.AfterFunc(stateExpires, func() { e.drop(id, pb.EngineEvent_STATE_EXPIRED) })
+func (e *Engine) holdState(id, completion string, tokens float64) {
+	s := &state{tokens: tokens, completion: completion}
+	s.expires = time.AfterFunc(stateLifetime, func() { e.release(id, pb.EngineEvent_STATE_EXPIRED) })
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.states[id] = s
-	e.note(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_HELD.Enum(), Dispatch: proto.String(id), Completion: proto.String(completion)})
+	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_HELD.Enum(), Dispatch: proto.String(id), Completion: proto.String(completion)})
 }
 
 // drop ends a state, or a place, and tells whether there was one. What is held and what ends is recorded under the lock
 // that guards it: the record's order is the order in which it happened.
-func (e *Engine) drop(id string, how pb.EngineEvent_Kind) bool {
+func (e *Engine) release(id string, how pb.EngineEvent_Kind) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.states[id]
-	place, held := e.places[id]
+	place, held := e.reservations[id]
 	delete(e.states, id)
-	delete(e.places, id)
+	delete(e.reservations, id)
 	if s != nil {
-		e.used = max(0, e.used-s.tokens)
+		e.usedTokens = max(0, e.usedTokens-s.tokens)
 	}
 	if held {
-		e.used = max(0, e.used-place)
+		e.usedTokens = max(0, e.usedTokens-place)
 	}
 	if s != nil {
 		s.expires.Stop()
-		e.note(&pb.EngineEvent{Kind: how.Enum(), Dispatch: proto.String(id), Completion: proto.String(s.name)})
+		e.record(&pb.EngineEvent{Kind: how.Enum(), Dispatch: proto.String(id), Completion: proto.String(s.completion)})
 	}
 	if held {
 		kind := pb.EngineEvent_PLACE_RELEASED
 		if how == pb.EngineEvent_STATE_TAKEN {
 			kind = pb.EngineEvent_PLACE_TAKEN
 		}
-		e.note(&pb.EngineEvent{Kind: kind.Enum(), Dispatch: proto.String(id), Completion: proto.String(completionOf(id))})
+		e.record(&pb.EngineEvent{Kind: kind.Enum(), Dispatch: proto.String(id), Completion: proto.String(completionID(id))})
 	}
 	return s != nil || held
 }
 
-func (e *Engine) stateOf(id string) *state {
+func (e *Engine) heldState(id string) *state {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.states[id]
 }
 
 // completionOf is the completion of a dispatch's id: all before the last dash.
-func completionOf(id string) string {
+func completionID(id string) string {
 	if i := strings.LastIndexByte(id, '-'); i > 0 {
 		return id[:i]
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -25,34 +25,34 @@
 
 // Fleet is a set of engines and their list.
 type Fleet struct {
-	List    *List
+	List    *ListService
 	Engines []*Engine
 
-	listen    func(address string) (net.Listener, error)
-	settings  *pb.Fleet
-	record    Recorder
-	workloads map[string]work // by model
-	mu        sync.Mutex
-	rng       *rand.Rand
-	links     float64 // times that transfers are slower
-	cut       string  // the zone that is cut off, while isCut
-	isCut     bool
-	routers   map[string]place     // by the address they dial from
-	seen      map[string]time.Time // tokened work that ran, by group and key
-	longest   time.Duration        // that any workload's group remembers
-	sweepAt   int                  // entries of seen at which the forgotten ones go
+	listen           func(address string) (net.Listener, error)
+	settings         *pb.Fleet
+	recorder         Recorder
+	workloads        map[string]workload // by model
+	mu               sync.Mutex
+	rng              *rand.Rand
+	transferSlowdown float64 // times that transfers are slower
+	isolatedZone     string  // the zone that is cut off, while isCut
+	isolated         bool
+	routers          map[string]peer      // by the address they dial from
+	dedupSeen        map[string]time.Time // tokened work that ran, by group and key
+	maxDedupWindow   time.Duration        // that any workload's group remembers
+	sweepSize        int                  // entries of seen at which the forgotten ones go
 }
 
-type place struct{ name, zone string }
+type peer struct{ name, zone string }
 
-type work struct {
-	index int
-	w     *pb.Workload
+type workload struct {
+	index    int
+	settings *pb.Workload
 }
 
 // Start starts a fleet for a router's workloads on loopback.
 func Start(f *pb.Fleet, workloads []*pb.Workload, record Recorder) (*Fleet, error) {
-	return StartOn(listenTCP, f, workloads, record)
+	return StartWithListener(listenTCP, f, workloads, record)
 }
 
 // listenTCP picks a port that stays free for the same server's return where none is asked for.
@@ -64,18 +64,18 @@
 }
 
 // StartOn is Start on any kind of listener.
-func StartOn(listen func(address string) (net.Listener, error), f *pb.Fleet, workloads []*pb.Workload, record Recorder) (*Fleet, error) {
-	fl := &Fleet{listen: listen, settings: f, record: record, workloads: map[string]work{}, links: 1,
-		rng: rand.New(rand.NewPCG(f.GetSeed(), 1)), routers: map[string]place{}, seen: map[string]time.Time{}, sweepAt: 1024}
+func StartWithListener(listen func(address string) (net.Listener, error), f *pb.Fleet, workloads []*pb.Workload, record Recorder) (*Fleet, error) {
+	fl := &Fleet{listen: listen, settings: f, recorder: record, workloads: map[string]workload{}, transferSlowdown: 1,
+		rng: rand.New(rand.NewPCG(f.GetSeed(), 1)), routers: map[string]peer{}, dedupSeen: map[string]time.Time{}, sweepSize: 1024}
 	for i, w := range workloads {
-		fl.longest = max(fl.longest, time.Duration(w.GetRememberedS()*float64(time.Second)))
-		fl.workloads[w.GetName()] = work{i, w}
+		fl.maxDedupWindow = max(fl.maxDedupWindow, time.Duration(w.GetRememberedS()*float64(time.Second)))
+		fl.workloads[w.GetName()] = workload{i, w}
 		for _, m := range w.GetModels() {
-			fl.workloads[m] = work{i, w}
+			fl.workloads[m] = workload{i, w}
 		}
 	}
 	var err error
-	if fl.List, err = startList(fl, f.GetListListen(), time.Duration(f.GetListDelayS()*float64(time.Second))); err != nil {
+	if fl.List, err = startListService(fl, f.GetListListen(), time.Duration(f.GetListDelayS()*float64(time.Second))); err != nil {
 		return nil, err
 	}
 	for _, s := range f.GetEngines() {
@@ -103,29 +103,29 @@
 func (f *Fleet) Close() error {
 	err := f.List.Close()
 	for _, e := range f.Engines {
-		e.hangUp()
+		e.stopServing()
 	}
 	return err
 }
 
 // Router tells the fleet that a router dials from an address, so that it can be told in records and cut off.
-func (f *Fleet) Router(address, name, zone string) {
+func (f *Fleet) RegisterRouter(address, name, zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.routers[address] = place{name, zone}
+	f.routers[address] = peer{name, zone}
 }
 
 // Find is the engines of a name: one, or a whole set's.
-func (f *Fleet) Find(name string) (found []*Engine) {
+func (f *Fleet) FindEngines(name string) (found []*Engine) {
 	for _, e := range f.Engines {
-		if e.name == name || e.set.GetName() == name {
+		if e.name == name || e.settings.GetName() == name {
 			found = append(found, e)
 		}
 	}
 	return found
 }
 
-func (f *Fleet) at(address string) *Engine {
+func (f *Fleet) engineAt(address string) *Engine {
 	for _, e := range f.Engines {
 		if e.address == address {
 			return e
@@ -134,99 +134,99 @@
 	return nil
 }
 
-func (f *Fleet) write(e *pb.Entry) {
-	if f.record != nil {
-		f.record.Write(e)
+func (f *Fleet) writeEntry(e *pb.Entry) {
+	if f.recorder != nil {
+		f.recorder.Write(e)
 	}
 }
 
-func (f *Fleet) chance() float64 {
+func (f *Fleet) randomShare() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.Float64()
 }
 
 // SlowLinks makes transfers so many times slower; 1 is as usual.
-func (f *Fleet) SlowLinks(times float64) {
+func (f *Fleet) SetTransferSlowdown(times float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.links = times
+	f.transferSlowdown = times
 }
 
 // Cut cuts a zone off from the others until Heal.
-func (f *Fleet) Cut(zone string) {
+func (f *Fleet) IsolateZone(zone string) {
 	f.mu.Lock()
-	f.cut, f.isCut = zone, true
+	f.isolatedZone, f.isolated = zone, true
 	f.mu.Unlock()
-	f.noteCut(pb.EngineEvent_DEAF)
+	f.recordIsolation(pb.EngineEvent_DEAF)
 }
 
 // Heal ends a cut.
-func (f *Fleet) Heal() {
+func (f *Fleet) EndIsolation() {
 	f.mu.Lock()
-	f.isCut = false
+	f.isolated = false
 	f.mu.Unlock()
-	f.noteCut(pb.EngineEvent_HEARS)
+	f.recordIsolation(pb.EngineEvent_HEARS)
 }
 
-func (f *Fleet) noteCut(kind pb.EngineEvent_Kind) {
+func (f *Fleet) recordIsolation(kind pb.EngineEvent_Kind) {
 	f.mu.Lock()
-	cut, routers := f.cut, map[string]place{}
+	cut, routers := f.isolatedZone, map[string]peer{}
 	for a, p := range f.routers {
 		routers[a] = p
 	}
 	f.mu.Unlock()
 	for _, e := range f.Engines {
 		for _, p := range routers {
-			if (p.zone == cut) != (e.set.GetZone() == cut) {
-				e.note(&pb.EngineEvent{Kind: kind.Enum(), Peer: proto.String(p.name)})
+			if (p.zone == cut) != (e.settings.GetZone() == cut) {
+				e.record(&pb.EngineEvent{Kind: kind.Enum(), Peer: proto.String(p.name)})
 			}
 		}
 	}
 }
 
 // passes tells whether two zones hear each other.
-func (f *Fleet) passes(a, b string) bool {
+func (f *Fleet) connected(a, b string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.isCut || (a == f.cut) == (b == f.cut)
+	return !f.isolated || (a == f.isolatedZone) == (b == f.isolatedZone)
 }
 
-func (f *Fleet) placeOf(address string) place {
+func (f *Fleet) peerAt(address string) peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p, known := f.routers[address]; known {
 		return p
 	}
-	return place{name: address}
+	return peer{name: address}
 }
 
 // first tells whether tokened work is new to a group, and books it. Non-idempotent work has no such memory.
-func (f *Fleet) first(e *Engine, w work, key string) bool {
-	if w.w.GetEffect() != pb.Effect_TOKENED || key == "" {
+func (f *Fleet) isFirstRun(e *Engine, w workload, key string) bool {
+	if w.settings.GetEffect() != pb.Effect_TOKENED || key == "" {
 		return true
 	}
 	group := strconv.Itoa(w.index) + "/" + key
-	switch w.w.GetGroup() {
+	switch w.settings.GetGroup() {
 	case pb.Group_ZONE:
-		group = e.set.GetZone() + "/" + group
+		group = e.settings.GetZone() + "/" + group
 	case pb.Group_CELL:
-		group = e.set.GetZone() + "/" + e.cell + "/" + group
+		group = e.settings.GetZone() + "/" + e.cell + "/" + group
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, known := f.seen[group]
-	known = known && time.Since(at).Seconds() < w.w.GetRememberedS()
+	at, known := f.dedupSeen[group]
+	known = known && time.Since(at).Seconds() < w.settings.GetRememberedS()
 	if !known {
-		f.seen[group] = time.Now()
+		f.dedupSeen[group] = time.Now()
 	}
-	if len(f.seen) >= f.sweepAt { // what no group remembers any more
-		for k, s := range f.seen { // the order does not matter: each is its own
-			if !time.Now().Before(s.Add(f.longest)) {
-				delete(f.seen, k)
+	if len(f.dedupSeen) >= f.sweepSize { // what no group remembers any more
+		for k, s := range f.dedupSeen { // the order does not matter: each is its own
+			if !time.Now().Before(s.Add(f.maxDedupWindow)) {
+				delete(f.dedupSeen, k)
 			}
 		}
-		f.sweepAt = max(1024, 2*len(f.seen))
+		f.sweepSize = max(1024, 2*len(f.dedupSeen))
 	}
 	return !known
 }
@@ -235,8 +235,8 @@
 func (f *Fleet) transferTime(from, to *Engine, tokens float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := tokens / f.settings.GetFetchTokensPerS() * f.links
-	if from.cell != to.cell || from.set.GetZone() != to.set.GetZone() {
+	s := tokens / f.settings.GetFetchTokensPerS() * f.transferSlowdown
+	if from.cell != to.cell || from.settings.GetZone() != to.settings.GetZone() {
 		s *= f.settings.GetFarSlower()
 	}
 	return time.Duration(s * float64(time.Second))
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -20,18 +20,18 @@
 // TestSeenIsBounded: what a group remembers of tokened work goes when its time is over, and not before.
 func TestSeenIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := work{0, &pb.Workload{Effect: pb.Effect_TOKENED.Enum(), RememberedS: proto.Float64(2)}}
-		f := &Fleet{seen: map[string]time.Time{}, longest: 2 * time.Second, sweepAt: 1024}
-		e := &Engine{fleet: f, set: &pb.EngineSet{}}
+		w := workload{0, &pb.Workload{Effect: pb.Effect_TOKENED.Enum(), RememberedS: proto.Float64(2)}}
+		f := &Fleet{dedupSeen: map[string]time.Time{}, maxDedupWindow: 2 * time.Second, sweepSize: 1024}
+		e := &Engine{fleet: f, settings: &pb.EngineSet{}}
 		for i := range 50000 {
-			require.True(t, f.first(e, w, strconv.Itoa(i)))
+			require.True(t, f.isFirstRun(e, w, strconv.Itoa(i)))
 			if i >= 1900 {
-				require.False(t, f.first(e, w, strconv.Itoa(i-1900)), "it ran 1.9 s ago")
+				require.False(t, f.isFirstRun(e, w, strconv.Itoa(i-1900)), "it ran 1.9 s ago")
 			}
 			time.Sleep(time.Millisecond)
-			require.LessOrEqual(t, len(f.seen), 4*2000+1024)
+			require.LessOrEqual(t, len(f.dedupSeen), 4*2000+1024)
 		}
-		assert.Greater(t, len(f.seen), 1900)
+		assert.Greater(t, len(f.dedupSeen), 1900)
 	})
 }
 
@@ -52,18 +52,18 @@
 func TestHeldBeforeItEnds(t *testing.T) {
 	const places = 3000
 	entries := &entryList{}
-	f := &Fleet{record: entries, routers: map[string]place{}}
+	f := &Fleet{recorder: entries, routers: map[string]peer{}}
 	e := newEngine(f, &pb.EngineSet{Slots: proto.Int32(1 << 20), MemoryTokens: proto.Float64(1e9)}, "e", "c")
-	e.up, e.life = true, context.Background()
+	e.up, e.lifetime = true, context.Background()
 	for i := range places {
 		id := "x" + strconv.Itoa(i) + "-place"
 		var both sync.WaitGroup
 		both.Go(func() {
 			call := httptest.NewRequest("POST", "/v1/kv_places", strings.NewReader(`{"id":"`+id+`","prompt_tokens":1,"lease_ms":60000}`))
-			e.servePlace(httptest.NewRecorder(), call)
+			e.serveReservation(httptest.NewRecorder(), call)
 		})
 		both.Go(func() {
-			for !e.drop(id, pb.EngineEvent_STATE_TAKEN) { // until it is there
+			for !e.release(id, pb.EngineEvent_STATE_TAKEN) { // until it is there
 			}
 		})
 		both.Wait()
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -16,19 +16,19 @@
 )
 
 // List is a list service: it pushes full lists and changes to routers, late where it is told so.
-type List struct {
+type ListService struct {
 	fleet  *Fleet
 	server *http.Server
 	ln     net.Listener
 	epoch  int64
 
-	mu      sync.Mutex
-	changes []change // version is the index plus 1
-	delay   time.Duration
-	empty   bool
-	gone    bool
-	round   int              // grows when watchers are to come again
-	heard   map[string]int64 // the start that a router heard of last, by router and engine
+	mu          sync.Mutex
+	changes     []change // version is the index plus 1
+	delay       time.Duration
+	empty       bool
+	unavailable bool
+	generation  int              // grows when watchers are to come again
+	knownStarts map[string]int64 // the start that a router heard of last, by router and engine
 }
 
 type change struct {
@@ -38,12 +38,12 @@
 	name    string
 }
 
-func startList(f *Fleet, address string, delay time.Duration) (*List, error) {
+func startListService(f *Fleet, address string, delay time.Duration) (*ListService, error) {
 	ln, err := f.listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("list service: %w", err)
 	}
-	l := &List{fleet: f, ln: ln, epoch: time.Now().UnixMilli(), delay: delay, heard: map[string]int64{}}
+	l := &ListService{fleet: f, ln: ln, epoch: time.Now().UnixMilli(), delay: delay, knownStarts: map[string]int64{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/engines", l.serve)
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -52,61 +52,61 @@
 }
 
 // URL is where a router finds the list.
-func (l *List) URL() string { return "http://" + l.ln.Addr().String() + "/v1/engines" }
+func (l *ListService) URL() string { return "http://" + l.ln.Addr().String() + "/v1/engines" }
 
 // Close stops the service.
-func (l *List) Close() error { return l.server.Close() }
+func (l *ListService) Close() error { return l.server.Close() }
 
 // Late makes news so much later; 0 is as usual.
-func (l *List) Late(by time.Duration) {
+func (l *ListService) SetExtraDelay(by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = time.Duration(l.fleet.settings.GetListDelayS()*float64(time.Second)) + by
 }
 
 // Empty has the service answer an empty list, or no longer.
-func (l *List) Empty(so bool) {
+func (l *ListService) SetEmpty(so bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.empty = so
-	l.round++
+	l.generation++
 }
 
 // Gone has the service refuse everybody, or no longer.
-func (l *List) Gone(so bool) {
+func (l *ListService) SetUnavailable(so bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gone = so
-	l.round++
+	l.unavailable = so
+	l.generation++
 }
 
 // publish tells of an engine's phase.
-func (l *List) publish(e *Engine, phase string) {
+func (l *ListService) publish(e *Engine, phase string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.put(e, phase, time.Now())
+	l.appendChange(e, phase, time.Now())
 }
 
 // publishAll tells of all engines at once, without delay: they were there before the day.
-func (l *List) publishAll() {
+func (l *ListService) publishAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.fleet.Engines {
-		l.put(e, "ready", time.Time{})
+		l.appendChange(e, "ready", time.Time{})
 	}
 }
 
-func (l *List) put(e *Engine, phase string, at time.Time) {
-	c := change{at: at, started: e.startedAt(), name: e.name, engine: fleet.Engine{Address: e.address, Zone: e.set.GetZone(),
-		Cell: e.cell, Machine: e.set.GetMachine(), Phase: phase}}
+func (l *ListService) appendChange(e *Engine, phase string, at time.Time) {
+	c := change{at: at, started: e.startedAt(), name: e.name, engine: fleet.Engine{Address: e.address, Zone: e.settings.GetZone(),
+		Cell: e.cell, MachineKind: e.settings.GetMachine(), Phase: phase}}
 	if !c.started.IsZero() {
-		c.engine.Start = c.started.UnixMilli()
+		c.engine.StartID = c.started.UnixMilli()
 	}
 	l.changes = append(l.changes, c)
 }
 
 // visible is the version that routers may see now.
-func (l *List) visible() int {
+func (l *ListService) visibleVersion() int {
 	v := 0
 	for v < len(l.changes) && (l.changes[v].at.IsZero() || time.Since(l.changes[v].at) >= l.delay) {
 		v++
@@ -114,11 +114,11 @@
 	return v
 }
 
-func (l *List) serve(w http.ResponseWriter, r *http.Request) {
+func (l *ListService) serve(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	peer := l.fleet.placeOf(host).name
+	peer := l.fleet.peerAt(host).name
 	l.mu.Lock()
-	gone, round := l.gone, l.round
+	gone, round := l.unavailable, l.generation
 	l.mu.Unlock()
 	if gone {
 		http.Error(w, "gone", http.StatusServiceUnavailable)
@@ -129,11 +129,11 @@
 	defer tick.Stop()
 	alive := time.Now()
 	for {
-		lines, told, again := l.news(peer, round, &sent, !whole, &alive)
+		lines, told, again := l.nextLines(peer, round, &sent, !whole, &alive)
 		whole = true
 		for _, c := range told { // before they are written: from here on the router may know
-			l.fleet.write(&pb.Entry{What: &pb.Entry_List{List: &pb.ListEvent{Router: proto.String(peer), Engine: proto.String(c.name),
-				Phase: proto.Int32(map[string]int32{"gone": 0, "ready": 1, "draining": 2}[c.engine.Phase]), StartedS: proto.Float64(age(c.started))}}})
+			l.fleet.writeEntry(&pb.Entry{What: &pb.Entry_List{List: &pb.ListEvent{Router: proto.String(peer), Engine: proto.String(c.name),
+				Phase: proto.Int32(map[string]int32{"gone": 0, "ready": 1, "draining": 2}[c.engine.Phase]), StartedS: proto.Float64(ageSeconds(c.started))}}})
 		}
 		for _, line := range lines {
 			b, err := json.Marshal(line)
@@ -161,7 +161,7 @@
 }
 
 // age is how long ago an engine started, in seconds, below 0 for long ago.
-func age(started time.Time) float64 {
+func ageSeconds(started time.Time) float64 {
 	if started.IsZero() {
 		return -1
 	}
@@ -169,17 +169,17 @@
 }
 
 // news is what a watcher is to be told now.
-func (l *List) news(peer string, round int, sent *int, first bool, alive *time.Time) (lines []fleet.Line, told []change, again bool) {
+func (l *ListService) nextLines(peer string, round int, sent *int, first bool, alive *time.Time) (lines []fleet.Line, told []change, again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.round != round {
+	if l.generation != round {
 		return nil, nil, true
 	}
-	version := max(l.visible(), *sent) // told is told, though news is late from now on
+	version := max(l.visibleVersion(), *sent) // told is told, though news is late from now on
 	entry := func(c change) fleet.Engine {
 		e := c.engine
-		if a := age(c.started); a >= 0 {
-			e.Age = &a
+		if a := ageSeconds(c.started); a >= 0 {
+			e.AgeSeconds = &a
 		}
 		return e
 	}
@@ -211,7 +211,7 @@
 		*alive = time.Now()
 	}
 	for _, c := range told {
-		l.heard[peer+"/"+c.name] = c.engine.Start
+		l.knownStarts[peer+"/"+c.name] = c.engine.StartID
 	}
 	*sent = version
 	return lines, told, false
@@ -220,8 +220,8 @@
 var errDown = errors.New("engine is down")
 
 // told tells whether a router has heard of an engine's start.
-func (l *List) told(router, engine string, started time.Time) bool {
+func (l *ListService) knowsStart(router, engine string, started time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard[router+"/"+engine] == started.UnixMilli()
+	return l.knownStarts[router+"/"+engine] == started.UnixMilli()
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -19,7 +19,7 @@
 )
 
 // chatCall is what an engine reads of a chat call.
-type chatCall struct {
+type chatRequest struct {
 	Model    string `json:"model"`
 	Messages []struct {
 		Role    string          `json:"role"`
@@ -29,13 +29,13 @@
 	StreamOptions struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	MaxTokens           int       `json:"max_tokens"`
-	MaxCompletionTokens int       `json:"max_completion_tokens"`
-	Transfer            *transfer `json:"kv_transfer_params"`
+	MaxTokens           int             `json:"max_tokens"`
+	MaxCompletionTokens int             `json:"max_completion_tokens"`
+	TransferParams      *transferParams `json:"kv_transfer_params"`
 }
 
 // transfer is vLLM's kv_transfer_params.
-type transfer struct {
+type transferParams struct {
 	DoRemoteDecode  bool   `json:"do_remote_decode"`
 	DoRemotePrefill bool   `json:"do_remote_prefill"`
 	RemoteEngineID  string `json:"remote_engine_id,omitempty"`
@@ -46,94 +46,94 @@
 }
 
 // job is one dispatch at an engine.
-type job struct {
-	e      *Engine
-	call   *chatCall
-	work   work
-	id     string // of the dispatch
-	name   string // of the completion
-	key    string
-	peer   place
-	prompt string
-	tokens float64
-	blocks []uint64
-	cached float64
-	answer int
-	reads  bool
+type dispatch struct {
+	engine       *Engine
+	request      *chatRequest
+	workload     workload
+	id           string // of the dispatch
+	completion   string // of the completion
+	key          string
+	peer         peer
+	prompt       string
+	promptTokens float64
+	blocks       []uint64
+	cachedTokens float64
+	answerTokens int
+	isRead       bool
 }
 
-func (j *job) note(kind pb.EngineEvent_Kind, detail string) {
+func (j *dispatch) record(kind pb.EngineEvent_Kind, detail string) {
 	role := pb.Role_WRITER
-	if j.reads {
+	if j.isRead {
 		role = pb.Role_READER
 	}
-	j.e.note(&pb.EngineEvent{Kind: kind.Enum(), Completion: proto.String(j.name), Dispatch: proto.String(j.id), Key: proto.String(j.key),
-		Peer: proto.String(j.peer.name), Role: role.Enum(), Workload: proto.Int32(int32(j.work.index)),
-		WorkS: proto.Float64(j.seconds()), Detail: proto.String(detail)})
+	j.engine.record(&pb.EngineEvent{Kind: kind.Enum(), Completion: proto.String(j.completion), Dispatch: proto.String(j.id), Key: proto.String(j.key),
+		Peer: proto.String(j.peer.name), Role: role.Enum(), Workload: proto.Int32(int32(j.workload.index)),
+		WorkS: proto.Float64(j.workSeconds()), Detail: proto.String(detail)})
 }
 
 // seconds is the job's work, as a part of the warm engine's whole capacity.
-func (j *job) seconds() float64 {
-	s := j.e.set
+func (j *dispatch) workSeconds() float64 {
+	s := j.engine.settings
 	work := 0.0
-	if j.reads || j.call.Transfer == nil || !j.call.Transfer.DoRemotePrefill {
-		work = max(0, j.tokens-j.cached) / s.GetReadTokensPerS()
+	if j.isRead || j.request.TransferParams == nil || !j.request.TransferParams.DoRemotePrefill {
+		work = max(0, j.promptTokens-j.cachedTokens) / s.GetReadTokensPerS()
 	}
-	if !j.reads {
-		work += float64(j.answer) * s.GetTokenMs() / 1000 / float64(s.GetSlots())
+	if !j.isRead {
+		work += float64(j.answerTokens) * s.GetTokenMs() / 1000 / float64(s.GetSlots())
 	}
 	return work
 }
 
-func fail(w http.ResponseWriter, status int, format string, a ...any) {
+func writeError(w http.ResponseWriter, status int, format string, a ...any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(map[string]any{"error": map[string]any{"message": fmt.Sprintf(format, a...), "code": status}}) //nolint:errcheck // the peer left
 }
 
-func (e *Engine) peer(r *http.Request) place {
+func (e *Engine) peerOf(r *http.Request) peer {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	return e.fleet.placeOf(host)
+	return e.fleet.peerAt(host)
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
-	peer := e.peer(r)
+	peer := e.peerOf(r)
 	body, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
 	if err != nil {
 		return
 	}
-	j := &job{e: e, call: &chatCall{}, peer: peer, id: r.Header.Get("X-Request-Id"), key: r.Header.Get("Idempotency-Key")}
-	if err := json.Unmarshal(body, j.call); err != nil || len(j.call.Messages) == 0 {
-		fail(w, http.StatusBadRequest, "no chat call: %v", err)
+	j := &dispatch{engine: e, request: &chatRequest{}, peer: peer, id: r.Header.Get("X-Request-Id"), key: r.Header.Get("Idempotency-Key")}
+	if err := json.Unmarshal(body, j.request); err != nil || len(j.request.Messages) == 0 {
+		writeError(w, http.StatusBadRequest, "no chat call: %v", err)
 		return
 	}
-	j.name = completionOf(j.id)
+	j.completion = completionID(j.id)
 	var known bool
-	if j.work, known = e.fleet.workloads[j.call.Model]; !known {
-		fail(w, http.StatusNotFound, "no model %q", j.call.Model)
+	if j.workload, known = e.fleet.workloads[j.request.Model]; !known {
+		writeError(w, http.StatusNotFound, "no model %q", j.request.Model)
 		return
 	}
 	var prompt strings.Builder
-	for _, m := range j.call.Messages {
+	for _, m := range j.request.Messages {
 		prompt.WriteString(m.Role)
 		prompt.Write(m.Content)
 	}
 	j.prompt = prompt.String()
-	j.tokens, j.blocks = float64(len(j.prompt))/4, blocks(j.prompt)
-	j.cached = e.cached(j.blocks)
-	j.reads = j.call.Transfer != nil && j.call.Transfer.DoRemoteDecode
-	most := max(1, j.call.MaxTokens, j.call.MaxCompletionTokens)
-	j.answer = min(most, 1+int(xxhash.Sum64String(j.prompt)%uint64(2*e.set.GetMeanAnswerTokens())))
-	j.note(pb.EngineEvent_ARRIVED, "") // it is on the socket, whether the engine hears it or not
+	j.promptTokens, j.blocks = float64(len(j.prompt))/4, blockHashes(j.prompt)
+	j.cachedTokens = e.countCachedTokens(j.blocks)
+	j.isRead = j.request.TransferParams != nil && j.request.TransferParams.DoRemoteDecode
+	most := max(1, j.request.MaxTokens, j.request.MaxCompletionTokens)
+	j.answerTokens = min(most, 1+int(xxhash.Sum64String(j.prompt)%uint64(2*e.settings.GetMeanAnswerTokens())))
+	j.record(pb.EngineEvent_ARRIVED, "") // it is on the socket, whether the engine hears it or not
 	outcome := "deaf"
-	defer func() { j.note(pb.EngineEvent_ENDED, outcome) }()
-	if !e.hear(r.Context(), peer) {
+	defer func() { j.record(pb.EngineEvent_ENDED, outcome) }()
+	if !e.awaitReachable(r.Context(), peer) {
 		panic(http.ErrAbortHandler)
 	}
 	if outcome = j.admit(w); outcome != "" {
 		return
 	}
-	if j.reads {
+	if j.isRead {
 		outcome = j.serveRead(w, r)
 	} else {
 		outcome = j.serveWrite(w, r)
@@ -144,114 +144,114 @@
 }
 
 // admit turns a job away, or not: "".
-func (j *job) admit(w http.ResponseWriter) string {
-	e := j.e
+func (j *dispatch) admit(w http.ResponseWriter) string {
+	e := j.engine
 	e.mu.Lock()
-	ills, draining, started := e.ills, e.draining, e.started
+	ills, draining, started := e.faults, e.draining, e.started
 	e.mu.Unlock()
-	told := started.IsZero() || e.fleet.List.told(j.peer.name, e.name, started)
+	told := started.IsZero() || e.fleet.List.knowsStart(j.peer.name, e.name, started)
 	switch {
-	case e.pushed(j.seconds(), told):
-		go e.hangUp()
+	case e.addColdWork(j.workSeconds(), told):
+		go e.stopServing()
 		return "fell"
-	case ills.fails > 0 && e.fleet.chance() < ills.fails, ills.failsModel == j.work.index:
-		fail(w, http.StatusInternalServerError, "engine trouble")
+	case ills.failureShare > 0 && e.fleet.randomShare() < ills.failureShare, ills.failingWorkload == j.workload.index:
+		writeError(w, http.StatusInternalServerError, "engine trouble")
 		return "failed"
 	case draining:
-		fail(w, http.StatusTooManyRequests, "draining")
+		writeError(w, http.StatusTooManyRequests, "draining")
 		return "draining"
 	}
 	return ""
 }
 
 // report is the ORCA header.
-func (e *Engine) report() string {
+func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return fmt.Sprintf("TEXT named_metrics.kv_cache_usage_perc=%.4f, named_metrics.num_requests_waiting=%d, "+
-		"named_metrics.slots_used=%.4f, named_metrics.thousand_tokens_waiting=%.4f", e.used/e.set.GetMemoryTokens(), len(e.waiting),
-		float64(e.running)/float64(e.set.GetSlots()), e.unread/1000)
+		"named_metrics.slots_used=%.4f, named_metrics.thousand_tokens_waiting=%.4f", e.usedTokens/e.settings.GetMemoryTokens(), len(e.waiting),
+		float64(e.running)/float64(e.settings.GetSlots()), e.unreadTokens/1000)
 }
 
-func (j *job) serveRead(w http.ResponseWriter, r *http.Request) string {
-	e, ctx := j.e, r.Context()
-	if err := e.enter(ctx); err != nil {
+func (j *dispatch) serveRead(w http.ResponseWriter, r *http.Request) string {
+	e, ctx := j.engine, r.Context()
+	if err := e.acquireSlot(ctx); err != nil {
 		return j.refuse(w, err)
 	}
-	defer e.leave()
-	if !e.take(j.tokens) {
+	defer e.releaseSlot()
+	if !e.allocate(j.promptTokens) {
 		return j.refuse(w, errFull)
 	}
-	if err := e.read(ctx, max(0, j.tokens-j.cached)); err != nil || !e.hear(ctx, j.peer) {
-		e.giveBack(j.tokens)
+	if err := e.prefill(ctx, max(0, j.promptTokens-j.cachedTokens)); err != nil || !e.awaitReachable(ctx, j.peer) {
+		e.free(j.promptTokens)
 		return "left"
 	}
-	if j.loses() {
-		e.giveBack(j.tokens)
-		j.wait(ctx)
+	if j.losesAnswer() {
+		e.free(j.promptTokens)
+		j.waitForEnd(ctx)
 		return "lost"
 	}
-	e.keep(j.blocks)
-	e.hold(j.id, j.name, j.tokens)
+	e.cachePrefix(j.blocks)
+	e.holdState(j.id, j.completion, j.promptTokens)
 	host, port, _ := net.SplitHostPort(e.address)
 	n, _ := strconv.Atoi(port)
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Endpoint-Load-Metrics", e.report())
+	w.Header().Set("Endpoint-Load-Metrics", e.loadReport())
 	json.NewEncoder(w).Encode(map[string]any{ //nolint:errcheck // the peer left
-		"id": "chatcmpl-" + j.id, "object": "chat.completion", "created": time.Now().Unix(), "model": j.call.Model,
+		"id": "chatcmpl-" + j.id, "object": "chat.completion", "created": time.Now().Unix(), "model": j.request.Model,
 		"choices": []any{map[string]any{"index": 0, "finish_reason": "length", "message": map[string]any{"role": "assistant", "content": "a"}}},
 		"usage":   j.usage(1),
-		"kv_transfer_params": transfer{DoRemotePrefill: true, RemoteEngineID: e.name, RemoteBlockIDs: []int{1, 2}, RemoteHost: host,
+		"kv_transfer_params": transferParams{DoRemotePrefill: true, RemoteEngineID: e.name, RemoteBlockIDs: []int{1, 2}, RemoteHost: host,
 			RemotePort: n, RemoteRequestID: j.id},
 	})
 	return "done"
 }
 
-func (j *job) usage(answer int) map[string]any {
-	return map[string]any{"prompt_tokens": int(j.tokens), "completion_tokens": answer, "total_tokens": int(j.tokens) + answer,
-		"prompt_tokens_details": map[string]any{"cached_tokens": int(j.cached)}}
+func (j *dispatch) usage(answer int) map[string]any {
+	return map[string]any{"prompt_tokens": int(j.promptTokens), "completion_tokens": answer, "total_tokens": int(j.promptTokens) + answer,
+		"prompt_tokens_details": map[string]any{"cached_tokens": int(j.cachedTokens)}}
 }
 
-func (j *job) refuse(w http.ResponseWriter, err error) string {
+func (j *dispatch) refuse(w http.ResponseWriter, err error) string {
 	if errors.Is(err, errFull) {
-		fail(w, http.StatusTooManyRequests, "full")
+		writeError(w, http.StatusTooManyRequests, "full")
 		return "full"
 	}
 	return "left"
 }
 
-func (j *job) loses() bool {
-	j.e.mu.Lock()
-	share := j.e.ills.loses
-	j.e.mu.Unlock()
-	return share > 0 && j.e.fleet.chance() < share
+func (j *dispatch) losesAnswer() bool {
+	j.engine.mu.Lock()
+	share := j.engine.faults.lostShare
+	j.engine.mu.Unlock()
+	return share > 0 && j.engine.fleet.randomShare() < share
 }
 
-func (j *job) wait(ctx context.Context) {
+func (j *dispatch) waitForEnd(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-j.e.alive().Done():
+	case <-j.engine.lifetimeContext().Done():
 	}
 }
 
 // fetch brings the state from its reader. A reader that is cut off, deaf or gone has none to give.
-func (j *job) fetch(ctx context.Context) (found bool, err error) {
-	t := j.call.Transfer
-	from := j.e.fleet.at(net.JoinHostPort(t.RemoteHost, strconv.Itoa(t.RemotePort)))
+func (j *dispatch) fetchState(ctx context.Context) (found bool, err error) {
+	t := j.request.TransferParams
+	from := j.engine.fleet.engineAt(net.JoinHostPort(t.RemoteHost, strconv.Itoa(t.RemotePort)))
 	if from == nil || !from.isUp() {
 		return false, nil
 	}
-	if !from.hear(ctx, place{zone: j.e.set.GetZone()}) {
+	if !from.awaitReachable(ctx, peer{zone: j.engine.settings.GetZone()}) {
 		return false, ctx.Err()
 	}
-	s := from.stateOf(t.RemoteRequestID)
+	s := from.heldState(t.RemoteRequestID)
 	if s == nil {
 		return false, nil
 	}
-	if err := j.e.sleep(ctx, j.e.fleet.transferTime(from, j.e, s.tokens)); err != nil {
+	if err := j.engine.sleep(ctx, j.engine.fleet.transferTime(from, j.engine, s.tokens)); err != nil {
 		return false, err
 	}
-	return from.drop(t.RemoteRequestID, pb.EngineEvent_STATE_TAKEN), nil
+	return from.release(t.RemoteRequestID, pb.EngineEvent_STATE_TAKEN), nil
 }
 
 func (e *Engine) isUp() bool {
@@ -260,65 +260,65 @@
 	return e.up
 }
 
-func (j *job) serveWrite(w http.ResponseWriter, r *http.Request) string {
-	e, ctx := j.e, r.Context()
-	if e.set.GetRole() == pb.Role_READER {
-		fail(w, http.StatusBadRequest, "a reader writes nothing")
+func (j *dispatch) serveWrite(w http.ResponseWriter, r *http.Request) string {
+	e, ctx := j.engine, r.Context()
+	if e.settings.GetRole() == pb.Role_READER {
+		writeError(w, http.StatusBadRequest, "a reader writes nothing")
 		return "refused"
 	}
-	e.drop(j.name+"-place", pb.EngineEvent_STATE_TAKEN) // its memory is taken anew below
-	if err := e.enter(ctx); err != nil {
+	e.release(j.completion+"-place", pb.EngineEvent_STATE_TAKEN) // its memory is taken anew below
+	if err := e.acquireSlot(ctx); err != nil {
 		return j.refuse(w, err)
 	}
-	defer e.leave()
-	need := j.tokens + float64(j.answer)
-	if !e.take(need) {
+	defer e.releaseSlot()
+	need := j.promptTokens + float64(j.answerTokens)
+	if !e.allocate(need) {
 		return j.refuse(w, errFull)
 	}
-	defer e.giveBack(need)
-	if t := j.call.Transfer; t != nil && t.DoRemotePrefill {
-		found, err := j.fetch(ctx)
+	defer e.free(need)
+	if t := j.request.TransferParams; t != nil && t.DoRemotePrefill {
+		found, err := j.fetchState(ctx)
 		if err != nil {
 			return "left"
 		}
 		if !found {
-			fail(w, http.StatusFailedDependency, "no state %q", t.RemoteRequestID)
+			writeError(w, http.StatusFailedDependency, "no state %q", t.RemoteRequestID)
 			return "stateless"
 		}
-	} else if err := e.read(ctx, max(0, j.tokens-j.cached)); err != nil {
+	} else if err := e.prefill(ctx, max(0, j.promptTokens-j.cachedTokens)); err != nil {
 		return "left"
 	}
-	e.keep(j.blocks)
-	if e.fleet.first(e, j.work, j.key) {
-		j.note(pb.EngineEvent_RAN, "")
+	e.cachePrefix(j.blocks)
+	if e.fleet.isFirstRun(e, j.workload, j.key) {
+		j.record(pb.EngineEvent_RAN, "")
 	} else {
-		j.note(pb.EngineEvent_REPEAT, "")
+		j.record(pb.EngineEvent_REPEAT, "")
 	}
-	if j.loses() {
-		j.wait(ctx)
+	if j.losesAnswer() {
+		j.waitForEnd(ctx)
 		return "lost"
 	}
-	return j.stream(ctx, w)
+	return j.streamAnswer(ctx, w)
 }
 
 // stream writes the answer, a token at a time.
-func (j *job) stream(ctx context.Context, w http.ResponseWriter) string {
-	e := j.e
+func (j *dispatch) streamAnswer(ctx context.Context, w http.ResponseWriter) string {
+	e := j.engine
 	breakAt := -1
 	e.mu.Lock()
-	breaks := e.ills.breaks
+	breaks := e.faults.brokenShare
 	e.mu.Unlock()
-	if breaks > 0 && e.fleet.chance() < breaks {
-		breakAt = int(e.fleet.chance() * float64(j.answer))
+	if breaks > 0 && e.fleet.randomShare() < breaks {
+		breakAt = int(e.fleet.randomShare() * float64(j.answerTokens))
 	}
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
-	h.Set("Endpoint-Load-Metrics", e.report())
+	h.Set("Endpoint-Load-Metrics", e.loadReport())
 	h.Set("Trailer", "Endpoint-Load-Metrics")
 	out := http.NewResponseController(w)
-	head := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q,"choices":[{"index":0,`, j.id, time.Now().Unix(), j.call.Model)
+	head := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q,"choices":[{"index":0,`, j.id, time.Now().Unix(), j.request.Model)
 	send := func(format string, a ...any) error {
-		if !e.hear(ctx, j.peer) {
+		if !e.awaitReachable(ctx, j.peer) {
 			return errDown
 		}
 		if _, err := fmt.Fprintf(w, "data: "+format+"\n\n", a...); err != nil {
@@ -326,13 +326,13 @@
 		}
 		return out.Flush()
 	}
-	for n := range j.answer {
+	for n := range j.answerTokens {
 		if n == breakAt {
 			return "broke"
 		}
 		if n > 0 {
 			e.mu.Lock()
-			gap := e.set.GetTokenMs() * e.ills.slower * (1 + float64(e.running)/float64(e.set.GetSlots())) / 1.5
+			gap := e.settings.GetTokenMs() * e.faults.slowdown * (1 + float64(e.running)/float64(e.settings.GetSlots())) / 1.5
 			e.mu.Unlock()
 			if err := e.sleep(ctx, time.Duration(gap*float64(time.Millisecond))); err != nil {
 				return "left"
@@ -345,32 +345,32 @@
 		}
 	}
 	last := fmt.Sprintf(`%s"delta":{},"finish_reason":"stop"}]}`, head)
-	if j.call.StreamOptions.IncludeUsage {
-		usage, err := json.Marshal(j.usage(j.answer))
+	if j.request.StreamOptions.IncludeUsage {
+		usage, err := json.Marshal(j.usage(j.answerTokens))
 		if err != nil {
 			return "broke"
 		}
 		last += fmt.Sprintf("\n\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":%q,\"choices\":[],\"usage\":%s}",
-			j.id, time.Now().Unix(), j.call.Model, usage)
+			j.id, time.Now().Unix(), j.request.Model, usage)
 	}
 	if err := send("%s", last+"\n\ndata: [DONE]"); err != nil {
 		return "left"
 	}
-	w.Header().Set("Endpoint-Load-Metrics", e.report())
+	w.Header().Set("Endpoint-Load-Metrics", e.loadReport())
 	return "done"
 }
 
 func (e *Engine) serveRelease(w http.ResponseWriter, r *http.Request) {
-	if !e.hear(r.Context(), e.peer(r)) {
+	if !e.awaitReachable(r.Context(), e.peerOf(r)) {
 		panic(http.ErrAbortHandler)
 	}
-	if !e.drop(r.PathValue("id"), pb.EngineEvent_STATE_RELEASED) {
+	if !e.release(r.PathValue("id"), pb.EngineEvent_STATE_RELEASED) {
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func (e *Engine) servePlace(w http.ResponseWriter, r *http.Request) {
-	if !e.hear(r.Context(), e.peer(r)) {
+func (e *Engine) serveReservation(w http.ResponseWriter, r *http.Request) {
+	if !e.awaitReachable(r.Context(), e.peerOf(r)) {
 		panic(http.ErrAbortHandler)
 	}
 	var call struct {
@@ -379,35 +379,35 @@
 		Lease  int     `json:"lease_ms"`
 	}
 	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&call); err != nil {
-		fail(w, http.StatusBadRequest, "no place call: %v", err)
+		writeError(w, http.StatusBadRequest, "no place call: %v", err)
 		return
 	}
 	e.mu.Lock()
-	free := e.running < int(e.set.GetSlots()) && len(e.waiting) == 0 && !e.draining
+	free := e.running < int(e.settings.GetSlots()) && len(e.waiting) == 0 && !e.draining
 	e.mu.Unlock()
-	held := free && e.take(call.Tokens)
+	held := free && e.allocate(call.Tokens)
 	if held {
 		e.mu.Lock()
-		e.places[call.ID] = call.Tokens
+		e.reservations[call.ID] = call.Tokens
 		// Recorded under the lock, as drop does: a write that takes the place at once is recorded after it.
-		e.note(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_HELD.Enum(), Dispatch: proto.String(call.ID), Completion: proto.String(completionOf(call.ID))})
+		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_HELD.Enum(), Dispatch: proto.String(call.ID), Completion: proto.String(completionID(call.ID))})
 		e.mu.Unlock()
-		time.AfterFunc(time.Duration(call.Lease)*time.Millisecond, func() { e.drop(call.ID, pb.EngineEvent_STATE_RELEASED) })
+		time.AfterFunc(time.Duration(call.Lease)*time.Millisecond, func() { e.release(call.ID, pb.EngineEvent_STATE_RELEASED) })
 	}
 	json.NewEncoder(w).Encode(map[string]bool{"held": held}) //nolint:errcheck // the peer left
 }
 
 func (e *Engine) serveMetrics(w http.ResponseWriter, r *http.Request) {
-	peer := e.peer(r)
-	if !e.hear(r.Context(), peer) {
+	peer := e.peerOf(r)
+	if !e.awaitReachable(r.Context(), peer) {
 		panic(http.ErrAbortHandler)
 	}
-	e.note(&pb.EngineEvent{Kind: pb.EngineEvent_PROBED.Enum(), Peer: proto.String(peer.name)})
+	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_PROBED.Enum(), Peer: proto.String(peer.name)})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	fmt.Fprintf(w, "# TYPE vllm:num_requests_waiting gauge\nvllm:num_requests_waiting %d\n# TYPE vllm:num_requests_running gauge\n"+
 		"vllm:num_requests_running %d\n# TYPE vllm:kv_cache_usage_perc gauge\nvllm:kv_cache_usage_perc %.4f\n"+
 		"# TYPE standin:slots_used gauge\nstandin:slots_used %.4f\n# TYPE standin:thousand_tokens_waiting gauge\nstandin:thousand_tokens_waiting %.4f\n",
-		len(e.waiting), e.running, e.used/e.set.GetMemoryTokens(), float64(e.running)/float64(e.set.GetSlots()), e.unread/1000)
+		len(e.waiting), e.running, e.usedTokens/e.settings.GetMemoryTokens(), float64(e.running)/float64(e.settings.GetSlots()), e.unreadTokens/1000)
 }
