--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,21 +1,22 @@
-// Package fleet follows the list of engines: a list service that pushes it over HTTP, or a file. It tells a
-// planner full lists and changes (link.Listed) and decides nothing. A list that is gone, empty, malformed or
-// stale changes nothing: the last good one stays in force. internal/router starts it.
+// Package fleet follows the engine list: from a list service that pushes it over HTTP, or from a file. It passes full lists and changes
+// to a planner (link.EnginesUpdated) and makes no decisions. A list that is missing, empty, malformed or stale changes nothing: the last
+// valid one stays in use. internal/router starts it.
 //
-// The protocol is cherryhub's own. GET of the list's URL with watch=1 answers with lines of JSON: first the
-// whole list, then changes, and at least each second a line of the kind "alive":
+// The protocol is cherryhub's own. GET of the list's URL with watch=1 answers with lines of JSON: first the full list, then changes, and
+// at least once a second a line of the kind "alive":
 //
 //	{"kind":"full","epoch":3,"version":41,"engines":[{"address":"10.0.0.7:8000","zone":"a","cell":"a1",
 //	 "machine":"prefill","phase":"ready","start":1764590000123,"age_s":86400}]}
 //	{"kind":"delta","epoch":3,"version":42,"engines":[{"address":"10.0.0.7:8000","phase":"gone"}]}
 //	{"kind":"alive","epoch":3,"version":42}
 //
-// epoch grows with each start of the service, version with each change; a delta's is the one before it plus
-// one. start tells two starts of an engine apart; age_s is its age when the line is sent, left out for long ago;
-// below 0 it counts as 0. Where start is left out what was told before stays. Where an engine has another start, or is
-// back after it was gone and none is told, and age_s is left out, it counts as started when the line came.
-// A file holds one line of the kind "full", as does the answer to a GET without watch=1: where the settings say
-// that the service is to be asked, it is, each poll.
+// epoch grows with each start of the service, version by one with each change: a delta's version is the one before it plus one. start
+// identifies a start of an engine. age_s is the time since that start when the line is sent; it is left out for an engine that started
+// long ago, and counts as 0 if it is below 0. Where start is left out, the one sent before stays valid. If age_s is left out, and the
+// engine has another start, or is back after it was gone and has no start, it counts as started when the line arrived.
+//
+// A file holds one line of the kind "full", as does the answer to a GET without watch=1, which is sent once per poll interval where the
+// settings say that the service is polled.
 package fleet
 
 import (
@@ -39,7 +40,7 @@
 	"cherryhub/internal/link"
 )
 
-// Line is one line of a list service.
+// Line is one line from a list service or list file.
 type Line struct {
 	Kind    string   `json:"kind"` // full, delta or alive
 	Epoch   int64    `json:"epoch"`
@@ -47,28 +48,27 @@
 	Engines []Engine `json:"engines,omitempty"`
 }
 
-// Engine is one entry of a list.
+// Engine is one entry of an engine list.
 type Engine struct {
 	Address     string   `json:"address"` // host:port
 	Zone        string   `json:"zone,omitempty"`
 	Cell        string   `json:"cell,omitempty"`
 	MachineKind string   `json:"machine,omitempty"`
-	Phase       string   `json:"phase"` // ready, draining or gone
-	StartID     int64    `json:"start,omitempty"`
-	AgeSeconds  *float64 `json:"age_s,omitempty"` // seconds
+	Phase       string   `json:"phase"`           // ready, draining or gone
+	StartID     int64    `json:"start,omitempty"` // identifies a start of the engine
+	AgeSeconds  *float64 `json:"age_s,omitempty"` // time since that start, nil for long ago
 }
 
-// Limits of what a list may hold and of how long a service may say nothing.
 const (
-	maxLineBytes = 16 << 20 // bytes
-	idleTimeout  = 4 * time.Second
+	maxLineBytes = 16 << 20
+	idleTimeout  = 4 * time.Second // for an answer, and between two lines
 )
 
 var phases = map[string]decide.Phase{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 
-var errStale = errors.New("older than the list in force")
+var errStale = errors.New("older than the current list")
 
-// Follower follows one list.
+// Follower follows one engine list.
 type Follower struct {
 	url, file                string
 	pollInterval, retryDelay time.Duration
@@ -76,34 +76,34 @@
 	notify                   func(link.Event)
 	log                      *slog.Logger
 	client                   *http.Client
-	lastFile                 []byte // of a file
+	lastFile                 []byte // content of the file that was applied last
 	pollService              bool
 
 	mu      sync.Mutex
-	epoch   int64 // of the list in force
+	epoch   int64 // of the current list
 	version int64
 	hasList bool
 }
 
-// Options of a follower: one of URL and File.
+// Options configures a Follower. Either URL or File is set.
 type Options struct {
 	URL, File                string
 	PollInterval, RetryDelay time.Duration
 	MaxEngines               int
-	PollService              bool                                                                 // the service pushes nothing
-	SourceAddress            string                                                               // dial from this address, empty for any
-	Dial                     func(ctx context.Context, network, address string) (net.Conn, error) // in place of that, nil for TCP
+	PollService              bool                                                                 // poll the service, which does not push the list
+	SourceAddress            string                                                               // local address for connections, empty for any
+	Dial                     func(ctx context.Context, network, address string) (net.Conn, error) // replaces the TCP dialer if not nil
 	Notify                   func(link.Event)
 	Log                      *slog.Logger
 }
 
-// New makes a follower.
+// New returns a Follower.
 func New(o Options) *Follower {
-	d := &net.Dialer{Timeout: time.Second}
+	dialer := &net.Dialer{Timeout: time.Second}
 	if ip := net.ParseIP(o.SourceAddress); ip != nil {
-		d.LocalAddr = &net.TCPAddr{IP: ip}
+		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	dial := d.DialContext
+	dial := dialer.DialContext
 	if o.Dial != nil {
 		dial = o.Dial
 	}
@@ -111,9 +111,9 @@
 		client: &http.Client{Transport: &http.Transport{DialContext: dial, ResponseHeaderTimeout: idleTimeout}}}
 }
 
-// Run follows the list until the context ends.
+// Run follows the list until the context is cancelled.
 func (f *Follower) Run(ctx context.Context) {
-	trouble := false
+	failing := false
 	for ctx.Err() == nil {
 		wait := f.pollInterval
 		var err error
@@ -126,10 +126,10 @@
 			err = f.watch(ctx)
 			wait = time.Duration(float64(f.retryDelay) * (0.5 + rand.Float64()))
 		}
-		if err != nil && ctx.Err() == nil && !trouble {
-			f.log.Warn("engine list: the last good one stays in force", "err", err)
+		if err != nil && ctx.Err() == nil && !failing {
+			f.log.Warn("engine list update failed; the last valid list stays in use", "err", err)
 		}
-		trouble = err != nil
+		failing = err != nil
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -137,7 +137,7 @@
 	}
 }
 
-// Ask gets the whole list from the service, puts it in force and returns its text, for others to Take.
+// Fetch gets the full list from the service, applies it, and returns its text for other routers to Apply.
 func (f *Follower) Fetch(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
@@ -163,7 +163,7 @@
 	return text, nil
 }
 
-// Take puts a whole list in force that this or another router got, unless it is malformed, empty or stale.
+// Apply applies a full list that this or another router fetched, unless it is malformed, empty or stale.
 func (f *Follower) Apply(text []byte) error {
 	if err := f.applySnapshot(text); err != nil {
 		return fmt.Errorf("list service %s: %w", f.url, err)
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// whole puts a text in force that must be a whole list.
+// applySnapshot applies a text that must be a full list.
 func (f *Follower) applySnapshot(text []byte) error {
 	line, err := parseLine(text, f.maxEngines)
 	if err != nil {
@@ -183,7 +183,7 @@
 	return f.applyLine(line)
 }
 
-// read reads the file if it has changed.
+// readFile reads the list file and applies it if it has changed.
 func (f *Follower) readFile() error {
 	file, err := os.Open(f.file)
 	if err != nil {
@@ -204,12 +204,12 @@
 	return nil
 }
 
-// watch reads a list service's lines until it breaks.
+// watch applies a list service's lines until the connection ends or a line is invalid.
 func (f *Follower) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	quiet := time.AfterFunc(idleTimeout, cancel)
-	defer quiet.Stop()
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"?watch=1", nil)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
@@ -225,10 +225,10 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for first := true; lines.Scan(); first = false {
-		quiet.Reset(idleTimeout)
+		idleTimer.Reset(idleTimeout)
 		line, err := parseLine(lines.Bytes(), f.maxEngines)
 		if err == nil && first && line.Kind != "full" {
-			err = fmt.Errorf("begins with kind %q, wanted full", line.Kind)
+			err = fmt.Errorf("first line has kind %q, wanted full", line.Kind)
 		}
 		if err == nil {
 			err = f.applyLine(line)
@@ -243,8 +243,8 @@
 	return fmt.Errorf("list service %s: closed", f.url)
 }
 
-// parse reads a line and checks all of it.
-func parseLine(text []byte, most int) (*Line, error) {
+// parseLine decodes and validates a line.
+func parseLine(text []byte, maxEngines int) (*Line, error) {
 	line := &Line{}
 	if err := json.Unmarshal(text, line); err != nil {
 		return nil, fmt.Errorf("malformed: %w", err)
@@ -253,61 +253,61 @@
 	case "alive", "delta":
 	case "full":
 		if len(line.Engines) == 0 {
-			return nil, errors.New("a full list of no engines is not believed")
+			return nil, errors.New("full list contains no engines")
 		}
 	default:
 		return nil, fmt.Errorf("kind %q, wanted full, delta or alive", line.Kind)
 	}
-	if len(line.Engines) > most {
-		return nil, fmt.Errorf("%d engines, over the %d of list.max_engines", len(line.Engines), most)
+	if len(line.Engines) > maxEngines {
+		return nil, fmt.Errorf("%d engines exceed list.max_engines %d", len(line.Engines), maxEngines)
 	}
 	seen := map[string]bool{}
 	for i, e := range line.Engines {
 		host, port, err := net.SplitHostPort(e.Address)
-		n, bad := strconv.Atoi(port)
-		_, phase := phases[e.Phase]
+		portNumber, portErr := strconv.Atoi(port)
+		_, validPhase := phases[e.Phase]
 		switch {
-		case err != nil || host == "" || bad != nil || n < 1 || n > 65535:
-			return nil, fmt.Errorf("engines[%d]: address %q is no host:port", i, e.Address)
-		case !phase:
+		case err != nil || host == "" || portErr != nil || portNumber < 1 || portNumber > 65535:
+			return nil, fmt.Errorf("engines[%d]: address %q is not host:port", i, e.Address)
+		case !validPhase:
 			return nil, fmt.Errorf("engines[%d]: phase %q, wanted ready, draining or gone", i, e.Phase)
 		case seen[e.Address]:
-			return nil, fmt.Errorf("engines[%d]: %q is there twice", i, e.Address)
+			return nil, fmt.Errorf("engines[%d]: duplicate address %q", i, e.Address)
 		}
 		seen[e.Address] = true
 	}
 	return line, nil
 }
 
-// apply takes a line that is whole, unless it is stale or leaves a gap.
-func (f *Follower) applyLine(l *Line) error {
+// applyLine applies a valid line, unless it is stale or skips a version.
+func (f *Follower) applyLine(line *Line) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l.Kind == "alive" {
-		if l.Epoch != f.epoch || l.Version != f.version {
-			return fmt.Errorf("alive at version %d.%d, but %d.%d is in force", l.Epoch, l.Version, f.epoch, f.version)
+	if line.Kind == "alive" {
+		if line.Epoch != f.epoch || line.Version != f.version {
+			return fmt.Errorf("alive line for version %d.%d, but the current list has version %d.%d", line.Epoch, line.Version, f.epoch, f.version)
 		}
 		return nil
 	}
-	older := l.Epoch < f.epoch || l.Epoch == f.epoch && l.Version < f.version
+	older := line.Epoch < f.epoch || line.Epoch == f.epoch && line.Version < f.version
 	switch {
 	case f.hasList && older:
-		return fmt.Errorf("version %d.%d: %w (%d.%d)", l.Epoch, l.Version, errStale, f.epoch, f.version)
-	case l.Kind == "delta" && (l.Epoch != f.epoch || l.Version != f.version+1):
-		return fmt.Errorf("a change to version %d.%d, but %d.%d is in force", l.Epoch, l.Version, f.epoch, f.version)
+		return fmt.Errorf("version %d.%d: %w (%d.%d)", line.Epoch, line.Version, errStale, f.epoch, f.version)
+	case line.Kind == "delta" && (line.Epoch != f.epoch || line.Version != f.version+1):
+		return fmt.Errorf("delta to version %d.%d does not follow the current version %d.%d", line.Epoch, line.Version, f.epoch, f.version)
 	}
-	if f.pollService && f.hasList && l.Epoch == f.epoch && l.Version == f.version {
-		return nil // asked again, and nothing is new
+	if f.pollService && f.hasList && line.Epoch == f.epoch && line.Version == f.version {
+		return nil // the polled list has not changed
 	}
-	f.epoch, f.version, f.hasList = l.Epoch, l.Version, true
+	f.epoch, f.version, f.hasList = line.Epoch, line.Version, true
 	list := &link.EngineList{Kind: decide.ListSnapshot}
-	if l.Kind == "delta" {
+	if line.Kind == "delta" {
 		list.Kind = decide.ListDelta
 	}
-	for _, e := range l.Engines {
+	for _, e := range line.Engines {
 		age := -1.0
 		if e.AgeSeconds != nil {
-			age = max(0, *e.AgeSeconds) // an engine's clock may run ahead: it has only just started
+			age = max(0, *e.AgeSeconds) // negative if the engine's clock runs ahead: it has only just started
 		}
 		list.Entries = append(list.Entries, link.EngineEntry{Address: e.Address, Zone: e.Zone, Cell: e.Cell, MachineKind: e.MachineKind,
 			Phase: phases[e.Phase], StartID: e.StartID, Age: age})
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,169 +22,170 @@
 	"cherryhub/internal/link"
 )
 
-func follower(o Options) (*Follower, *[]*link.EngineList) {
-	var told []*link.EngineList
-	o.Notify = func(f link.Event) { told = append(told, f.EngineList) }
+func newTestFollower(o Options) (*Follower, *[]*link.EngineList) {
+	var lists []*link.EngineList
+	o.Notify = func(event link.Event) { lists = append(lists, event.EngineList) }
 	o.Log, o.MaxEngines = slog.New(slog.DiscardHandler), 3
-	return New(o), &told
+	return New(o), &lists
 }
 
-func line(kind string, epoch, version int, addresses ...string) string {
-	var all []string
-	for _, a := range addresses {
-		all = append(all, fmt.Sprintf(`{"address":%q,"phase":"ready","zone":"z","cell":"c","machine":"m","start":5,"age_s":2.5}`, a))
+func listLine(kind string, epoch, version int, addresses ...string) string {
+	var entries []string
+	for _, address := range addresses {
+		entries = append(entries, fmt.Sprintf(`{"address":%q,"phase":"ready","zone":"z","cell":"c","machine":"m","start":5,"age_s":2.5}`, address))
 	}
-	return fmt.Sprintf(`{"kind":%q,"epoch":%d,"version":%d,"engines":[%s]}`, kind, epoch, version, strings.Join(all, ","))
+	return fmt.Sprintf(`{"kind":%q,"epoch":%d,"version":%d,"engines":[%s]}`, kind, epoch, version, strings.Join(entries, ","))
 }
 
-// TestLines: what is malformed, empty, stale or leaves a gap changes nothing.
-func TestLines(t *testing.T) {
-	full := line("full", 2, 10, "h:1")
-	for name, c := range map[string]struct {
-		text string
-		says string
+// TestInvalidLinesChangeNothing: a line that is malformed, empty, stale or skips a version leaves the current list as it is.
+func TestInvalidLinesChangeNothing(t *testing.T) {
+	full := listLine("full", 2, 10, "h:1")
+	for name, test := range map[string]struct {
+		text    string
+		errText string
 	}{
-		"next":         {line("delta", 2, 11, "h:2"), ""},
-		"again":        {full, ""},
-		"new epoch":    {line("full", 3, 1, "h:2"), ""},
-		"alive":        {line("alive", 2, 10), ""},
-		"alive, ahead": {line("alive", 2, 11), "alive at version 2.11"},
-		"gap":          {line("delta", 2, 12, "h:2"), "a change to version 2.12"},
-		"stale":        {line("full", 2, 9, "h:2"), "older than the list in force"},
-		"older epoch":  {line("full", 1, 99, "h:2"), "older than the list in force"},
-		"empty":        {line("full", 2, 11), "no engines is not believed"},
-		"too many":     {line("full", 2, 11, "h:1", "h:2", "h:3", "h:4"), "4 engines, over the 3"},
-		"twice":        {line("full", 2, 11, "h:1", "h:1"), "engines[1]: \"h:1\" is there twice"},
-		"no port":      {line("full", 2, 11, "h"), "engines[0]: address \"h\" is no host:port"},
-		"port 0":       {line("full", 2, 11, "h:0"), "engines[0]"},
-		"no phase":     {strings.Replace(line("full", 2, 11, "h:1"), "ready", "well", 1), "phase \"well\""},
+		"next":         {listLine("delta", 2, 11, "h:2"), ""},
+		"repeated":     {full, ""},
+		"new epoch":    {listLine("full", 3, 1, "h:2"), ""},
+		"alive":        {listLine("alive", 2, 10), ""},
+		"alive, ahead": {listLine("alive", 2, 11), "alive line for version 2.11"},
+		"gap":          {listLine("delta", 2, 12, "h:2"), "delta to version 2.12"},
+		"stale":        {listLine("full", 2, 9, "h:2"), "older than the current list"},
+		"older epoch":  {listLine("full", 1, 99, "h:2"), "older than the current list"},
+		"empty":        {listLine("full", 2, 11), "full list contains no engines"},
+		"too many":     {listLine("full", 2, 11, "h:1", "h:2", "h:3", "h:4"), "4 engines exceed list.max_engines 3"},
+		"twice":        {listLine("full", 2, 11, "h:1", "h:1"), "engines[1]: duplicate address \"h:1\""},
+		"no port":      {listLine("full", 2, 11, "h"), "engines[0]: address \"h\" is not host:port"},
+		"port 0":       {listLine("full", 2, 11, "h:0"), "engines[0]"},
+		"no phase":     {strings.Replace(listLine("full", 2, 11, "h:1"), "ready", "well", 1), "phase \"well\""},
 		"no kind":      {`{"engines":[]}`, "kind \"\""},
 		"no JSON":      {`{"kind":`, "malformed"},
 		"wrong type":   {`{"kind":3}`, "malformed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, told := follower(Options{})
+			follower, lists := newTestFollower(Options{})
 			first, err := parseLine([]byte(full), 3)
 			require.NoError(t, err)
-			require.NoError(t, f.applyLine(first))
-			l, err := parseLine([]byte(c.text), 3)
+			require.NoError(t, follower.applyLine(first))
+			parsed, err := parseLine([]byte(test.text), 3)
 			if err == nil {
-				err = f.applyLine(l)
+				err = follower.applyLine(parsed)
 			}
-			if c.says == "" {
+			if test.errText == "" {
 				assert.NoError(t, err)
 				return
 			}
-			assert.ErrorContains(t, err, c.says)
-			assert.Len(t, *told, 1, "nothing new is told")
-			assert.Equal(t, []int64{2, 10}, []int64{f.epoch, f.version})
+			assert.ErrorContains(t, err, test.errText)
+			assert.Len(t, *lists, 1, "no list is passed on")
+			assert.Equal(t, []int64{2, 10}, []int64{follower.epoch, follower.version})
 		})
 	}
-	f, told := follower(Options{})
-	l, err := parseLine([]byte(full), 3)
+	follower, lists := newTestFollower(Options{})
+	parsed, err := parseLine([]byte(full), 3)
 	require.NoError(t, err)
-	require.NoError(t, f.applyLine(l))
+	require.NoError(t, follower.applyLine(parsed))
 	assert.Equal(t, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{{Address: "h:1", Zone: "z", Cell: "c", MachineKind: "m",
-		Phase: decide.Ready, StartID: 5, Age: 2.5}}}, (*told)[0])
+		Phase: decide.Ready, StartID: 5, Age: 2.5}}}, (*lists)[0])
 }
 
-func TestFile(t *testing.T) {
+func TestListFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
-	f, told := follower(Options{File: file})
-	assert.ErrorContains(t, f.readFile(), "list file")
+	follower, lists := newTestFollower(Options{File: file})
+	assert.ErrorContains(t, follower.readFile(), "list file")
 	write := func(text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
-	write(line("full", 1, 1, "h:1"))
-	require.NoError(t, f.readFile())
-	require.NoError(t, f.readFile())
-	assert.Len(t, *told, 1, "what has not changed is not told again")
+	write(listLine("full", 1, 1, "h:1"))
+	require.NoError(t, follower.readFile())
+	require.NoError(t, follower.readFile())
+	assert.Len(t, *lists, 1, "an unchanged list is not passed on again")
 	write("")
-	assert.Error(t, f.readFile())
-	write(line("delta", 1, 2, "h:1"))
-	assert.ErrorContains(t, f.readFile(), "wanted full")
-	write(line("full", 1, 2, "h:1", "h:2"))
-	require.NoError(t, f.readFile())
-	assert.Len(t, *told, 2)
+	assert.Error(t, follower.readFile())
+	write(listLine("delta", 1, 2, "h:1"))
+	assert.ErrorContains(t, follower.readFile(), "wanted full")
+	write(listLine("full", 1, 2, "h:1", "h:2"))
+	require.NoError(t, follower.readFile())
+	assert.Len(t, *lists, 2)
 }
 
-// TestWatch: a service that breaks, lies or says nothing is asked again, and the last good list stays.
-func TestWatch(t *testing.T) {
-	var asked atomic.Int64
-	answers := []string{line("full", 1, 1, "h:1") + "\n" + line("delta", 1, 2, "h:2") + "\n", line("full", 1, 2) + "\n", "garbage\n",
-		line("delta", 1, 3, "h:3") + "\n", line("full", 1, 3, "h:3") + "\n"}
+// TestWatchReconnects: after a broken connection, an error status or an invalid line the service is asked again, and the last valid list
+// stays in use.
+func TestWatchReconnects(t *testing.T) {
+	var requests atomic.Int64
+	answers := []string{listLine("full", 1, 1, "h:1") + "\n" + listLine("delta", 1, 2, "h:2") + "\n", listLine("full", 1, 2) + "\n", "garbage\n",
+		listLine("delta", 1, 3, "h:3") + "\n", listLine("full", 1, 3, "h:3") + "\n"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n := int(asked.Add(1)) - 1
-		if n == 1 {
+		number := int(requests.Add(1)) - 1
+		if number == 1 {
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 			return
 		}
-		w.Write([]byte(answers[min(n, len(answers)-1)])) //nolint:errcheck // the test sees it
-		if n >= len(answers)-1 {
+		w.Write([]byte(answers[min(number, len(answers)-1)])) //nolint:errcheck // the test fails without it
+		if number >= len(answers)-1 {
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}
 	}))
 	defer server.Close()
 	lists := make(chan *link.EngineList, 10)
-	f := New(Options{URL: server.URL, RetryDelay: 5 * time.Millisecond, MaxEngines: 3, Notify: func(f link.Event) { lists <- f.EngineList }, Log: slog.New(slog.DiscardHandler)})
-	ctx, end := context.WithCancel(context.Background())
+	follower := New(Options{URL: server.URL, RetryDelay: 5 * time.Millisecond, MaxEngines: 3, Notify: func(event link.Event) { lists <- event.EngineList }, Log: slog.New(slog.DiscardHandler)})
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { f.Run(ctx); close(done) }()
+	go func() { follower.Run(ctx); close(done) }()
 	for _, want := range []struct {
 		kind    decide.ListKind
 		address string
 	}{{decide.ListSnapshot, "h:1"}, {decide.ListDelta, "h:2"}, {decide.ListSnapshot, "h:3"}} {
 		select {
-		case l := <-lists:
-			assert.Equal(t, want.kind, l.Kind)
-			assert.Equal(t, want.address, l.Entries[0].Address)
+		case list := <-lists:
+			assert.Equal(t, want.kind, list.Kind)
+			assert.Equal(t, want.address, list.Entries[0].Address)
 		case <-time.After(5 * time.Second):
-			t.Fatal("no list")
+			t.Fatal("no list within 5 s")
 		}
 	}
-	end()
+	cancel()
 	<-done
 	assert.Empty(t, lists)
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(line("full", 1, 1, "h:1")))
-	f.Add([]byte(line("delta", 1, 1)))
+	f.Add([]byte(listLine("full", 1, 1, "h:1")))
+	f.Add([]byte(listLine("delta", 1, 1)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := parseLine(text, 3)
+		parsed, err := parseLine(text, 3)
 		if err != nil {
 			return
 		}
-		require.LessOrEqual(t, len(l.Engines), 3)
-		fo, _ := follower(Options{})
-		if fo.applyLine(l) == nil && l.Kind == "full" {
+		require.LessOrEqual(t, len(parsed.Engines), 3)
+		follower, _ := newTestFollower(Options{})
+		if follower.applyLine(parsed) == nil && parsed.Kind == "full" {
 			require.NotEmpty(t, bytes.TrimSpace(text))
-			require.True(t, fo.hasList)
+			require.True(t, follower.hasList)
 		}
 	})
 }
 
-// TestNegativeAge: an engine's clock that runs ahead of the service's makes it just started, not long ago.
-func TestNegativeAge(t *testing.T) {
-	var told link.Event
-	f := New(Options{MaxEngines: 8, Notify: func(l link.Event) { told = l }, Log: slog.New(slog.DiscardHandler)})
-	require.NoError(t, f.Apply([]byte(`{"kind":"full","epoch":1,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready","start":7,"age_s":-0.2},
+// TestNegativeAgeCountsAsZero: an engine whose clock runs ahead of the service's counts as just started, not as started long ago.
+func TestNegativeAgeCountsAsZero(t *testing.T) {
+	var event link.Event
+	follower := New(Options{MaxEngines: 8, Notify: func(e link.Event) { event = e }, Log: slog.New(slog.DiscardHandler)})
+	require.NoError(t, follower.Apply([]byte(`{"kind":"full","epoch":1,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready","start":7,"age_s":-0.2},
 		{"address":"10.0.0.2:1","phase":"ready"},{"address":"10.0.0.3:1","phase":"ready","age_s":3}]}`)))
-	assert.Equal(t, []float64{0, -1, 3}, []float64{told.EngineList.Entries[0].Age, told.EngineList.Entries[1].Age, told.EngineList.Entries[2].Age})
+	assert.Equal(t, []float64{0, -1, 3}, []float64{event.EngineList.Entries[0].Age, event.EngineList.Entries[1].Age, event.EngineList.Entries[2].Age})
 }
 
-// TestKnownFaultEpochBack is expected to fail once finding 28 of docs/readiness-review.md is mended: a list service whose
-// epoch went back, as its clock was set back, is refused for good.
+// TestKnownFaultEpochBack documents finding 28 of docs/readiness-review.md and is expected to fail once that is fixed: a list service
+// whose epoch decreases, because its clock was set back, is rejected permanently.
 func TestKnownFaultEpochBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, told := follower(Options{})
-		line := func(epoch int) []byte {
+		follower, lists := newTestFollower(Options{})
+		epochLine := func(epoch int) []byte {
 			return fmt.Appendf(nil, `{"kind":"full","epoch":%d,"version":1,"engines":[{"address":"10.0.0.1:1","phase":"ready"}]}`, epoch)
 		}
-		require.NoError(t, f.Apply(line(1000)))
+		require.NoError(t, follower.Apply(epochLine(1000)))
 		for range 24 {
 			time.Sleep(time.Hour)
-			require.ErrorIs(t, f.Apply(line(999)), errStale, "finding 28 is mended: say so there, and turn this test round")
+			require.ErrorIs(t, follower.Apply(epochLine(999)), errStale, "finding 28 is fixed: note it there, and invert this test")
 		}
-		assert.Len(t, *told, 1)
+		assert.Len(t, *lists, 1)
 	})
 }
