--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -1,7 +1,6 @@
-// Package crowd is stand-in clients that all connect at once: a flood of those nobody knows, some silent, some
-// with half a header, some with a call, and known clients who stream in its midst. It judges from what came over
-// each socket whether a refusal was whole and in time. Tests of internal/router and cherryhub crowd use it; a
-// router never does.
+// Package crowd simulates many clients that connect at once: a flood of unknown clients, some of which send nothing, some part of a
+// header and some a request, and known clients that stream completions meanwhile. From the bytes received on each socket it checks
+// whether refusals are complete and in time. Tests of internal/router and the command "cherryhub crowd" use it; a router never does.
 package crowd
 
 import (
@@ -22,123 +21,123 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Manner is how one of the flood behaves.
+// Behavior is what a connection of the flood does.
 type Behavior int
 
-// The manners.
+// Behaviors of the flood's connections.
 const (
-	SendsRequest       Behavior = iota // sends a whole call and reads the answer
-	SendsNothing                       // sends nothing
-	SendsPartialHeader                 // sends half a header
+	SendsRequest Behavior = iota // sends a complete request and reads the answer
+	SendsNothing
+	SendsPartialHeader // sends the beginning of a header
 	behaviorCount
 )
 
-func (m Behavior) String() string { return [...]string{"calls", "silent", "half a header"}[m] }
+func (b Behavior) String() string { return [...]string{"calls", "silent", "half a header"}[b] }
 
-// Options of a crowd.
+// Options configures a run.
 type Options struct {
 	Target         string        // host:port
-	Model          string        // that the calls name
-	FloodAddresses []string      // the flood's own addresses
-	FloodConns     int           // connections that the flood has under way at once
-	Behaviors      []Behavior    // in turn; none: all three
+	Model          string        // named in the requests
+	FloodAddresses []string      // source addresses of the flood
+	FloodConns     int           // concurrent connections of the flood
+	Behaviors      []Behavior    // in rotation; empty: all
 	Duration       time.Duration // of the flood
-	MinConns       int           // connections that it tries, however long that takes, up to five times Length
-	HangTimeout    time.Duration // a connection of the flood with no end by then hung
+	MinConns       int           // the flood goes on until it has tried this many connections, for at most five times Duration
+	HangTimeout    time.Duration // after which a connection of the flood counts as hung
 
-	KnownKeys      []string      // keys of the known clients
-	KnownAddresses []string      // their addresses, in turn
-	KnownDelay     time.Duration // the flood runs so long before they come
-	KnownPause     time.Duration // of a known client between two connections
+	KnownKeys      []string      // API keys of the known clients
+	KnownAddresses []string      // their source addresses, in rotation
+	KnownDelay     time.Duration // from the start of the flood to their first connections
+	KnownPause     time.Duration // between two connections of a known client; 0: one connection each
 }
 
-// Ends are how connections of one manner ended.
+// Outcomes counts how the connections of one behavior ended.
 type Outcomes struct {
 	Tried    int
-	Served   int // with a whole answer that is no refusal
-	Refused  int // with a whole refusal: status, Retry-After, Connection: close, OpenAI's shape, then the end
-	Closed   int // without a word, by its own end or the other's
-	Broken   int // with part of an answer, or reset before it was whole
-	Hung     int // with no end in time
-	NoDial   int // this side could not connect: ports, or the listener's queue
+	Served   int // with a complete answer other than a refusal
+	Refused  int // with a complete refusal: status, Retry-After, Connection: close, OpenAI's error format, then closed
+	Closed   int // closed or reset without an answer
+	Broken   int // with an answer that is incomplete or invalid
+	Hung     int // still open after HangTimeout
+	NoDial   int // no connection: no local port, or the listener's queue was full
 	ByStatus map[int]int
-	Wrong    map[string]int          // what was wrong with a refusal
-	Waits    *hdrhistogram.Histogram // of refused ones, from connected to the first byte, µs
+	Wrong    map[string]int          // number of faults by description, see CheckResponse
+	Waits    *hdrhistogram.Histogram // of refused connections, from connected to the first byte, in µs
 }
 
 func newOutcomes() *Outcomes {
 	return &Outcomes{ByStatus: map[int]int{}, Wrong: map[string]int{}, Waits: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-// Entry is one known client's way in.
+// KnownClientResult is the result of a known client's attempts to stream one completion.
 type KnownClientResult struct {
 	Client         int
-	Attempts       int           // connections until it was in
-	FirstTokenTime time.Duration // from its first dial to its first token
-	Err            error         // of the last try, nil if it streamed to [DONE]
+	Attempts       int           // connections made
+	FirstTokenTime time.Duration // from the first dial to the first token
+	Err            error         // of the last attempt, nil if it streamed to [DONE]
 }
 
-// Report is what came of a crowd.
+// Report is the result of a run.
 type Report struct {
 	Flood        map[Behavior]*Outcomes
 	KnownClients []KnownClientResult
 	Elapsed      time.Duration
 }
 
-// Sum adds the manners up.
+// Total returns the sum over all behaviors.
 func (r *Report) Total() *Outcomes {
-	all := newOutcomes()
-	for m := range behaviorCount {
-		e := r.Flood[m]
-		if e == nil {
+	total := newOutcomes()
+	for behavior := range behaviorCount {
+		outcomes := r.Flood[behavior]
+		if outcomes == nil {
 			continue
 		}
-		all.Tried += e.Tried
-		all.Served += e.Served
-		all.Refused += e.Refused
-		all.Closed += e.Closed
-		all.Broken += e.Broken
-		all.Hung += e.Hung
-		all.NoDial += e.NoDial
-		for s, n := range e.ByStatus {
-			all.ByStatus[s] += n
+		total.Tried += outcomes.Tried
+		total.Served += outcomes.Served
+		total.Refused += outcomes.Refused
+		total.Closed += outcomes.Closed
+		total.Broken += outcomes.Broken
+		total.Hung += outcomes.Hung
+		total.NoDial += outcomes.NoDial
+		for status, n := range outcomes.ByStatus {
+			total.ByStatus[status] += n
 		}
-		for w, n := range e.Wrong {
-			all.Wrong[w] += n
+		for fault, n := range outcomes.Wrong {
+			total.Wrong[fault] += n
 		}
-		all.Waits.Merge(e.Waits)
+		total.Waits.Merge(outcomes.Waits)
 	}
-	return all
+	return total
 }
 
-// KnownTimes are the times of those who got in, in seconds, and how many never did.
-func (r *Report) KnownFirstTokenTimes() (h *hdrhistogram.Histogram, failed int) {
-	h = hdrhistogram.New(1, 600_000_000, 3)
-	for _, e := range r.KnownClients {
-		if e.Err != nil {
+// KnownFirstTokenTimes returns the times to the first token of the known clients that were served, in µs, and how many were not.
+func (r *Report) KnownFirstTokenTimes() (times *hdrhistogram.Histogram, failed int) {
+	times = hdrhistogram.New(1, 600_000_000, 3)
+	for _, result := range r.KnownClients {
+		if result.Err != nil {
 			failed++
 			continue
 		}
-		h.RecordValue(e.FirstTokenTime.Microseconds()) //nolint:errcheck // within its range
+		times.RecordValue(result.FirstTokenTime.Microseconds()) //nolint:errcheck // within its range
 	}
-	return h, failed
+	return times, failed
 }
 
-// Run lets a crowd loose until its length is over.
+// Run runs the flood and the known clients until the flood's duration is over.
 func Run(ctx context.Context, o Options) *Report {
 	if len(o.Behaviors) == 0 {
 		o.Behaviors = []Behavior{SendsRequest, SendsNothing, SendsPartialHeader}
 	}
-	r := &Report{Flood: map[Behavior]*Outcomes{}}
-	for m := range behaviorCount {
-		r.Flood[m] = newOutcomes()
+	report := &Report{Flood: map[Behavior]*Outcomes{}}
+	for behavior := range behaviorCount {
+		report.Flood[behavior] = newOutcomes()
 	}
-	began := time.Now()
+	started := time.Now()
 	ctx, stop := context.WithTimeout(ctx, 5*o.Duration)
 	defer stop()
-	var tried atomic.Int64
+	var attempted atomic.Int64
 	go func() {
-		for time.Since(began) < o.Duration || tried.Load() < int64(o.MinConns) {
+		for time.Since(started) < o.Duration || attempted.Load() < int64(o.MinConns) {
 			select {
 			case <-ctx.Done():
 				return
@@ -147,21 +146,21 @@
 		}
 		stop()
 	}()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i := range o.FloodConns {
-		all.Go(func() {
+		wg.Go(func() {
 			for n := i; ctx.Err() == nil; n += o.FloodConns {
-				m := o.Behaviors[(n/max(1, len(o.FloodAddresses)))%len(o.Behaviors)]
-				one := runFloodConn(ctx, &o, o.FloodAddresses[n%len(o.FloodAddresses)], m)
-				if ctx.Err() != nil && one.cancelled {
-					return // it was ended with the flood: nothing is known of it
+				behavior := o.Behaviors[(n/max(1, len(o.FloodAddresses)))%len(o.Behaviors)]
+				result := runFloodConn(ctx, &o, o.FloodAddresses[n%len(o.FloodAddresses)], behavior)
+				if ctx.Err() != nil && result.cancelled {
+					return // cancelled with the flood: its outcome is unknown
 				}
-				tried.Add(1)
+				attempted.Add(1)
 				mu.Lock()
-				one.addTo(r.Flood[m])
+				result.addTo(report.Flood[behavior])
 				mu.Unlock()
-				if one.dialFailed {
+				if result.dialFailed {
 					time.Sleep(10 * time.Millisecond)
 				}
 			}
@@ -172,15 +171,15 @@
 	case <-time.After(o.KnownDelay):
 	}
 	for i, key := range o.KnownKeys {
-		all.Go(func() {
-			from := ""
+		wg.Go(func() {
+			localAddress := ""
 			if len(o.KnownAddresses) > 0 {
-				from = o.KnownAddresses[i%len(o.KnownAddresses)]
+				localAddress = o.KnownAddresses[i%len(o.KnownAddresses)]
 			}
 			for first := true; first || ctx.Err() == nil; first = false {
-				e := streamUntilServed(context.WithoutCancel(ctx), &o, i, key, from)
+				result := streamUntilServed(context.WithoutCancel(ctx), &o, i, key, localAddress)
 				mu.Lock()
-				r.KnownClients = append(r.KnownClients, e)
+				report.KnownClients = append(report.KnownClients, result)
 				mu.Unlock()
 				if o.KnownPause == 0 {
 					return
@@ -192,12 +191,12 @@
 			}
 		})
 	}
-	all.Wait()
-	r.Elapsed = time.Since(began)
-	return r
+	wg.Wait()
+	report.Elapsed = time.Since(started)
+	return report
 }
 
-// one is how one connection of the flood ended.
+// connResult is how one connection of the flood ended.
 type connResult struct {
 	dialFailed, cancelled, hung, reset bool
 	response                           []byte
@@ -206,126 +205,126 @@
 
 const maxResponseBytes = 1 << 20
 
-func newDialer(from string) *net.Dialer {
-	d := &net.Dialer{Timeout: 2 * time.Second}
-	if from != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
+func newDialer(localAddress string) *net.Dialer {
+	dialer := &net.Dialer{Timeout: 2 * time.Second}
+	if localAddress != "" {
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(localAddress)}
 	}
-	return d
+	return dialer
 }
 
 func chatRequest(model, key string) string {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":4,"messages":[{"role":"user","content":"Hello"}]}`, model)
-	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: crowd\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
+	header := "POST /v1/chat/completions HTTP/1.1\r\nHost: crowd\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	if key != "" {
-		head += "Authorization: Bearer " + key + "\r\n"
+		header += "Authorization: Bearer " + key + "\r\n"
 	}
-	return head + "\r\n" + body
+	return header + "\r\n" + body
 }
 
-func runFloodConn(ctx context.Context, o *Options, from string, m Behavior) (e connResult) {
-	conn, err := newDialer(from).DialContext(ctx, "tcp", o.Target)
+func runFloodConn(ctx context.Context, o *Options, localAddress string, behavior Behavior) (result connResult) {
+	conn, err := newDialer(localAddress).DialContext(ctx, "tcp", o.Target)
 	if err != nil {
 		return connResult{dialFailed: true, cancelled: ctx.Err() != nil}
 	}
 	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Now()) }) //nolint:errcheck // of an open one
+	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Now()) }) //nolint:errcheck // the connection is open
 	defer stop()
-	began := time.Now()
-	conn.SetDeadline(began.Add(o.HangTimeout)) //nolint:errcheck // as above
-	text := chatRequest(o.Model, "")
-	switch m {
+	connectedAt := time.Now()
+	conn.SetDeadline(connectedAt.Add(o.HangTimeout)) //nolint:errcheck // as above
+	request := chatRequest(o.Model, "")
+	switch behavior {
 	case SendsRequest:
-		io.WriteString(conn, strings.Replace(text, "\r\nHost", "\r\nConnection: close\r\nHost", 1)) //nolint:errcheck // refused meanwhile
+		io.WriteString(conn, strings.Replace(request, "\r\nHost", "\r\nConnection: close\r\nHost", 1)) //nolint:errcheck // it may have been refused already
 	case SendsPartialHeader:
-		io.WriteString(conn, text[:20]) //nolint:errcheck // as above
+		io.WriteString(conn, request[:20]) //nolint:errcheck // as above
 	}
 	var buf [4096]byte
-	for len(e.response) < maxResponseBytes {
+	for len(result.response) < maxResponseBytes {
 		n, err := conn.Read(buf[:])
-		if n > 0 && len(e.response) == 0 {
-			e.firstByteTime = time.Since(began)
+		if n > 0 && len(result.response) == 0 {
+			result.firstByteTime = time.Since(connectedAt)
 		}
-		e.response = append(e.response, buf[:n]...)
-		var slow net.Error
+		result.response = append(result.response, buf[:n]...)
+		var netErr net.Error
 		switch {
 		case err == nil:
 			continue
-		case errors.As(err, &slow) && slow.Timeout():
-			e.cancelled = ctx.Err() != nil
-			e.hung = !e.cancelled
+		case errors.As(err, &netErr) && netErr.Timeout():
+			result.cancelled = ctx.Err() != nil
+			result.hung = !result.cancelled
 		case !errors.Is(err, io.EOF):
-			e.reset = true
+			result.reset = true
 		}
-		return e
+		return result
 	}
-	return e
+	return result
 }
 
-func (e connResult) addTo(to *Outcomes) {
-	to.Tried++
+func (r connResult) addTo(outcomes *Outcomes) {
+	outcomes.Tried++
 	switch {
-	case e.dialFailed:
-		to.NoDial++
+	case r.dialFailed:
+		outcomes.NoDial++
 		return
-	case e.hung:
-		to.Hung++
+	case r.hung:
+		outcomes.Hung++
 		return
-	case len(e.response) == 0:
-		to.Closed++ // or reset; it was told nothing
-		if e.reset {
-			to.Wrong["reset without an answer"]++
+	case len(r.response) == 0:
+		outcomes.Closed++ // closed or reset without an answer
+		if r.reset {
+			outcomes.Wrong["reset without an answer"]++
 		}
 		return
 	}
-	status, wrong := CheckResponse(e.response)
-	to.ByStatus[status]++
+	status, fault := CheckResponse(r.response)
+	outcomes.ByStatus[status]++
 	switch {
-	case wrong != "":
-		to.Broken++
-		to.Wrong[wrong]++
+	case fault != "":
+		outcomes.Broken++
+		outcomes.Wrong[fault]++
 	case status == http.StatusOK:
-		to.Served++
+		outcomes.Served++
 	default:
-		to.Refused++
-		to.Waits.RecordValue(max(1, e.firstByteTime.Microseconds())) //nolint:errcheck // within its range
+		outcomes.Refused++
+		outcomes.Waits.RecordValue(max(1, r.firstByteTime.Microseconds())) //nolint:errcheck // within its range
 	}
 }
 
-// Judge reads all that came over a socket and tells what is wrong with it, "" if it is one whole answer: a stream
-// to [DONE], or a refusal in OpenAI's shape that says when to come back and that the connection ends.
-func CheckResponse(text []byte) (status int, wrong string) {
-	r := bufio.NewReader(strings.NewReader(string(text)))
-	resp, err := http.ReadResponse(r, nil)
+// CheckResponse checks all bytes received on a socket and describes what is wrong with them. It returns "" for exactly one complete answer: a
+// stream up to [DONE], or a refusal in OpenAI's error format with Retry-After and Connection: close.
+func CheckResponse(response []byte) (status int, fault string) {
+	reader := bufio.NewReader(strings.NewReader(string(response)))
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		return 0, "no whole header"
+		return 0, "incomplete header"
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
-		return resp.StatusCode, "no whole body"
-	case r.Buffered() > 0:
-		return resp.StatusCode, "more after the answer"
+		return resp.StatusCode, "incomplete body"
+	case reader.Buffered() > 0:
+		return resp.StatusCode, "data after the answer"
 	case resp.StatusCode == http.StatusOK:
 		if !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
 			return resp.StatusCode, "no [DONE]"
 		}
 		return resp.StatusCode, ""
 	}
-	var shape struct {
+	var errorBody struct {
 		Error *struct {
 			Message string  `json:"message"`
 			Type    string  `json:"type"`
 			Code    *string `json:"code"`
 		} `json:"error"`
 	}
-	again := resp.Header.Get("Retry-After")
-	_, noNumber := strconv.Atoi(again)
+	retryAfter := resp.Header.Get("Retry-After")
+	_, retryAfterErr := strconv.Atoi(retryAfter)
 	switch {
-	case json.Unmarshal(body, &shape) != nil || shape.Error == nil || shape.Error.Message == "" || shape.Error.Type == "" || shape.Error.Code == nil:
-		return resp.StatusCode, "not OpenAI's error shape"
-	case (resp.StatusCode == 429 || resp.StatusCode == 503) && noNumber != nil:
+	case json.Unmarshal(body, &errorBody) != nil || errorBody.Error == nil || errorBody.Error.Message == "" || errorBody.Error.Type == "" || errorBody.Error.Code == nil:
+		return resp.StatusCode, "not OpenAI's error format"
+	case (resp.StatusCode == 429 || resp.StatusCode == 503) && retryAfterErr != nil:
 		return resp.StatusCode, "no Retry-After"
 	case !resp.Close:
 		return resp.StatusCode, "no Connection: close"
@@ -333,32 +332,32 @@
 	return resp.StatusCode, ""
 }
 
-// enterMost is how long a known client tries.
+// knownClientTimeout limits how long a known client retries.
 const knownClientTimeout = 10 * time.Second
 
-// enter has a known client connect and stream, again and again until it is in.
-func streamUntilServed(ctx context.Context, o *Options, client int, key, from string) KnownClientResult {
-	e := KnownClientResult{Client: client}
-	began := time.Now()
-	for time.Since(began) < knownClientTimeout {
-		e.Attempts++
-		var wait time.Duration
-		if e.FirstTokenTime, wait, e.Err = streamOnce(ctx, o, key, from, began); e.Err == nil {
-			return e
+// streamUntilServed makes a known client connect and stream, and retry until it is served.
+func streamUntilServed(ctx context.Context, o *Options, client int, key, localAddress string) KnownClientResult {
+	result := KnownClientResult{Client: client}
+	started := time.Now()
+	for time.Since(started) < knownClientTimeout {
+		result.Attempts++
+		var retryAfter time.Duration
+		if result.FirstTokenTime, retryAfter, result.Err = streamOnce(ctx, o, key, localAddress, started); result.Err == nil {
+			return result
 		}
-		time.Sleep(max(wait, 5*time.Millisecond))
+		time.Sleep(max(retryAfter, 5*time.Millisecond))
 	}
-	return e
+	return result
 }
 
-// stream is one try. Where it is refused it tells for how long.
-func streamOnce(ctx context.Context, o *Options, key, from string, began time.Time) (took, wait time.Duration, err error) {
-	conn, err := newDialer(from).DialContext(ctx, "tcp", o.Target)
+// streamOnce makes one attempt. For a refusal it returns the wait that the router advised.
+func streamOnce(ctx context.Context, o *Options, key, localAddress string, started time.Time) (firstTokenTime, retryAfter time.Duration, err error) {
+	conn, err := newDialer(localAddress).DialContext(ctx, "tcp", o.Target)
 	if err != nil {
 		return 0, 0, fmt.Errorf("dial: %w", err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(knownClientTimeout)) //nolint:errcheck // of an open one
+	conn.SetDeadline(time.Now().Add(knownClientTimeout)) //nolint:errcheck // the connection is open
 	if _, err := io.WriteString(conn, chatRequest(o.Model, key)); err != nil {
 		return 0, 0, fmt.Errorf("send: %w", err)
 	}
@@ -372,14 +371,14 @@
 		ms, _ := strconv.Atoi(resp.Header.Get("Retry-After-Ms"))
 		return 0, time.Duration(ms) * time.Millisecond, fmt.Errorf("status %d: %.200s", resp.StatusCode, text)
 	}
-	lines := bufio.NewScanner(resp.Body)
-	for lines.Scan() {
-		if strings.HasPrefix(lines.Text(), "data: ") && took == 0 {
-			took = time.Since(began)
+	scanner := bufio.NewScanner(resp.Body)
+	for scanner.Scan() {
+		if strings.HasPrefix(scanner.Text(), "data: ") && firstTokenTime == 0 {
+			firstTokenTime = time.Since(started)
 		}
-		if lines.Text() == "data: [DONE]" {
-			return took, 0, nil
+		if scanner.Text() == "data: [DONE]" {
+			return firstTokenTime, 0, nil
 		}
 	}
-	return took, 0, fmt.Errorf("the stream ended before [DONE]: %w", errors.Join(lines.Err(), io.ErrUnexpectedEOF))
+	return firstTokenTime, 0, fmt.Errorf("the stream ended before [DONE]: %w", errors.Join(scanner.Err(), io.ErrUnexpectedEOF))
 }
