--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,7 +1,7 @@
-// Package bench measures a router beside a plain reverse proxy with random choice, in one run on loopback,
-// with the same stand-in engines: throughput at saturation, added time to the first token at half of it,
-// memory for an open stream, CPU for a completion. Router, proxy and engines are processes of their own. It is
-// for the project's own figures; cmd/cherryhub bench calls it, no test does.
+// Package bench compares a router with a plain reverse proxy that picks engines at random, in one run on loopback with the same stand-in
+// engines. It measures throughput at saturation, added time to the first token at half of that throughput, memory per open stream and CPU
+// time per completion. Router, proxy and engines are separate processes. It produces the project's own figures: cmd/cherryhub bench
+// calls it, no test does.
 package bench
 
 import (
@@ -34,24 +34,24 @@
 	pb "cherryhub/proto"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Executable  string        // our own program, which is also router, proxy and engines
-	Rounds      int           // of router and proxy in turn
+	Executable  string        // path of this program, which also runs router, proxy and engines
+	Rounds      int           // rounds of router and proxy in alternation
 	Duration    time.Duration // of one measurement
-	Clients     int           // at saturation
-	OpenStreams int           // open at once, for memory
+	Clients     int           // concurrent clients at saturation
+	OpenStreams int           // concurrent streams for the memory measurement, 0 for none
 	Logf        func(format string, a ...any)
 }
 
-// Side is what one of the two came to.
+// Target is a measured server, router or proxy, with its results.
 type Target struct {
 	Name                         string
-	Throughput                   []float64 // completions a second, a round each
-	CPUSeconds                   []float64 // seconds of CPU a completion
-	DecideSeconds                []float64 // of it in decide
-	FirstTokenP50, FirstTokenP99 []float64 // seconds to the first token at half of the lower throughput
-	BytesPerStream               float64   // of memory an open stream
+	Throughput                   []float64 // completions per second, one value per round
+	CPUSeconds                   []float64 // CPU time per completion
+	DecideSeconds                []float64 // part of it in decide
+	FirstTokenP50, FirstTokenP99 []float64 // seconds to the first token, at half of the lower throughput
+	BytesPerStream               float64   // memory per open stream
 	Failed                       int64
 	address, admin               string
 	cmd                          *exec.Cmd
@@ -75,8 +75,8 @@
 log { level: ERROR }
 list { file: %q }`
 
-// Run measures both sides and returns them, the router first.
-func Run(ctx context.Context, o Options) (sides []*Target, err error) {
+// Run measures both targets and returns them, the router first.
+func Run(ctx context.Context, o Options) (targets []*Target, err error) {
 	dir, err := os.MkdirTemp("", "cherryhub-bench-")
 	if err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
@@ -87,42 +87,42 @@
 		return nil, err
 	}
 	defer engines.Process.Kill() //nolint:errcheck // it may have ended
-	sides, err = startTargets(o, dir, addresses)
+	targets, err = startTargets(o, dir, addresses)
 	if err != nil {
 		return nil, err
 	}
-	defer stopTargets(sides)
-	for _, s := range sides { // warm up
-		s.saturate(ctx, o.Clients, o.Duration/2)
+	defer stopTargets(targets)
+	for _, t := range targets { // warm up
+		t.saturate(ctx, o.Clients, o.Duration/2)
 	}
 	for round := range o.Rounds {
-		for i := range sides {
-			s := sides[(i+round)%len(sides)]
-			cpu, busy := s.cpuSeconds(), s.decideSeconds()
-			done, failed := s.saturate(ctx, o.Clients, o.Duration)
-			s.Failed += failed
-			s.Throughput = append(s.Throughput, float64(done)/o.Duration.Seconds())
-			s.CPUSeconds = append(s.CPUSeconds, (s.cpuSeconds()-cpu)/float64(done))
-			s.DecideSeconds = append(s.DecideSeconds, (s.decideSeconds()-busy)/float64(done))
-			o.Logf("%s: %.0f completions/s, %.0f µs CPU each, %.0f µs of it in decide, %d failed", s.Name,
-				s.Throughput[len(s.Throughput)-1], 1e6*s.CPUSeconds[len(s.CPUSeconds)-1], 1e6*s.DecideSeconds[len(s.DecideSeconds)-1], failed)
+		for i := range targets {
+			t := targets[(i+round)%len(targets)]
+			cpu, decide := t.cpuSeconds(), t.decideSeconds()
+			done, failed := t.saturate(ctx, o.Clients, o.Duration)
+			t.Failed += failed
+			t.Throughput = append(t.Throughput, float64(done)/o.Duration.Seconds())
+			t.CPUSeconds = append(t.CPUSeconds, (t.cpuSeconds()-cpu)/float64(done))
+			t.DecideSeconds = append(t.DecideSeconds, (t.decideSeconds()-decide)/float64(done))
+			o.Logf("%s: %.0f completions/s, %.0f µs CPU each, %.0f µs of it in decide, %d failed", t.Name,
+				t.Throughput[len(t.Throughput)-1], 1e6*t.CPUSeconds[len(t.CPUSeconds)-1], 1e6*t.DecideSeconds[len(t.DecideSeconds)-1], failed)
 		}
 	}
-	rate := min(median(sides[0].Throughput), median(sides[1].Throughput)) / 2
+	rate := min(median(targets[0].Throughput), median(targets[1].Throughput)) / 2
 	for round := range o.Rounds {
-		for i := range sides {
-			s := sides[(i+round)%len(sides)]
-			h := s.openLoop(ctx, rate, o.Duration)
-			s.FirstTokenP50 = append(s.FirstTokenP50, float64(h.ValueAtQuantile(50))/1e6)
-			s.FirstTokenP99 = append(s.FirstTokenP99, float64(h.ValueAtQuantile(99))/1e6)
-			o.Logf("%s at %.0f/s: first token p50 %.2f ms, p99 %.2f ms", s.Name, rate, 1e3*s.FirstTokenP50[len(s.FirstTokenP50)-1], 1e3*s.FirstTokenP99[len(s.FirstTokenP99)-1])
+		for i := range targets {
+			t := targets[(i+round)%len(targets)]
+			h := t.openLoop(ctx, rate, o.Duration)
+			t.FirstTokenP50 = append(t.FirstTokenP50, float64(h.ValueAtQuantile(50))/1e6)
+			t.FirstTokenP99 = append(t.FirstTokenP99, float64(h.ValueAtQuantile(99))/1e6)
+			o.Logf("%s at %.0f/s: first token p50 %.2f ms, p99 %.2f ms", t.Name, rate, 1e3*t.FirstTokenP50[len(t.FirstTokenP50)-1], 1e3*t.FirstTokenP99[len(t.FirstTokenP99)-1])
 		}
 	}
-	return sides, measureStreamMemory(ctx, o, dir, sides)
+	return targets, measureStreamMemory(ctx, o, dir, targets)
 }
 
-// streams measures memory with many streams open, at engines that write a token a minute.
-func measureStreamMemory(ctx context.Context, o Options, dir string, old []*Target) error {
+// measureStreamMemory measures memory with many open streams, at engines that write one token per minute.
+func measureStreamMemory(ctx context.Context, o Options, dir string, results []*Target) error {
 	if o.OpenStreams == 0 {
 		return nil
 	}
@@ -131,60 +131,60 @@
 		return err
 	}
 	defer engines.Process.Kill() //nolint:errcheck // it may have ended
-	sides, err := startTargets(o, dir, addresses)
+	targets, err := startTargets(o, dir, addresses)
 	if err != nil {
 		return err
 	}
-	defer stopTargets(sides)
-	for i, s := range sides {
-		before := s.residentBytes()
+	defer stopTargets(targets)
+	for i, t := range targets {
+		bytesBefore := t.residentBytes()
 		ctx, cancel := context.WithCancel(ctx)
 		var open, failed atomic.Int64
-		var wg sync.WaitGroup
+		var streams sync.WaitGroup
 		client := newClient(o.OpenStreams)
-		for n := range o.OpenStreams {
-			wg.Go(func() {
-				if s.complete(ctx, client, func(time.Time) { open.Add(1) }) != nil && ctx.Err() == nil {
+		for stream := range o.OpenStreams {
+			streams.Go(func() {
+				if t.complete(ctx, client, func(time.Time) { open.Add(1) }) != nil && ctx.Err() == nil {
 					failed.Add(1)
 				}
 			})
-			if n%200 == 199 {
+			if stream%200 == 199 {
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
-		for until := time.Now().Add(time.Minute); open.Load()+failed.Load() < int64(o.OpenStreams) && time.Now().Before(until); {
+		for deadline := time.Now().Add(time.Minute); open.Load()+failed.Load() < int64(o.OpenStreams) && time.Now().Before(deadline); {
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		old[i].BytesPerStream = (s.residentBytes() - before) / float64(open.Load())
-		o.Logf("%s: %d streams open, %d failed, %.1f KiB each", s.Name, open.Load(), failed.Load(), old[i].BytesPerStream/1024)
+		results[i].BytesPerStream = (t.residentBytes() - bytesBefore) / float64(open.Load())
+		o.Logf("%s: %d streams open, %d failed, %.1f KiB each", t.Name, open.Load(), failed.Load(), results[i].BytesPerStream/1024)
 		cancel()
 		client.CloseIdleConnections()
-		wg.Wait()
+		streams.Wait()
 	}
 	return nil
 }
 
 func startEngines(o Options, dir string, tokenMs int) (*exec.Cmd, []string, error) {
-	file, list := filepath.Join(dir, fmt.Sprintf("fleet%d", tokenMs)), filepath.Join(dir, "list.json")
-	os.Remove(list) //nolint:errcheck // it may not be there
-	if err := os.WriteFile(file, []byte(fmt.Sprintf(fleetSettings, tokenMs)), 0o600); err != nil {
+	settingsFile, listFile := filepath.Join(dir, fmt.Sprintf("fleet%d", tokenMs)), filepath.Join(dir, "list.json")
+	os.Remove(listFile) //nolint:errcheck // it may not exist
+	if err := os.WriteFile(settingsFile, []byte(fmt.Sprintf(fleetSettings, tokenMs)), 0o600); err != nil {
 		return nil, nil, fmt.Errorf("bench: %w", err)
 	}
-	cmd := exec.Command(o.Executable, "bench", "--as-engines", file, "--list", list)
+	cmd := exec.Command(o.Executable, "bench", "--as-engines", settingsFile, "--list", listFile)
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		return nil, nil, fmt.Errorf("bench: engines: %w", err)
 	}
 	for range 500 {
-		text, err := os.ReadFile(list)
+		text, err := os.ReadFile(listFile)
 		var line struct {
 			Engines []struct{ Address string }
 		}
 		if err == nil && json.Unmarshal(text, &line) == nil {
 			var addresses []string
-			for _, e := range line.Engines {
-				addresses = append(addresses, e.Address)
+			for _, engine := range line.Engines {
+				addresses = append(addresses, engine.Address)
 			}
 			return cmd, addresses, nil
 		}
@@ -193,14 +193,14 @@
 	return nil, nil, errors.Join(errors.New("bench: the engines wrote no list"), cmd.Process.Kill())
 }
 
-// Engines serves as the engines' process: it writes their list to a file and never ends.
-func ServeEngines(file, list string) error {
-	f := &pb.Fleet{}
-	if err := config.Load(file, f); err != nil {
+// ServeEngines runs as the engines' process: it writes their list to a file and never returns.
+func ServeEngines(settingsFile, listFile string) error {
+	settings := &pb.Fleet{}
+	if err := config.Load(settingsFile, settings); err != nil {
 		return err
 	}
-	f.ListListen = proto.String("127.0.0.1:0")
-	fleet, err := standin.Start(f, []*pb.Workload{{Name: proto.String("m"), Effect: pb.Effect_IDEMPOTENT.Enum()}}, nil)
+	settings.ListListen = proto.String("127.0.0.1:0")
+	fleet, err := standin.Start(settings, []*pb.Workload{{Name: proto.String("m"), Effect: pb.Effect_IDEMPOTENT.Enum()}}, nil)
 	if err != nil {
 		return err
 	}
@@ -212,31 +212,31 @@
 	if err != nil {
 		return fmt.Errorf("bench: list: %w", err)
 	}
-	if err := os.WriteFile(list+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(listFile+".new", text, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(list+".new", list); err != nil {
+	if err := os.Rename(listFile+".new", listFile); err != nil {
 		return err
 	}
 	select {}
 }
 
-// Proxy serves as the baseline: a reverse proxy that picks an engine by chance.
+// ServeProxy runs as the baseline: a reverse proxy that picks engines at random.
 func ServeProxy(address string, engines []string) error {
 	var targets []*url.URL
-	for _, e := range engines {
-		targets = append(targets, &url.URL{Scheme: "http", Host: e})
+	for _, engine := range engines {
+		targets = append(targets, &url.URL{Scheme: "http", Host: engine})
 	}
-	p := &httputil.ReverseProxy{FlushInterval: -1, Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(targets[rand.IntN(len(targets))]) },
+	proxy := &httputil.ReverseProxy{FlushInterval: -1, Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(targets[rand.IntN(len(targets))]) },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}
-	return http.ListenAndServe(address, p)
+	return http.ListenAndServe(address, proxy)
 }
 
 func startTargets(o Options, dir string, engines []string) ([]*Target, error) {
 	router, proxy := &Target{Name: "router"}, &Target{Name: "proxy"}
 	var err error
-	for _, a := range []*string{&router.address, &router.admin, &proxy.address} {
-		if *a, err = loopback.Address("127.0.0.1"); err != nil {
+	for _, address := range []*string{&router.address, &router.admin, &proxy.address} {
+		if *address, err = loopback.Address("127.0.0.1"); err != nil {
 			return nil, err
 		}
 	}
@@ -246,37 +246,37 @@
 	}
 	router.cmd = exec.Command(o.Executable, "serve", "--config", file)
 	proxy.cmd = exec.Command(o.Executable, "bench", "--as-proxy", proxy.address, "--engines", strings.Join(engines, ","))
-	sides := []*Target{router, proxy}
-	for _, s := range sides {
-		s.cmd.Stderr = os.Stderr
-		if err := s.cmd.Start(); err != nil {
-			return nil, fmt.Errorf("bench: %s: %w", s.Name, err)
+	targets := []*Target{router, proxy}
+	for _, t := range targets {
+		t.cmd.Stderr = os.Stderr
+		if err := t.cmd.Start(); err != nil {
+			return nil, fmt.Errorf("bench: %s: %w", t.Name, err)
 		}
 	}
 	client := newClient(1)
-	for _, s := range sides {
-		for try := 0; ; try++ {
+	for _, t := range targets {
+		for attempt := 0; ; attempt++ {
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-			first := false
-			err := s.complete(ctx, client, func(time.Time) { first = true; cancel() })
+			gotToken := false
+			err := t.complete(ctx, client, func(time.Time) { gotToken = true; cancel() })
 			cancel()
-			if err == nil || first {
+			if err == nil || gotToken {
 				break
 			}
-			if try > 100 {
-				stopTargets(sides)
-				return nil, fmt.Errorf("bench: %s does not answer: %w", s.Name, err)
+			if attempt > 100 {
+				stopTargets(targets)
+				return nil, fmt.Errorf("bench: %s does not answer: %w", t.Name, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return sides, nil
+	return targets, nil
 }
 
-func stopTargets(sides []*Target) {
-	for _, s := range sides {
-		s.cmd.Process.Kill() //nolint:errcheck // it may have ended
-		s.cmd.Wait()         //nolint:errcheck // it was killed
+func stopTargets(targets []*Target) {
+	for _, t := range targets {
+		t.cmd.Process.Kill() //nolint:errcheck // it may have ended
+		t.cmd.Wait()         //nolint:errcheck // it was killed
 	}
 }
 
@@ -284,9 +284,9 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: conns, DisableCompression: true, ReadBufferSize: 1 << 10, WriteBufferSize: 1 << 10}}
 }
 
-// one makes one streamed completion.
-func (s *Target) complete(ctx context.Context, client *http.Client, first func(time.Time)) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.address+"/v1/chat/completions", strings.NewReader(requestBody))
+// complete makes one streamed completion.
+func (t *Target) complete(ctx context.Context, client *http.Client, onFirstToken func(time.Time)) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.address+"/v1/chat/completions", strings.NewReader(requestBody))
 	if err != nil {
 		return err
 	}
@@ -296,19 +296,19 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, resp.Body) //nolint:errcheck // it failed already
+		io.Copy(io.Discard, resp.Body) //nolint:errcheck // the completion has failed already
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
-	r, began, last := bufio.NewReaderSize(resp.Body, 1<<10), false, false
+	reader, tokenSeen, doneSeen := bufio.NewReaderSize(resp.Body, 1<<10), false, false
 	for {
-		line, err := r.ReadSlice('\n')
-		if !began && bytes.Contains(line, []byte(`"tok0`)) {
-			began = true
-			first(time.Now())
+		line, err := reader.ReadSlice('\n')
+		if !tokenSeen && bytes.Contains(line, []byte(`"tok0`)) {
+			tokenSeen = true
+			onFirstToken(time.Now())
 		}
-		last = last || bytes.HasPrefix(line, []byte("data: [DONE]"))
+		doneSeen = doneSeen || bytes.HasPrefix(line, []byte("data: [DONE]"))
 		if errors.Is(err, io.EOF) {
-			if !last {
+			if !doneSeen {
 				return io.ErrUnexpectedEOF
 			}
 			return nil
@@ -319,85 +319,85 @@
 	}
 }
 
-// saturate keeps so many clients asking and counts whole answers.
-func (s *Target) saturate(ctx context.Context, clients int, length time.Duration) (done, failed int64) {
+// saturate runs concurrent clients without pause and counts complete and failed answers.
+func (t *Target) saturate(ctx context.Context, clients int, duration time.Duration) (done, failed int64) {
 	client := newClient(clients)
 	defer client.CloseIdleConnections()
-	var all, bad atomic.Int64
-	until := time.Now().Add(length)
+	var completed, failures atomic.Int64
+	deadline := time.Now().Add(duration)
 	var wg sync.WaitGroup
 	for range clients {
 		wg.Go(func() {
-			for time.Now().Before(until) && ctx.Err() == nil {
-				if s.complete(ctx, client, func(time.Time) {}) == nil {
-					all.Add(1)
+			for time.Now().Before(deadline) && ctx.Err() == nil {
+				if t.complete(ctx, client, func(time.Time) {}) == nil {
+					completed.Add(1)
 				} else {
-					bad.Add(1)
+					failures.Add(1)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return all.Load(), bad.Load()
+	return completed.Load(), failures.Load()
 }
 
-// openLoop asks at a steady rate, whatever comes back, and measures from when each was due.
-func (s *Target) openLoop(ctx context.Context, rate float64, length time.Duration) *hdrhistogram.Histogram {
+// openLoop sends completions at a constant rate, whatever is answered, and measures the time to the first token from when each was due.
+func (t *Target) openLoop(ctx context.Context, rate float64, duration time.Duration) *hdrhistogram.Histogram {
 	client := newClient(2000)
 	defer client.CloseIdleConnections()
-	h, mu := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), sync.Mutex{}
+	times, mu := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), sync.Mutex{}
 	start := time.Now()
 	var wg sync.WaitGroup
-	for n := 0; ; n++ {
-		due := start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
-		if due.Sub(start) > length || ctx.Err() != nil {
+	for request := 0; ; request++ {
+		due := start.Add(time.Duration(float64(request) / rate * float64(time.Second)))
+		if due.Sub(start) > duration || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(time.Until(due))
 		wg.Go(func() {
-			s.complete(ctx, client, func(at time.Time) { //nolint:errcheck // saturate counts failures
-				if due.Sub(start) < length/4 {
-					return // connections are made, caches fill
+			t.complete(ctx, client, func(tokenAt time.Time) { //nolint:errcheck // saturate counts failures
+				if due.Sub(start) < duration/4 {
+					return // warm-up: connections are made, caches fill
 				}
 				mu.Lock()
-				h.RecordValue(at.Sub(due).Microseconds()) //nolint:errcheck // within the range
+				times.RecordValue(tokenAt.Sub(due).Microseconds()) //nolint:errcheck // within the range
 				mu.Unlock()
 			})
 		})
 	}
 	wg.Wait()
-	return h
+	return times
 }
 
-// cpu is the CPU time of the side's process, in seconds.
-func (s *Target) cpuSeconds() float64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
+// cpuSeconds returns the CPU time of the target's process.
+func (t *Target) cpuSeconds() float64 {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", t.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
+	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / 100 // the kernel's ticks
+	return (user + system) / 100 // the kernel counts 100 ticks a second
 }
 
-// rss is the side's resident memory, in bytes.
-func (s *Target) residentBytes() float64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
+// residentBytes returns the resident memory of the target's process.
+func (t *Target) residentBytes() float64 {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", t.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	_, after, _ := strings.Cut(string(text), "VmRSS:")
-	kb, _ := strconv.ParseFloat(strings.Fields(after)[0], 64)
+	_, rest, _ := strings.Cut(string(status), "VmRSS:")
+	kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
 	return kb * 1024
 }
 
-// busy is the time that a router spent in decide, in seconds.
-func (s *Target) decideSeconds() float64 {
-	if s.admin == "" {
+// decideSeconds returns the time that a router has spent in decide, 0 for the proxy.
+func (t *Target) decideSeconds() float64 {
+	if t.admin == "" {
 		return 0
 	}
-	resp, err := http.Get("http://" + s.admin + "/state")
+	resp, err := http.Get("http://" + t.admin + "/state")
 	if err != nil {
 		return 0
 	}
--- a/internal/bench/flood.go
+++ b/internal/bench/flood.go
@@ -19,31 +19,31 @@
 	"cherryhub/internal/loopback"
 )
 
-// CrowdOptions are of a run of Crowd.
+// FloodOptions configures RunFlood.
 type FloodOptions struct {
 	Options
-	MaxDescriptors int // of the router's descriptors
-	FloodConns     int // connections under way at once
-	KnownClients   int // clients
-	IdleConns      int // connections for memory
+	MaxDescriptors int // descriptor limit of the router
+	FloodConns     int // concurrent connections of the flood
+	KnownClients   int // number of known clients
+	IdleConns      int // idle connections for the memory measurement, 0 for none
 }
 
-// Flooded is what came of a flood with admission on or off.
+// FloodResult is the result of a flood with admission on or off.
 type FloodResult struct {
 	AdmissionOn              bool
 	Report                   *crowd.Report
-	BaselineP50, BaselineP99 float64 // seconds until a known client streams, without a flood
-	KnownP50, KnownP99       float64 // and with it
+	BaselineP50, BaselineP99 float64 // seconds to a known client's first token, without a flood
+	KnownP50, KnownP99       float64 // the same during the flood
 	KnownMax                 float64
 	KnownFailed, KnownTotal  int
 }
 
-// CrowdReport is what Crowd measures.
+// FloodReport is the result of RunFlood.
 type FloodReport struct {
 	Results                     []FloodResult
-	CPUPerRefusal, CPUPerServed float64 // seconds of the router's CPU a connection
-	RefusalsPerSecond           float64 // a second, with one core for the router
-	BytesPerIdleConn            float64 // of memory an idle connection
+	CPUPerRefusal, CPUPerServed float64 // seconds of the router's CPU time per connection
+	RefusalsPerSecond           float64 // with one core for the router
+	BytesPerIdleConn            float64 // memory per idle connection
 	IdleConns                   int
 }
 
@@ -58,7 +58,7 @@
 tenants { name: "everybody" anonymous: true share_per_s: 1e6 }
 `
 
-// Crowd measures a router while everybody connects at once, with admission and without, in one run.
+// RunFlood measures a router under a flood of connections, without admission and with it, in one run.
 func RunFlood(ctx context.Context, o FloodOptions) (*FloodReport, error) {
 	dir, err := os.MkdirTemp("", "cherryhub-crowd-")
 	if err != nil {
@@ -70,201 +70,201 @@
 		return nil, err
 	}
 	defer engines.Process.Kill() //nolint:errcheck // it may have ended
-	r := &FloodReport{}
-	for _, on := range []bool{false, true} {
-		f, err := measureFlood(ctx, o, dir, on)
+	report := &FloodReport{}
+	for _, admissionOn := range []bool{false, true} {
+		result, err := measureFlood(ctx, o, dir, admissionOn)
 		if err != nil {
 			return nil, err
 		}
-		r.Results = append(r.Results, *f)
+		report.Results = append(report.Results, *result)
 	}
-	if err := measureConnCPU(ctx, o, dir, r); err != nil {
+	if err := measureConnCPU(ctx, o, dir, report); err != nil {
 		return nil, err
 	}
-	return r, measureIdleMemory(ctx, o, dir, r)
+	return report, measureIdleMemory(ctx, o, dir, report)
 }
 
-// startRouter starts a router with so many known clients, more settings and a limit of descriptors.
-func startRouter(o FloodOptions, dir, more string, limit int, env ...string) (*Target, []string, error) {
-	s := &Target{Name: "router"}
+// startRouter starts a router with the known clients, extra settings and a descriptor limit. It returns the clients' keys.
+func startRouter(o FloodOptions, dir, extraSettings string, maxDescriptors int, env ...string) (*Target, []string, error) {
+	router := &Target{Name: "router"}
 	var err error
-	for _, a := range []*string{&s.address, &s.admin} {
-		if *a, err = loopback.Address("127.0.0.1"); err != nil {
+	for _, address := range []*string{&router.address, &router.admin} {
+		if *address, err = loopback.Address("127.0.0.1"); err != nil {
 			return nil, nil, err
 		}
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, floodRouterSettings, s.address, s.admin, filepath.Join(dir, "list.json"))
+	fmt.Fprintf(&text, floodRouterSettings, router.address, router.admin, filepath.Join(dir, "list.json"))
 	var keys []string
 	for i := range o.KnownClients {
 		key := fmt.Sprintf("key-%d", i)
-		sum := sha256.Sum256([]byte(key))
-		fmt.Fprintf(&text, "tenants { name: \"known-%d\" key_sha256: %q share_per_s: 1e6 }\n", i, hex.EncodeToString(sum[:]))
+		hash := sha256.Sum256([]byte(key))
+		fmt.Fprintf(&text, "tenants { name: \"known-%d\" key_sha256: %q share_per_s: 1e6 }\n", i, hex.EncodeToString(hash[:]))
 		keys = append(keys, key)
 	}
-	text.WriteString(more)
+	text.WriteString(extraSettings)
 	file := filepath.Join(dir, "router.textproto")
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return nil, nil, fmt.Errorf("crowd: %w", err)
 	}
-	s.cmd = exec.Command("sh", "-c", fmt.Sprintf("{ ulimit -n %d || ulimit -n $(ulimit -Hn); } 2>/dev/null && exec \"$0\" serve --config \"$1\"", limit), o.Executable, file)
-	s.cmd.Env, s.cmd.Stderr = append(os.Environ(), env...), os.Stderr
-	if err := s.cmd.Start(); err != nil {
+	router.cmd = exec.Command("sh", "-c", fmt.Sprintf("{ ulimit -n %d || ulimit -n $(ulimit -Hn); } 2>/dev/null && exec \"$0\" serve --config \"$1\"", maxDescriptors), o.Executable, file)
+	router.cmd.Env, router.cmd.Stderr = append(os.Environ(), env...), os.Stderr
+	if err := router.cmd.Start(); err != nil {
 		return nil, nil, fmt.Errorf("crowd: router: %w", err)
 	}
 	client := newClient(1)
 	defer client.CloseIdleConnections()
 	for range 100 {
-		if err = s.complete(context.Background(), client, func(time.Time) {}); err == nil {
-			return s, keys, nil
+		if err = router.complete(context.Background(), client, func(time.Time) {}); err == nil {
+			return router, keys, nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	stopTargets([]*Target{s})
+	stopTargets([]*Target{router})
 	return nil, nil, fmt.Errorf("crowd: the router does not answer: %w", err)
 }
 
-func loopbackAddresses(network, n int) (all []string) {
+func loopbackAddresses(network, n int) (addresses []string) {
 	for i := range n {
-		all = append(all, fmt.Sprintf("127.%d.%d.1", network, i))
+		addresses = append(addresses, fmt.Sprintf("127.%d.%d.1", network, i))
 	}
-	return all
+	return addresses
 }
 
-func measureFlood(ctx context.Context, o FloodOptions, dir string, on bool) (*FloodResult, error) {
-	more := "admission { off: true }"
-	if on {
-		more = "" // its defaults
+func measureFlood(ctx context.Context, o FloodOptions, dir string, admissionOn bool) (*FloodResult, error) {
+	extraSettings := "admission { off: true }"
+	if admissionOn {
+		extraSettings = "" // the defaults
 	}
-	s, keys, err := startRouter(o, dir, more, o.MaxDescriptors)
+	router, keys, err := startRouter(o, dir, extraSettings, o.MaxDescriptors)
 	if err != nil {
 		return nil, err
 	}
-	defer stopTargets([]*Target{s})
-	c := crowd.Options{Target: s.address, Model: "m", Duration: o.Duration, HangTimeout: 10 * time.Second, KnownKeys: keys, KnownAddresses: loopbackAddresses(20, 200),
+	defer stopTargets([]*Target{router})
+	options := crowd.Options{Target: router.address, Model: "m", Duration: o.Duration, HangTimeout: 10 * time.Second, KnownKeys: keys, KnownAddresses: loopbackAddresses(20, 200),
 		KnownPause: 200 * time.Millisecond}
 	seconds := func(us int64) float64 { return float64(us) / 1e6 }
-	f := &FloodResult{AdmissionOn: on}
-	h, _ := crowd.Run(ctx, c).KnownFirstTokenTimes()
-	f.BaselineP50, f.BaselineP99 = seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99))
-	c.FloodAddresses, c.FloodConns, c.KnownDelay = loopbackAddresses(30, 16), o.FloodConns, o.Duration/4
-	f.Report = crowd.Run(ctx, c)
-	h, f.KnownFailed = f.Report.KnownFirstTokenTimes()
-	f.KnownTotal = len(f.Report.KnownClients)
-	f.KnownP50, f.KnownP99, f.KnownMax = seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99)), seconds(h.Max())
-	o.Logf("admission %v: known clients in after p50 %.1f, p99 %.1f ms, %d of %d never", on, 1e3*f.KnownP50, 1e3*f.KnownP99, f.KnownFailed, f.KnownTotal)
-	return f, nil
+	result := &FloodResult{AdmissionOn: admissionOn}
+	times, _ := crowd.Run(ctx, options).KnownFirstTokenTimes()
+	result.BaselineP50, result.BaselineP99 = seconds(times.ValueAtQuantile(50)), seconds(times.ValueAtQuantile(99))
+	options.FloodAddresses, options.FloodConns, options.KnownDelay = loopbackAddresses(30, 16), o.FloodConns, o.Duration/4
+	result.Report = crowd.Run(ctx, options)
+	times, result.KnownFailed = result.Report.KnownFirstTokenTimes()
+	result.KnownTotal = len(result.Report.KnownClients)
+	result.KnownP50, result.KnownP99, result.KnownMax = seconds(times.ValueAtQuantile(50)), seconds(times.ValueAtQuantile(99)), seconds(times.Max())
+	o.Logf("admission %v: known clients' first token p50 %.1f, p99 %.1f ms, %d of %d not served", admissionOn, 1e3*result.KnownP50, 1e3*result.KnownP99, result.KnownFailed, result.KnownTotal)
+	return result, nil
 }
 
-// costs measures what a refused connection costs the router, and what one with a whole completion.
-func measureConnCPU(ctx context.Context, o FloodOptions, dir string, r *FloodReport) error {
-	const few = "admission { address_new_per_s: 0.01 address_burst: 1 max_wait_s: 3600 flood_new_per_s: 1 }"
-	refuse := func(env ...string) (cpu, rate float64, err error) {
-		s, _, err := startRouter(o, dir, few, o.MaxDescriptors, env...)
+// measureConnCPU measures the router's CPU time for a refused connection, and for one with a complete completion.
+func measureConnCPU(ctx context.Context, o FloodOptions, dir string, report *FloodReport) error {
+	const fewAdmitted = "admission { address_new_per_s: 0.01 address_burst: 1 max_wait_s: 3600 flood_new_per_s: 1 }"
+	measureRefusals := func(env ...string) (cpu, rate float64, err error) {
+		router, _, err := startRouter(o, dir, fewAdmitted, o.MaxDescriptors, env...)
 		if err != nil {
 			return 0, 0, err
 		}
-		defer stopTargets([]*Target{s})
-		before := s.cpuSeconds()
-		sum := crowd.Run(ctx, crowd.Options{Target: s.address, Model: "m", FloodAddresses: loopbackAddresses(30, 16), FloodConns: 128, Behaviors: []crowd.Behavior{crowd.SendsRequest},
+		defer stopTargets([]*Target{router})
+		cpuBefore := router.cpuSeconds()
+		total := crowd.Run(ctx, crowd.Options{Target: router.address, Model: "m", FloodAddresses: loopbackAddresses(30, 16), FloodConns: 128, Behaviors: []crowd.Behavior{crowd.SendsRequest},
 			Duration: o.Duration, HangTimeout: 10 * time.Second}).Total()
-		if sum.Refused == 0 || sum.Served*100 > sum.Refused {
-			return 0, 0, fmt.Errorf("crowd: %d refused, %d served: no measure of refusals", sum.Refused, sum.Served)
+		if total.Refused == 0 || total.Served*100 > total.Refused {
+			return 0, 0, fmt.Errorf("crowd: %d refused, %d served: nearly all connections must be refused for this measurement", total.Refused, total.Served)
 		}
-		return (s.cpuSeconds() - before) / float64(sum.Refused), float64(sum.Refused) / o.Duration.Seconds(), nil
+		return (router.cpuSeconds() - cpuBefore) / float64(total.Refused), float64(total.Refused) / o.Duration.Seconds(), nil
 	}
 	var err error
-	if r.CPUPerRefusal, _, err = refuse(); err != nil {
+	if report.CPUPerRefusal, _, err = measureRefusals(); err != nil {
 		return err
 	}
-	if _, r.RefusalsPerSecond, err = refuse("GOMAXPROCS=1"); err != nil {
+	if _, report.RefusalsPerSecond, err = measureRefusals("GOMAXPROCS=1"); err != nil {
 		return err
 	}
-	s, _, err := startRouter(o, dir, "admission { address_new_per_s: 1e6 address_burst: 1e6 }", o.MaxDescriptors)
+	router, _, err := startRouter(o, dir, "admission { address_new_per_s: 1e6 address_burst: 1e6 }", o.MaxDescriptors)
 	if err != nil {
 		return err
 	}
-	defer stopTargets([]*Target{s})
-	before := s.cpuSeconds()
-	sum := crowd.Run(ctx, crowd.Options{Target: s.address, Model: "m", FloodAddresses: loopbackAddresses(30, 16), FloodConns: 64, Behaviors: []crowd.Behavior{crowd.SendsRequest},
+	defer stopTargets([]*Target{router})
+	cpuBefore := router.cpuSeconds()
+	total := crowd.Run(ctx, crowd.Options{Target: router.address, Model: "m", FloodAddresses: loopbackAddresses(30, 16), FloodConns: 64, Behaviors: []crowd.Behavior{crowd.SendsRequest},
 		Duration: o.Duration, HangTimeout: 10 * time.Second}).Total()
-	if sum.Served == 0 || sum.Refused*100 > sum.Served {
-		return fmt.Errorf("crowd: %d served, %d refused: no measure of served connections", sum.Served, sum.Refused)
+	if total.Served == 0 || total.Refused*100 > total.Served {
+		return fmt.Errorf("crowd: %d served, %d refused: nearly all connections must be served for this measurement", total.Served, total.Refused)
 	}
-	r.CPUPerServed = (s.cpuSeconds() - before) / float64(sum.Served)
-	o.Logf("a refused connection %.1f µs of CPU, a served one %.1f; %.0f refused a second with one core", 1e6*r.CPUPerRefusal, 1e6*r.CPUPerServed, r.RefusalsPerSecond)
+	report.CPUPerServed = (router.cpuSeconds() - cpuBefore) / float64(total.Served)
+	o.Logf("CPU per refused connection %.1f µs, per served one %.1f µs; %.0f refusals per second with one core", 1e6*report.CPUPerRefusal, 1e6*report.CPUPerServed, report.RefusalsPerSecond)
 	return nil
 }
 
-// idle measures memory with many connections open that had one call each.
-func measureIdleMemory(ctx context.Context, o FloodOptions, dir string, r *FloodReport) error {
+// measureIdleMemory measures memory with many open idle connections that had one request each.
+func measureIdleMemory(ctx context.Context, o FloodOptions, dir string, report *FloodReport) error {
 	if o.IdleConns == 0 {
 		return nil
 	}
-	more := fmt.Sprintf("admission { max_connections: %d reserve_connections: %d anteroom: 1 leaving: 64 per_address: %d address_new_per_s: 1e6 address_burst: 1e6 }",
+	extraSettings := fmt.Sprintf("admission { max_connections: %d reserve_connections: %d anteroom: 1 leaving: 64 per_address: %d address_new_per_s: 1e6 address_burst: 1e6 }",
 		o.IdleConns+o.KnownClients+16, o.KnownClients, o.IdleConns)
-	s, _, err := startRouter(o, dir, more, o.IdleConns+o.KnownClients+2000)
+	router, _, err := startRouter(o, dir, extraSettings, o.IdleConns+o.KnownClients+2000)
 	if err != nil {
 		return err
 	}
-	defer stopTargets([]*Target{s})
-	before := s.residentBytes()
+	defer stopTargets([]*Target{router})
+	bytesBefore := router.residentBytes()
 	var open atomic.Int64
 	var mu sync.Mutex
-	var held []net.Conn
+	var conns []net.Conn
 	defer func() {
-		for _, c := range held {
-			c.Close() //nolint:errcheck // done with it
+		for _, conn := range conns {
+			conn.Close() //nolint:errcheck // no longer used
 		}
 	}()
-	from := loopbackAddresses(40, 32)
+	addresses := loopbackAddresses(40, 32)
 	var wg sync.WaitGroup
-	for w := range 16 {
+	for worker := range 16 {
 		wg.Go(func() {
-			for n := w; n < o.IdleConns && ctx.Err() == nil; n += 16 {
-				d := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from[n%len(from)])}}
-				conn, err := d.Dial("tcp", s.address)
+			for connNumber := worker; connNumber < o.IdleConns && ctx.Err() == nil; connNumber += 16 {
+				dialer := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(addresses[connNumber%len(addresses)])}}
+				conn, err := dialer.Dial("tcp", router.address)
 				if err != nil {
 					continue
 				}
-				io.WriteString(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n") //nolint:errcheck // the read tells
+				io.WriteString(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n") //nolint:errcheck // the read fails then
 				conn.SetReadDeadline(time.Now().Add(5 * time.Second))              //nolint:errcheck // as above
 				if n, err := conn.Read(make([]byte, 512)); err == nil && n > 0 {
 					open.Add(1)
 				}
 				mu.Lock()
-				held = append(held, conn)
+				conns = append(conns, conn)
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
 	time.Sleep(2 * time.Second)
-	r.IdleConns = int(open.Load())
-	if r.IdleConns == 0 {
+	report.IdleConns = int(open.Load())
+	if report.IdleConns == 0 {
 		return fmt.Errorf("crowd: no idle connection could be opened")
 	}
-	r.BytesPerIdleConn = (s.residentBytes() - before) / float64(r.IdleConns)
-	o.Logf("%d idle connections, %.1f KiB each", r.IdleConns, r.BytesPerIdleConn/1024)
+	report.BytesPerIdleConn = (router.residentBytes() - bytesBefore) / float64(report.IdleConns)
+	o.Logf("%d idle connections, %.1f KiB each", report.IdleConns, report.BytesPerIdleConn/1024)
 	return nil
 }
 
-// PrintCrowd writes what Crowd measured.
-func PrintFlood(w io.Writer, r *FloodReport) {
-	for _, f := range r.Results {
-		sum := f.Report.Total()
-		fmt.Fprintf(w, "admission on: %v\n", f.AdmissionOn)
-		fmt.Fprintf(w, "  flood: %d connections, %d served, %d refused whole, %d closed without a word, %d broken, %d hung, %d could not connect\n",
-			sum.Tried, sum.Served, sum.Refused, sum.Closed, sum.Broken, sum.Hung, sum.NoDial)
-		calls := f.Report.Flood[crowd.SendsRequest].Waits
-		fmt.Fprintf(w, "  from connected to a refusal, those who send a call: p50 %.2f, p99 %.2f, worst %.2f ms\n", float64(calls.ValueAtQuantile(50))/1e3,
-			float64(calls.ValueAtQuantile(99))/1e3, float64(calls.Max())/1e3)
-		fmt.Fprintf(w, "  known clients, dial to first token: calm p50 %.1f, p99 %.1f ms; flooded p50 %.1f, p99 %.1f, worst %.1f ms; %d of %d never got in\n",
-			1e3*f.BaselineP50, 1e3*f.BaselineP99, 1e3*f.KnownP50, 1e3*f.KnownP99, 1e3*f.KnownMax, f.KnownFailed, f.KnownTotal)
+// PrintFlood writes the result of RunFlood.
+func PrintFlood(w io.Writer, report *FloodReport) {
+	for _, result := range report.Results {
+		total := result.Report.Total()
+		fmt.Fprintf(w, "admission on: %v\n", result.AdmissionOn)
+		fmt.Fprintf(w, "  flood: %d connections, %d served, %d refused, %d closed without an answer, %d with an invalid answer, %d hung, %d could not connect\n",
+			total.Tried, total.Served, total.Refused, total.Closed, total.Broken, total.Hung, total.NoDial)
+		requests := result.Report.Flood[crowd.SendsRequest].Waits
+		fmt.Fprintf(w, "  time from connected to refused, for connections that send a request: p50 %.2f, p99 %.2f, worst %.2f ms\n", float64(requests.ValueAtQuantile(50))/1e3,
+			float64(requests.ValueAtQuantile(99))/1e3, float64(requests.Max())/1e3)
+		fmt.Fprintf(w, "  known clients, dial to first token: without flood p50 %.1f, p99 %.1f ms; with flood p50 %.1f, p99 %.1f, worst %.1f ms; %d of %d not served\n",
+			1e3*result.BaselineP50, 1e3*result.BaselineP99, 1e3*result.KnownP50, 1e3*result.KnownP99, 1e3*result.KnownMax, result.KnownFailed, result.KnownTotal)
 	}
-	fmt.Fprintf(w, "CPU: a refused connection %.1f µs, one served %.1f µs: 1 to %.0f\n", 1e6*r.CPUPerRefusal, 1e6*r.CPUPerServed, r.CPUPerServed/r.CPUPerRefusal)
-	fmt.Fprintf(w, "refusals a second, one core for the router: %.0f\n", r.RefusalsPerSecond)
-	if r.IdleConns > 0 {
-		fmt.Fprintf(w, "memory at %d idle connections: %.1f KiB each\n", r.IdleConns, r.BytesPerIdleConn/1024)
+	fmt.Fprintf(w, "CPU per refused connection %.1f µs, per served connection %.1f µs: ratio 1 to %.0f\n", 1e6*report.CPUPerRefusal, 1e6*report.CPUPerServed, report.CPUPerServed/report.CPUPerRefusal)
+	fmt.Fprintf(w, "refusals per second, one core for the router: %.0f\n", report.RefusalsPerSecond)
+	if report.IdleConns > 0 {
+		fmt.Fprintf(w, "memory with %d idle connections: %.1f KiB each\n", report.IdleConns, report.BytesPerIdleConn/1024)
 	}
 }
