--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -30,55 +30,57 @@
 	up             bool
 	draining       bool
 	crashed        bool
-	started        time.Time // zero for long ago: warm
+	started        time.Time // zero: long ago, the engine is warm
 	lifetime       context.Context
 	endLifetime    context.CancelFunc
-	prefillFreeAt  time.Time // when the reading lane has done what it has
-	unreadTokens   float64   // tokens that wait to be read
-	running        int       // slots in use
-	waiting        []chan struct{}
-	usedTokens     float64 // tokens of memory held
+	prefillFreeAt  time.Time       // when the prefills queued so far are done; they run one after another
+	unreadTokens   float64         // prompt tokens queued for prefill
+	running        int             // slots in use
+	waiting        []chan struct{} // queue for a slot
+	usedTokens     float64         // KV cache memory in use, in tokens
 	cachedBlocks   map[uint64]*list.Element
-	blockOrder     *list.List // of kept blocks, latest first
+	blockOrder     *list.List // cached blocks, most recently used first
 	states         map[string]*state
 	reservations   map[string]float64
 	recentWork     []coldWork
 	faults         faults
-	reachableAgain chan struct{} // closed when it hears again
+	reachableAgain chan struct{} // closed when the engine becomes responsive again
 }
 
-// ills are the troubles in force.
+// faults are the faults injected at present.
 type faults struct {
-	failureShare    float64 // share that fails at once
-	slowdown        float64 // times
+	failureShare    float64 // share of completions that fail at once
+	slowdown        float64 // factor on the time of all work
 	silent          bool
 	paused          bool
-	brokenShare     float64 // share of answers that break
-	lostShare       float64 // share of answers that never come
-	failingWorkload int     // index of a workload that fails, -1 for none
+	brokenShare     float64 // share of answers that break off in the middle
+	lostShare       float64 // share of answers that are never sent
+	failingWorkload int     // index of the workload that fails, -1 for none
 }
 
+// state is the KV cache state that a read left for a write.
 type state struct {
 	tokens     float64
 	expires    *time.Timer
 	completion string
 }
 
+// coldWork is work sent to a cold engine.
 type coldWork struct {
 	at        time.Time
 	seconds   float64
-	knewStart bool
+	knewStart bool // the router had been told of the engine's start
 }
 
 const (
-	blockBytes     = 256 // of a prompt's text, one kept block
+	blockBytes     = 256 // prompt text in one cached block
 	blockTokens    = blockBytes / 4
-	stateLifetime  = 30 * time.Second // the engine's own clock, far past any router's limit
-	knewStartShare = 2.0 / 3          // of a push that must come from routers that knew of the start
+	stateLifetime  = 30 * time.Second // the engine's own limit, far beyond any router's holding limit
+	knewStartShare = 2.0 / 3          // share of an overload that must come from routers that knew of the start
 )
 
-func newEngine(f *Fleet, s *pb.EngineSet, name, cell string) *Engine {
-	return &Engine{fleet: f, settings: s, name: name, cell: cell, cachedBlocks: map[uint64]*list.Element{}, blockOrder: list.New(),
+func newEngine(fleet *Fleet, settings *pb.EngineSet, name, cell string) *Engine {
+	return &Engine{fleet: fleet, settings: settings, name: name, cell: cell, cachedBlocks: map[uint64]*list.Element{}, blockOrder: list.New(),
 		states: map[string]*state{}, reservations: map[string]float64{}, faults: faults{slowdown: 1, failingWorkload: -1}, reachableAgain: make(chan struct{})}
 }
 
@@ -94,7 +96,7 @@
 	mux.HandleFunc("GET /metrics", e.serveMetrics)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 5 * time.Second}
 	e.mu.Lock()
-	if e.address == "" { // it keeps its address for life, and others read it
+	if e.address == "" { // the address stays for the engine's whole life and is read without the lock
 		e.address = ln.Addr().String()
 	}
 	e.server, e.up = server, true
@@ -102,13 +104,13 @@
 	cold := !e.started.IsZero()
 	e.mu.Unlock()
 	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_UP.Enum(), Cold: proto.Bool(cold)})
-	go server.Serve(ln) //nolint:errcheck // ends with hangUp
+	go server.Serve(ln) //nolint:errcheck // ends with stopServing
 	return nil
 }
 
-func (e *Engine) record(ev *pb.EngineEvent) {
-	ev.Engine = proto.String(e.name)
-	e.fleet.writeEntry(&pb.Entry{What: &pb.Entry_Engine{Engine: ev}})
+func (e *Engine) record(event *pb.EngineEvent) {
+	event.Engine = proto.String(e.name)
+	e.fleet.writeEntry(&pb.Entry{What: &pb.Entry_Engine{Engine: event}})
 }
 
 func (e *Engine) startedAt() time.Time {
@@ -117,7 +119,7 @@
 	return e.started
 }
 
-// hangUp closes the listener and all connections. What it holds stays.
+// stopServing closes the listener and all connections. The engine's memory stays.
 func (e *Engine) stopServing() {
 	e.mu.Lock()
 	if !e.up {
@@ -125,44 +127,44 @@
 		return
 	}
 	e.up = false
-	server, die := e.server, e.endLifetime
+	server, endLifetime := e.server, e.endLifetime
 	e.mu.Unlock()
 	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_DOWN.Enum()})
-	server.Close() //nolint:errcheck // nothing is to be saved
-	die()
+	server.Close() //nolint:errcheck // all connections are to be dropped
+	endLifetime()
 }
 
-// Unreachable makes it refuse connections and drop those it has, or take them again.
-func (e *Engine) SetUnreachable(so bool) error {
-	if so {
+// SetUnreachable makes the engine drop its connections and refuse new ones, or accept them again.
+func (e *Engine) SetUnreachable(unreachable bool) error {
+	if unreachable {
 		e.stopServing()
 		return nil
 	}
 	e.mu.Lock()
-	stays := e.up || e.crashed
+	upOrCrashed := e.up || e.crashed
 	e.mu.Unlock()
-	if stays {
+	if upOrCrashed {
 		return nil
 	}
 	return e.listen(e.address)
 }
 
-// Die kills it outright; the list tells late.
+// Kill stops the engine and clears its memory. The list announces it with its usual delay.
 func (e *Engine) Kill() {
 	e.stopServing()
 	e.clearMemory()
 	e.fleet.List.publish(e, "gone")
 }
 
-// Return brings it back cold. One that fell over stays down.
+// Restart starts the engine again, cold. An engine that crashed under overload stays down.
 func (e *Engine) Restart() error {
 	e.mu.Lock()
-	stays := e.up || e.crashed
-	if !stays {
+	upOrCrashed := e.up || e.crashed
+	if !upOrCrashed {
 		e.started, e.draining, e.recentWork = time.Now(), false, nil
 	}
 	e.mu.Unlock()
-	if stays {
+	if upOrCrashed {
 		return nil
 	}
 	if err := e.listen(e.address); err != nil {
@@ -172,7 +174,7 @@
 	return nil
 }
 
-// Drain makes it turn away new work.
+// Drain makes the engine reject new work.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	e.draining = true
@@ -180,130 +182,130 @@
 	e.fleet.List.publish(e, "draining")
 }
 
-// forget empties its memory.
+// clearMemory drops cached prefixes, held states and reservations.
 func (e *Engine) clearMemory() {
 	e.mu.Lock()
-	lost, places := e.states, e.reservations
+	states, reservations := e.states, e.reservations
 	e.states, e.reservations, e.usedTokens = map[string]*state{}, map[string]float64{}, 0
 	e.cachedBlocks, e.prefillFreeAt, e.unreadTokens = map[uint64]*list.Element{}, time.Time{}, 0
 	e.blockOrder.Init()
 	e.mu.Unlock()
-	for id, s := range lost {
-		s.expires.Stop()
-		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_LOST.Enum(), Dispatch: proto.String(id), Completion: proto.String(s.completion)})
+	for id, held := range states {
+		held.expires.Stop()
+		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_LOST.Enum(), Dispatch: proto.String(id), Completion: proto.String(held.completion)})
 	}
-	for id := range places {
+	for id := range reservations {
 		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_RELEASED.Enum(), Dispatch: proto.String(id), Completion: proto.String(completionID(id)), Detail: proto.String("lost")})
 	}
 }
 
-// Flush drops a share of the kept text.
+// EvictPrefixes evicts a share of the cached prefix blocks, the least recently used first.
 func (e *Engine) EvictPrefixes(share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := int(share * float64(e.blockOrder.Len()))
-	for range n {
-		last := e.blockOrder.Back()
-		delete(e.cachedBlocks, last.Value.(uint64))
-		e.blockOrder.Remove(last)
+	evicted := int(share * float64(e.blockOrder.Len()))
+	for range evicted {
+		oldest := e.blockOrder.Back()
+		delete(e.cachedBlocks, oldest.Value.(uint64))
+		e.blockOrder.Remove(oldest)
 	}
 }
 
-// change changes the troubles in force.
-func (e *Engine) setFaults(f func(*faults)) {
+// setFaults changes the injected faults.
+func (e *Engine) setFaults(update func(*faults)) {
 	e.mu.Lock()
-	was := e.faults.silent || e.faults.paused
-	f(&e.faults)
-	is := e.faults.silent || e.faults.paused
-	if was && !is {
+	wasUnresponsive := e.faults.silent || e.faults.paused
+	update(&e.faults)
+	isUnresponsive := e.faults.silent || e.faults.paused
+	if wasUnresponsive && !isUnresponsive {
 		close(e.reachableAgain)
 		e.reachableAgain = make(chan struct{})
 	}
 	e.mu.Unlock()
-	if was != is {
+	if wasUnresponsive != isUnresponsive {
 		kind := pb.EngineEvent_HEARS
-		if is {
+		if isUnresponsive {
 			kind = pb.EngineEvent_DEAF
 		}
 		e.record(&pb.EngineEvent{Kind: kind.Enum()})
 	}
 }
 
-// Fails makes a share of completions fail at once.
+// SetFailureShare makes a share of completions fail at once.
 func (e *Engine) SetFailureShare(share float64) {
-	e.setFaults(func(i *faults) { i.failureShare = share })
+	e.setFaults(func(f *faults) { f.failureShare = share })
 }
 
-// Slow makes all its work so many times longer; 1 is as usual.
-func (e *Engine) SetSlowdown(times float64) { e.setFaults(func(i *faults) { i.slowdown = times }) }
+// SetSlowdown multiplies the time of all work by a factor; 1 is normal.
+func (e *Engine) SetSlowdown(factor float64) { e.setFaults(func(f *faults) { f.slowdown = factor }) }
 
-// Silent makes it take what comes and answer nothing; what it took meanwhile is never answered.
-func (e *Engine) SetSilent(so bool) { e.setFaults(func(i *faults) { i.silent = so }) }
+// SetSilent makes the engine accept calls without answering them. Calls that arrived meanwhile are never answered.
+func (e *Engine) SetSilent(silent bool) { e.setFaults(func(f *faults) { f.silent = silent }) }
 
-// Paused makes it stand still, and go on.
-func (e *Engine) SetPaused(so bool) { e.setFaults(func(i *faults) { i.paused = so }) }
+// SetPaused pauses the engine, or resumes it.
+func (e *Engine) SetPaused(paused bool) { e.setFaults(func(f *faults) { f.paused = paused }) }
 
-// Breaks makes a share of answers break in the middle.
+// SetBrokenShare makes a share of answers break off in the middle.
 func (e *Engine) SetBrokenShare(share float64) {
-	e.setFaults(func(i *faults) { i.brokenShare = share })
+	e.setFaults(func(f *faults) { f.brokenShare = share })
 }
 
-// Loses makes a share of answers never come; the work is done, probes are answered.
-func (e *Engine) SetLostShare(share float64) { e.setFaults(func(i *faults) { i.lostShare = share }) }
+// SetLostShare makes a share of answers never arrive. The work is still done, and probes are answered.
+func (e *Engine) SetLostShare(share float64) { e.setFaults(func(f *faults) { f.lostShare = share }) }
 
-// FailsWorkload makes one workload fail, by its name; none for "".
+// SetFailingWorkload makes the named workload fail, none for "".
 func (e *Engine) SetFailingWorkload(name string) {
 	index := -1
-	if w, known := e.fleet.workloads[name]; known {
-		index = w.index
+	if workload, known := e.fleet.workloads[name]; known {
+		index = workload.index
 	}
-	e.setFaults(func(i *faults) { i.failingWorkload = index })
+	e.setFaults(func(f *faults) { f.failingWorkload = index })
 }
 
-// hear waits until the engine hears the peer. False: the peer has gone, or it never will.
+// awaitReachable waits until the engine handles calls of the peer. It returns false if the peer has left or the engine never will.
 func (e *Engine) awaitReachable(ctx context.Context, peer peer) bool {
 	for {
 		e.mu.Lock()
-		silent, deaf, changed, life := e.faults.silent, e.faults.paused, e.reachableAgain, e.lifetime
+		silent, paused, reachableAgain, lifetime := e.faults.silent, e.faults.paused, e.reachableAgain, e.lifetime
 		e.mu.Unlock()
 		if silent {
 			select {
 			case <-ctx.Done():
-			case <-life.Done():
+			case <-lifetime.Done():
 			}
 			return false
 		}
-		cut := peer.zone != "" && !e.fleet.connected(peer.zone, e.settings.GetZone())
-		if !deaf && !cut {
-			return ctx.Err() == nil && life.Err() == nil
+		isolated := peer.zone != "" && !e.fleet.connected(peer.zone, e.settings.GetZone())
+		if !paused && !isolated {
+			return ctx.Err() == nil && lifetime.Err() == nil
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-life.Done():
+		case <-lifetime.Done():
 			return false
-		case <-changed:
+		case <-reachableAgain:
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// alive ends when the engine goes down.
+// lifetimeContext returns a context that ends when the engine goes down.
 func (e *Engine) lifetimeContext() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lifetime
 }
 
-// sleep stands for work, which stops when the peer goes or the engine dies.
-func (e *Engine) sleep(ctx context.Context, d time.Duration) error {
-	if d <= 0 {
+// sleep simulates work, which stops when the peer leaves or the engine goes down.
+func (e *Engine) sleep(ctx context.Context, duration time.Duration) error {
+	if duration <= 0 {
 		return ctx.Err()
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -312,61 +314,61 @@
 	}
 }
 
-// blocks are the hashes of a prompt's blocks, each over all that comes before it.
+// blockHashes returns the hashes of a prompt's blocks, each over the prompt up to the end of the block.
 func blockHashes(prompt string) []uint64 {
-	h, all := xxhash.New(), []uint64(nil)
-	for at := 0; at+blockBytes <= len(prompt); at += blockBytes {
-		h.WriteString(prompt[at : at+blockBytes]) //nolint:errcheck // never fails
-		all = append(all, h.Sum64())
+	digest, hashes := xxhash.New(), []uint64(nil)
+	for offset := 0; offset+blockBytes <= len(prompt); offset += blockBytes {
+		digest.WriteString(prompt[offset : offset+blockBytes]) //nolint:errcheck // never fails
+		hashes = append(hashes, digest.Sum64())
 	}
-	return all
+	return hashes
 }
 
-// cached is how many of a prompt's tokens are kept; they count as used now.
-func (e *Engine) countCachedTokens(b []uint64) float64 {
+// countCachedTokens returns how many of a prompt's tokens are cached, and marks their blocks as just used.
+func (e *Engine) countCachedTokens(hashes []uint64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := 0
-	for _, hash := range b {
-		at, kept := e.cachedBlocks[hash]
-		if !kept {
+	blocks := 0
+	for _, hash := range hashes {
+		element, found := e.cachedBlocks[hash]
+		if !found {
 			break
 		}
-		e.blockOrder.MoveToFront(at)
-		n++
+		e.blockOrder.MoveToFront(element)
+		blocks++
 	}
-	return float64(n * blockTokens)
+	return float64(blocks * blockTokens)
 }
 
-// keep keeps a prompt's blocks, pushing out the oldest for which memory has no room.
-func (e *Engine) cachePrefix(b []uint64) {
+// cachePrefix caches a prompt's blocks and evicts the least recently used ones that exceed the free memory.
+func (e *Engine) cachePrefix(hashes []uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, hash := range b {
-		if at, kept := e.cachedBlocks[hash]; kept {
-			e.blockOrder.MoveToFront(at)
+	for _, hash := range hashes {
+		if element, found := e.cachedBlocks[hash]; found {
+			e.blockOrder.MoveToFront(element)
 		} else {
 			e.cachedBlocks[hash] = e.blockOrder.PushFront(hash)
 		}
 	}
-	room := max(e.settings.GetMemoryTokens()*0.1, e.settings.GetMemoryTokens()-e.usedTokens)
-	for float64(e.blockOrder.Len()*blockTokens) > room {
-		last := e.blockOrder.Back()
-		delete(e.cachedBlocks, last.Value.(uint64))
-		e.blockOrder.Remove(last)
+	maxTokens := max(e.settings.GetMemoryTokens()*0.1, e.settings.GetMemoryTokens()-e.usedTokens)
+	for float64(e.blockOrder.Len()*blockTokens) > maxTokens {
+		oldest := e.blockOrder.Back()
+		delete(e.cachedBlocks, oldest.Value.(uint64))
+		e.blockOrder.Remove(oldest)
 	}
 }
 
-// read reads so many tokens in the engine's one lane, after what is before them.
+// prefill reads tokens of a prompt. An engine does one prefill at a time, in order of arrival.
 func (e *Engine) prefill(ctx context.Context, tokens float64) error {
 	e.mu.Lock()
 	now := time.Now()
 	if e.prefillFreeAt.Before(now) {
 		e.prefillFreeAt = now
 	}
-	d := time.Duration(tokens / e.settings.GetReadTokensPerS() * e.faults.slowdown / e.capacityShare() * float64(time.Second))
-	e.prefillFreeAt = e.prefillFreeAt.Add(d)
-	until := e.prefillFreeAt
+	duration := time.Duration(tokens / e.settings.GetReadTokensPerS() * e.faults.slowdown / e.capacityShare() * float64(time.Second))
+	e.prefillFreeAt = e.prefillFreeAt.Add(duration)
+	doneAt := e.prefillFreeAt
 	e.unreadTokens += tokens
 	e.mu.Unlock()
 	defer func() {
@@ -374,29 +376,29 @@
 		e.unreadTokens = max(0, e.unreadTokens-tokens)
 		e.mu.Unlock()
 	}()
-	return e.sleep(ctx, time.Until(until))
+	return e.sleep(ctx, time.Until(doneAt))
 }
 
-// Unread is how many tokens wait to be read.
+// UnreadTokens returns the number of prompt tokens queued for prefill.
 func (e *Engine) UnreadTokens() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.unreadTokens
 }
 
-// share is the share of its capacity that the engine has: a cold one warms up evenly.
+// capacityShare returns the share of its capacity that the engine has now. A cold engine warms up linearly.
 func (e *Engine) capacityShare() float64 {
-	c := e.fleet.settings.GetCold()
-	if e.started.IsZero() || c.GetWarmS() <= 0 {
+	cold := e.fleet.settings.GetCold()
+	if e.started.IsZero() || cold.GetWarmS() <= 0 {
 		return 1
 	}
-	return min(1, c.GetStartShare()+(1-c.GetStartShare())*time.Since(e.started).Seconds()/c.GetWarmS())
+	return min(1, cold.GetStartShare()+(1-cold.GetStartShare())*time.Since(e.started).Seconds()/cold.GetWarmS())
 }
 
-// errFull is an engine without a place.
-var errFull = errors.New("no slot and no room to wait")
+// errFull is returned by an engine that has no slot, queue space or memory left.
+var errFull = errors.New("no slot, queue space or memory left")
 
-// enter waits for a slot.
+// acquireSlot waits for a slot.
 func (e *Engine) acquireSlot(ctx context.Context) error {
 	e.mu.Lock()
 	if e.running < int(e.settings.GetSlots()) {
@@ -418,15 +420,15 @@
 	case <-e.lifetimeContext().Done():
 	}
 	e.mu.Lock()
-	for i, w := range e.waiting {
-		if w == turn {
+	for i, waiter := range e.waiting {
+		if waiter == turn {
 			e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
 			e.mu.Unlock()
 			return context.Canceled
 		}
 	}
 	e.mu.Unlock()
-	e.releaseSlot() // its turn came in the same instant
+	e.releaseSlot() // the slot was granted at the same moment
 	return context.Canceled
 }
 
@@ -441,7 +443,7 @@
 	e.running--
 }
 
-// take takes memory; false: there is none.
+// allocate takes memory, and returns false if there is not enough.
 func (e *Engine) allocate(tokens float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -458,80 +460,81 @@
 	e.usedTokens = max(0, e.usedTokens-tokens)
 }
 
-// pushed books work sent to a cold engine, and tells whether that made it fall over: more than the multiple
-// of what it can do now, over the window, most of it by routers that knew that it had started.
-func (e *Engine) addColdWork(seconds float64, told bool) bool {
-	c := e.fleet.settings.GetCold()
+// addColdWork records work sent to a cold engine and reports whether the engine crashes under it: it received more than the overload
+// multiple of its present capacity within the overload window. The recorded event says whether at least knewStartShare of that work
+// came from routers that knew of the start.
+func (e *Engine) addColdWork(seconds float64, knewStart bool) bool {
+	cold := e.fleet.settings.GetCold()
 	e.mu.Lock()
 	share := e.capacityShare()
-	if share >= 1 || c.GetFallWindowS() <= 0 {
+	if share >= 1 || cold.GetFallWindowS() <= 0 {
 		e.mu.Unlock()
 		return false
 	}
 	now := time.Now()
-	e.recentWork = append(e.recentWork, coldWork{now, seconds, told})
-	sum, known := 0.0, 0.0
-	kept := e.recentWork[:0]
-	for _, p := range e.recentWork {
-		if now.Sub(p.at).Seconds() <= c.GetFallWindowS() {
-			kept = append(kept, p)
-			sum += p.seconds
-			if p.knewStart {
-				known += p.seconds
+	e.recentWork = append(e.recentWork, coldWork{now, seconds, knewStart})
+	total, knowing := 0.0, 0.0
+	recent := e.recentWork[:0]
+	for _, w := range e.recentWork {
+		if now.Sub(w.at).Seconds() <= cold.GetFallWindowS() {
+			recent = append(recent, w)
+			total += w.seconds
+			if w.knewStart {
+				knowing += w.seconds
 			}
 		}
 	}
-	e.recentWork = kept
-	falls := sum > c.GetFallMultiple()*share*c.GetFallWindowS()
-	if falls {
+	e.recentWork = recent
+	crashes := total > cold.GetFallMultiple()*share*cold.GetFallWindowS()
+	if crashes {
 		e.crashed = true
 	}
 	e.mu.Unlock()
-	if falls {
+	if crashes {
 		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_FELL.Enum(),
-			Detail: proto.String(fmt.Sprintf("%.2f s of work in %.1f s, %.0f%% by routers told of its start", sum, c.GetFallWindowS(), 100*known/sum)),
-			Cold:   proto.Bool(known >= knewStartShare*sum)})
+			Detail: proto.String(fmt.Sprintf("%.2f s of work in %.1f s, %.0f%% by routers told of its start", total, cold.GetFallWindowS(), 100*knowing/total)),
+			Cold:   proto.Bool(knowing >= knewStartShare*total)})
 	}
-	return falls
+	return crashes
 }
 
-// hold keeps a read's state.
+// holdState holds the state of a read until it is released or expires.
 func (e *Engine) holdState(id, completion string, tokens float64) {
-	s := &state{tokens: tokens, completion: completion}
-	s.expires = time.AfterFunc(stateLifetime, func() { e.release(id, pb.EngineEvent_STATE_EXPIRED) })
+	held := &state{tokens: tokens, completion: completion}
+	held.expires = time.AfterFunc(stateLifetime, func() { e.release(id, pb.EngineEvent_STATE_EXPIRED) })
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.states[id] = s
+	e.states[id] = held
 	e.record(&pb.EngineEvent{Kind: pb.EngineEvent_STATE_HELD.Enum(), Dispatch: proto.String(id), Completion: proto.String(completion)})
 }
 
-// drop ends a state, or a place, and tells whether there was one. What is held and what ends is recorded under the lock
-// that guards it: the record's order is the order in which it happened.
-func (e *Engine) release(id string, how pb.EngineEvent_Kind) bool {
+// release ends a held state or a reservation and reports whether there was one. Holding and release are recorded under the lock that
+// guards them, so that the record has them in the order in which they happened.
+func (e *Engine) release(id string, event pb.EngineEvent_Kind) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.states[id]
-	place, held := e.reservations[id]
+	held := e.states[id]
+	reserved, wasReserved := e.reservations[id]
 	delete(e.states, id)
 	delete(e.reservations, id)
-	if s != nil {
-		e.usedTokens = max(0, e.usedTokens-s.tokens)
+	if held != nil {
+		e.usedTokens = max(0, e.usedTokens-held.tokens)
 	}
-	if held {
-		e.usedTokens = max(0, e.usedTokens-place)
+	if wasReserved {
+		e.usedTokens = max(0, e.usedTokens-reserved)
 	}
-	if s != nil {
-		s.expires.Stop()
-		e.record(&pb.EngineEvent{Kind: how.Enum(), Dispatch: proto.String(id), Completion: proto.String(s.completion)})
+	if held != nil {
+		held.expires.Stop()
+		e.record(&pb.EngineEvent{Kind: event.Enum(), Dispatch: proto.String(id), Completion: proto.String(held.completion)})
 	}
-	if held {
+	if wasReserved {
 		kind := pb.EngineEvent_PLACE_RELEASED
-		if how == pb.EngineEvent_STATE_TAKEN {
+		if event == pb.EngineEvent_STATE_TAKEN {
 			kind = pb.EngineEvent_PLACE_TAKEN
 		}
 		e.record(&pb.EngineEvent{Kind: kind.Enum(), Dispatch: proto.String(id), Completion: proto.String(completionID(id))})
 	}
-	return s != nil || held
+	return held != nil || wasReserved
 }
 
 func (e *Engine) heldState(id string) *state {
@@ -540,7 +543,7 @@
 	return e.states[id]
 }
 
-// completionOf is the completion of a dispatch's id: all before the last dash.
+// completionID returns the completion's ID from a dispatch's ID: everything before the last dash.
 func completionID(id string) string {
 	if i := strings.LastIndexByte(id, '-'); i > 0 {
 		return id[:i]
@@ -548,5 +551,5 @@
 	return id
 }
 
-// Address is where it listens, for its whole life.
+// Address returns the address on which the engine listens, the same for its whole life.
 func (e *Engine) Address() string { return e.address }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -1,8 +1,7 @@
-// Package standin is a fleet of stand-in engines with their list service: readers, writers and mixed engines
-// that speak the engines' protocol on loopback, with slots, waiting, memory, kept prefixes, paces, cold starts
-// that fall over when pushed, drains, and troubles to order. They are stand-ins: enough for the rules and the
-// troubles, no faithful emulation. They write what they see on their sockets to a record. cmd/cherryhub,
-// internal/day and tests start them; no router may import this package.
+// Package standin runs a fleet of stand-in engines with their list service. Readers, writers and mixed engines speak the engines'
+// protocol on loopback. They simulate slots, a waiting queue, memory, cached prefixes, prefill and decode rates, cold starts under which
+// an overloaded engine crashes, draining and injected faults: enough to test the rules under faults, not a faithful emulation. They
+// record what they see on their sockets. cmd/cherryhub, internal/day and tests start them; no router may import this package.
 package standin
 
 import (
@@ -20,10 +19,10 @@
 	pb "cherryhub/proto"
 )
 
-// Recorder takes entries; nil records nothing.
+// Recorder receives the entries of a record; nil records nothing.
 type Recorder interface{ Write(*pb.Entry) }
 
-// Fleet is a set of engines and their list.
+// Fleet is a set of engines and their list service.
 type Fleet struct {
 	List    *ListService
 	Engines []*Engine
@@ -31,18 +30,19 @@
 	listen           func(address string) (net.Listener, error)
 	settings         *pb.Fleet
 	recorder         Recorder
-	workloads        map[string]workload // by model
+	workloads        map[string]workload // by name and by model
 	mu               sync.Mutex
 	rng              *rand.Rand
-	transferSlowdown float64 // times that transfers are slower
-	isolatedZone     string  // the zone that is cut off, while isCut
+	transferSlowdown float64 // factor on the time of state transfers
+	isolatedZone     string  // the zone that is cut off while isolated is set
 	isolated         bool
-	routers          map[string]peer      // by the address they dial from
-	dedupSeen        map[string]time.Time // tokened work that ran, by group and key
-	maxDedupWindow   time.Duration        // that any workload's group remembers
-	sweepSize        int                  // entries of seen at which the forgotten ones go
+	routers          map[string]peer      // by source address
+	dedupSeen        map[string]time.Time // when tokened work ran, by deduplication scope and key
+	maxDedupWindow   time.Duration        // longest deduplication window of any workload
+	sweepSize        int                  // number of entries in dedupSeen at which expired ones are removed
 }
 
+// peer is the sender of a call: a router, or another engine's zone.
 type peer struct{ name, zone string }
 
 type workload struct {
@@ -50,12 +50,12 @@
 	settings *pb.Workload
 }
 
-// Start starts a fleet for a router's workloads on loopback.
-func Start(f *pb.Fleet, workloads []*pb.Workload, record Recorder) (*Fleet, error) {
-	return StartWithListener(listenTCP, f, workloads, record)
+// Start starts a fleet on loopback for a router's workloads.
+func Start(settings *pb.Fleet, workloads []*pb.Workload, recorder Recorder) (*Fleet, error) {
+	return StartWithListener(listenTCP, settings, workloads, recorder)
 }
 
-// listenTCP picks a port that stays free for the same server's return where none is asked for.
+// listenTCP listens on an address. For port 0 it picks a port that stays free for a restart of the same server.
 func listenTCP(address string) (net.Listener, error) {
 	if host, port, _ := net.SplitHostPort(address); port == "0" {
 		return loopback.Listen(host)
@@ -63,43 +63,43 @@
 	return net.Listen("tcp", address)
 }
 
-// StartOn is Start on any kind of listener.
-func StartWithListener(listen func(address string) (net.Listener, error), f *pb.Fleet, workloads []*pb.Workload, record Recorder) (*Fleet, error) {
-	fl := &Fleet{listen: listen, settings: f, recorder: record, workloads: map[string]workload{}, transferSlowdown: 1,
-		rng: rand.New(rand.NewPCG(f.GetSeed(), 1)), routers: map[string]peer{}, dedupSeen: map[string]time.Time{}, sweepSize: 1024}
-	for i, w := range workloads {
-		fl.maxDedupWindow = max(fl.maxDedupWindow, time.Duration(w.GetRememberedS()*float64(time.Second)))
-		fl.workloads[w.GetName()] = workload{i, w}
-		for _, m := range w.GetModels() {
-			fl.workloads[m] = workload{i, w}
+// StartWithListener is Start with any kind of listener.
+func StartWithListener(listen func(address string) (net.Listener, error), settings *pb.Fleet, workloads []*pb.Workload, recorder Recorder) (*Fleet, error) {
+	fleet := &Fleet{listen: listen, settings: settings, recorder: recorder, workloads: map[string]workload{}, transferSlowdown: 1,
+		rng: rand.New(rand.NewPCG(settings.GetSeed(), 1)), routers: map[string]peer{}, dedupSeen: map[string]time.Time{}, sweepSize: 1024}
+	for i, workloadSettings := range workloads {
+		fleet.maxDedupWindow = max(fleet.maxDedupWindow, time.Duration(workloadSettings.GetRememberedS()*float64(time.Second)))
+		fleet.workloads[workloadSettings.GetName()] = workload{i, workloadSettings}
+		for _, model := range workloadSettings.GetModels() {
+			fleet.workloads[model] = workload{i, workloadSettings}
 		}
 	}
 	var err error
-	if fl.List, err = startListService(fl, f.GetListListen(), time.Duration(f.GetListDelayS()*float64(time.Second))); err != nil {
+	if fleet.List, err = startListService(fleet, settings.GetListListen(), time.Duration(settings.GetListDelayS()*float64(time.Second))); err != nil {
 		return nil, err
 	}
-	for _, s := range f.GetEngines() {
-		for n := range int(s.GetCount()) {
+	for _, set := range settings.GetEngines() {
+		for engineNumber := range int(set.GetCount()) {
 			port := 0
-			if n < len(s.GetPorts()) {
-				port = int(s.GetPorts()[n])
+			if engineNumber < len(set.GetPorts()) {
+				port = int(set.GetPorts()[engineNumber])
 			}
-			cell := s.GetZone()
-			if c := s.GetCells(); len(c) > 0 {
-				cell = c[n%len(c)]
+			cell := set.GetZone()
+			if cells := set.GetCells(); len(cells) > 0 {
+				cell = cells[engineNumber%len(cells)]
 			}
-			e := newEngine(fl, s, s.GetName()+"-"+strconv.Itoa(n), cell)
-			if err := e.listen(net.JoinHostPort(f.GetListenHost(), strconv.Itoa(port))); err != nil {
-				return nil, errors.Join(err, fl.Close())
+			engine := newEngine(fleet, set, set.GetName()+"-"+strconv.Itoa(engineNumber), cell)
+			if err := engine.listen(net.JoinHostPort(settings.GetListenHost(), strconv.Itoa(port))); err != nil {
+				return nil, errors.Join(err, fleet.Close())
 			}
-			fl.Engines = append(fl.Engines, e)
+			fleet.Engines = append(fleet.Engines, engine)
 		}
 	}
-	fl.List.publishAll()
-	return fl, nil
+	fleet.List.publishAll()
+	return fleet, nil
 }
 
-// Close stops all.
+// Close stops the engines and the list service.
 func (f *Fleet) Close() error {
 	err := f.List.Close()
 	for _, e := range f.Engines {
@@ -108,14 +108,14 @@
 	return err
 }
 
-// Router tells the fleet that a router dials from an address, so that it can be told in records and cut off.
+// RegisterRouter registers a router by its source address, so that records name it and its zone can be isolated.
 func (f *Fleet) RegisterRouter(address, name, zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.routers[address] = peer{name, zone}
 }
 
-// Find is the engines of a name: one, or a whole set's.
+// FindEngines returns the engine of a name, or all engines of a set of that name.
 func (f *Fleet) FindEngines(name string) (found []*Engine) {
 	for _, e := range f.Engines {
 		if e.name == name || e.settings.GetName() == name {
@@ -134,9 +134,9 @@
 	return nil
 }
 
-func (f *Fleet) writeEntry(e *pb.Entry) {
+func (f *Fleet) writeEntry(entry *pb.Entry) {
 	if f.recorder != nil {
-		f.recorder.Write(e)
+		f.recorder.Write(entry)
 	}
 }
 
@@ -146,14 +146,14 @@
 	return f.rng.Float64()
 }
 
-// SlowLinks makes transfers so many times slower; 1 is as usual.
-func (f *Fleet) SetTransferSlowdown(times float64) {
+// SetTransferSlowdown multiplies the time of state transfers by a factor; 1 is normal.
+func (f *Fleet) SetTransferSlowdown(factor float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.transferSlowdown = times
+	f.transferSlowdown = factor
 }
 
-// Cut cuts a zone off from the others until Heal.
+// IsolateZone cuts a zone off from the others until EndIsolation.
 func (f *Fleet) IsolateZone(zone string) {
 	f.mu.Lock()
 	f.isolatedZone, f.isolated = zone, true
@@ -161,7 +161,7 @@
 	f.recordIsolation(pb.EngineEvent_DEAF)
 }
 
-// Heal ends a cut.
+// EndIsolation reconnects the isolated zone.
 func (f *Fleet) EndIsolation() {
 	f.mu.Lock()
 	f.isolated = false
@@ -171,21 +171,21 @@
 
 func (f *Fleet) recordIsolation(kind pb.EngineEvent_Kind) {
 	f.mu.Lock()
-	cut, routers := f.isolatedZone, map[string]peer{}
-	for a, p := range f.routers {
-		routers[a] = p
+	isolatedZone, routers := f.isolatedZone, map[string]peer{}
+	for address, router := range f.routers {
+		routers[address] = router
 	}
 	f.mu.Unlock()
 	for _, e := range f.Engines {
-		for _, p := range routers {
-			if (p.zone == cut) != (e.settings.GetZone() == cut) {
-				e.record(&pb.EngineEvent{Kind: kind.Enum(), Peer: proto.String(p.name)})
+		for _, router := range routers {
+			if (router.zone == isolatedZone) != (e.settings.GetZone() == isolatedZone) {
+				e.record(&pb.EngineEvent{Kind: kind.Enum(), Peer: proto.String(router.name)})
 			}
 		}
 	}
 }
 
-// passes tells whether two zones hear each other.
+// connected reports whether calls between two zones pass.
 func (f *Fleet) connected(a, b string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,52 +195,52 @@
 func (f *Fleet) peerAt(address string) peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if p, known := f.routers[address]; known {
-		return p
+	if router, known := f.routers[address]; known {
+		return router
 	}
 	return peer{name: address}
 }
 
-// first tells whether tokened work is new to a group, and books it. Non-idempotent work has no such memory.
+// isFirstRun reports whether tokened work is new in its deduplication scope, and records it there. Other work is never deduplicated.
 func (f *Fleet) isFirstRun(e *Engine, w workload, key string) bool {
 	if w.settings.GetEffect() != pb.Effect_TOKENED || key == "" {
 		return true
 	}
-	group := strconv.Itoa(w.index) + "/" + key
+	dedupKey := strconv.Itoa(w.index) + "/" + key
 	switch w.settings.GetGroup() {
 	case pb.Group_ZONE:
-		group = e.settings.GetZone() + "/" + group
+		dedupKey = e.settings.GetZone() + "/" + dedupKey
 	case pb.Group_CELL:
-		group = e.settings.GetZone() + "/" + e.cell + "/" + group
+		dedupKey = e.settings.GetZone() + "/" + e.cell + "/" + dedupKey
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, known := f.dedupSeen[group]
-	known = known && time.Since(at).Seconds() < w.settings.GetRememberedS()
-	if !known {
-		f.dedupSeen[group] = time.Now()
-	}
-	if len(f.dedupSeen) >= f.sweepSize { // what no group remembers any more
-		for k, s := range f.dedupSeen { // the order does not matter: each is its own
-			if !time.Now().Before(s.Add(f.maxDedupWindow)) {
-				delete(f.dedupSeen, k)
+	seenAt, repeated := f.dedupSeen[dedupKey]
+	repeated = repeated && time.Since(seenAt).Seconds() < w.settings.GetRememberedS()
+	if !repeated {
+		f.dedupSeen[dedupKey] = time.Now()
+	}
+	if len(f.dedupSeen) >= f.sweepSize { // remove what is past every deduplication window
+		for oldKey, oldSeenAt := range f.dedupSeen { // entries are independent: the iteration order does not matter
+			if !time.Now().Before(oldSeenAt.Add(f.maxDedupWindow)) {
+				delete(f.dedupSeen, oldKey)
 			}
 		}
 		f.sweepSize = max(1024, 2*len(f.dedupSeen))
 	}
-	return !known
+	return !repeated
 }
 
-// transferTime is what a state takes from a reader to a writer.
+// transferTime returns how long the transfer of a state from a reader to a writer takes.
 func (f *Fleet) transferTime(from, to *Engine, tokens float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := tokens / f.settings.GetFetchTokensPerS() * f.transferSlowdown
+	seconds := tokens / f.settings.GetFetchTokensPerS() * f.transferSlowdown
 	if from.cell != to.cell || from.settings.GetZone() != to.settings.GetZone() {
-		s *= f.settings.GetFarSlower()
+		seconds *= f.settings.GetFarSlower()
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// String tells the fleet's size.
+// String returns the size of the fleet.
 func (f *Fleet) String() string { return fmt.Sprintf("%d stand-in engines", len(f.Engines)) }
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -15,7 +15,7 @@
 	pb "cherryhub/proto"
 )
 
-// List is a list service: it pushes full lists and changes to routers, late where it is told so.
+// ListService pushes full engine lists and changes to routers, with a delay where one is set.
 type ListService struct {
 	fleet  *Fleet
 	server *http.Server
@@ -27,23 +27,24 @@
 	delay       time.Duration
 	empty       bool
 	unavailable bool
-	generation  int              // grows when watchers are to come again
-	knownStarts map[string]int64 // the start that a router heard of last, by router and engine
+	generation  int              // grows when watchers have to reconnect
+	knownStarts map[string]int64 // start ID last sent, by router and engine
 }
 
+// change is a change of an engine's phase.
 type change struct {
 	at      time.Time
 	engine  fleet.Engine
-	started time.Time // zero for long ago
+	started time.Time // zero: long ago
 	name    string
 }
 
-func startListService(f *Fleet, address string, delay time.Duration) (*ListService, error) {
-	ln, err := f.listen(address)
+func startListService(fleet *Fleet, address string, delay time.Duration) (*ListService, error) {
+	ln, err := fleet.listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("list service: %w", err)
 	}
-	l := &ListService{fleet: f, ln: ln, epoch: time.Now().UnixMilli(), delay: delay, knownStarts: map[string]int64{}}
+	l := &ListService{fleet: fleet, ln: ln, epoch: time.Now().UnixMilli(), delay: delay, knownStarts: map[string]int64{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/engines", l.serve)
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -51,43 +52,43 @@
 	return l, nil
 }
 
-// URL is where a router finds the list.
+// URL returns the URL of the list.
 func (l *ListService) URL() string { return "http://" + l.ln.Addr().String() + "/v1/engines" }
 
 // Close stops the service.
 func (l *ListService) Close() error { return l.server.Close() }
 
-// Late makes news so much later; 0 is as usual.
-func (l *ListService) SetExtraDelay(by time.Duration) {
+// SetExtraDelay delays changes by more than the configured delay; 0 is normal.
+func (l *ListService) SetExtraDelay(extra time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.delay = time.Duration(l.fleet.settings.GetListDelayS()*float64(time.Second)) + by
+	l.delay = time.Duration(l.fleet.settings.GetListDelayS()*float64(time.Second)) + extra
 }
 
-// Empty has the service answer an empty list, or no longer.
-func (l *ListService) SetEmpty(so bool) {
+// SetEmpty makes the service answer with an empty list, or no longer.
+func (l *ListService) SetEmpty(empty bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.empty = so
+	l.empty = empty
 	l.generation++
 }
 
-// Gone has the service refuse everybody, or no longer.
-func (l *ListService) SetUnavailable(so bool) {
+// SetUnavailable makes the service refuse all requests, or no longer.
+func (l *ListService) SetUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unavailable = so
+	l.unavailable = unavailable
 	l.generation++
 }
 
-// publish tells of an engine's phase.
+// publish announces an engine's phase.
 func (l *ListService) publish(e *Engine, phase string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appendChange(e, phase, time.Now())
 }
 
-// publishAll tells of all engines at once, without delay: they were there before the day.
+// publishAll announces all engines at once, without delay, as they exist from the beginning.
 func (l *ListService) publishAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,42 +106,42 @@
 	l.changes = append(l.changes, c)
 }
 
-// visible is the version that routers may see now.
+// visibleVersion returns the version that routers may see now.
 func (l *ListService) visibleVersion() int {
-	v := 0
-	for v < len(l.changes) && (l.changes[v].at.IsZero() || time.Since(l.changes[v].at) >= l.delay) {
-		v++
+	version := 0
+	for version < len(l.changes) && (l.changes[version].at.IsZero() || time.Since(l.changes[version].at) >= l.delay) {
+		version++
 	}
-	return v
+	return version
 }
 
 func (l *ListService) serve(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	peer := l.fleet.peerAt(host).name
 	l.mu.Lock()
-	gone, round := l.unavailable, l.generation
+	unavailable, generation := l.unavailable, l.generation
 	l.mu.Unlock()
-	if gone {
+	if unavailable {
 		http.Error(w, "gone", http.StatusServiceUnavailable)
 		return
 	}
-	sent, whole := 0, false
+	sent, sentSnapshot := 0, false
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	alive := time.Now()
+	lastSent := time.Now()
 	for {
-		lines, told, again := l.nextLines(peer, round, &sent, !whole, &alive)
-		whole = true
-		for _, c := range told { // before they are written: from here on the router may know
+		lines, announced, ended := l.nextLines(peer, generation, &sent, !sentSnapshot, &lastSent)
+		sentSnapshot = true
+		for _, c := range announced { // recorded before they are written: from here on the router may know
 			l.fleet.writeEntry(&pb.Entry{What: &pb.Entry_List{List: &pb.ListEvent{Router: proto.String(peer), Engine: proto.String(c.name),
 				Phase: proto.Int32(map[string]int32{"gone": 0, "ready": 1, "draining": 2}[c.engine.Phase]), StartedS: proto.Float64(ageSeconds(c.started))}}})
 		}
 		for _, line := range lines {
-			b, err := json.Marshal(line)
+			text, err := json.Marshal(line)
 			if err != nil {
 				return
 			}
-			if _, err := w.Write(append(b, '\n')); err != nil {
+			if _, err := w.Write(append(text, '\n')); err != nil {
 				return
 			}
 		}
@@ -149,7 +150,7 @@
 				return
 			}
 		}
-		if again || r.URL.Query().Get("watch") == "" {
+		if ended || r.URL.Query().Get("watch") == "" {
 			return
 		}
 		select {
@@ -160,7 +161,7 @@
 	}
 }
 
-// age is how long ago an engine started, in seconds, below 0 for long ago.
+// ageSeconds returns how long ago an engine started, below 0 for long ago.
 func ageSeconds(started time.Time) float64 {
 	if started.IsZero() {
 		return -1
@@ -168,18 +169,18 @@
 	return time.Since(started).Seconds()
 }
 
-// news is what a watcher is to be told now.
-func (l *ListService) nextLines(peer string, round int, sent *int, first bool, alive *time.Time) (lines []fleet.Line, told []change, again bool) {
+// nextLines returns the lines to send to a watcher now, the changes that they announce, and whether the watch ends.
+func (l *ListService) nextLines(peer string, generation int, sent *int, first bool, lastSent *time.Time) (lines []fleet.Line, announced []change, ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.generation != round {
+	if l.generation != generation {
 		return nil, nil, true
 	}
-	version := max(l.visibleVersion(), *sent) // told is told, though news is late from now on
+	version := max(l.visibleVersion(), *sent) // what was sent stays sent, even if the delay has grown since
 	entry := func(c change) fleet.Engine {
 		e := c.engine
-		if a := ageSeconds(c.started); a >= 0 {
-			e.AgeSeconds = &a
+		if seconds := ageSeconds(c.started); seconds >= 0 {
+			e.AgeSeconds = &seconds
 		}
 		return e
 	}
@@ -195,31 +196,31 @@
 				line.Engines = append(line.Engines, entry(c))
 			}
 			if last[c.name] == i && !l.empty {
-				told = append(told, c)
+				announced = append(announced, c)
 			}
 		}
 		lines = append(lines, line)
 	case version > *sent:
 		for i := *sent; i < version; i++ {
 			lines = append(lines, fleet.Line{Kind: "delta", Epoch: l.epoch, Version: int64(i + 1), Engines: []fleet.Engine{entry(l.changes[i])}})
-			told = append(told, l.changes[i])
+			announced = append(announced, l.changes[i])
 		}
-	case time.Since(*alive) > time.Second:
+	case time.Since(*lastSent) > time.Second:
 		lines = append(lines, fleet.Line{Kind: "alive", Epoch: l.epoch, Version: int64(version)})
 	}
 	if len(lines) > 0 {
-		*alive = time.Now()
+		*lastSent = time.Now()
 	}
-	for _, c := range told {
+	for _, c := range announced {
 		l.knownStarts[peer+"/"+c.name] = c.engine.StartID
 	}
 	*sent = version
-	return lines, told, false
+	return lines, announced, false
 }
 
 var errDown = errors.New("engine is down")
 
-// told tells whether a router has heard of an engine's start.
+// knowsStart reports whether a router has been told of an engine's start.
 func (l *ListService) knowsStart(router, engine string, started time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -18,7 +18,7 @@
 	pb "cherryhub/proto"
 )
 
-// chatCall is what an engine reads of a chat call.
+// chatRequest holds the fields of a chat completion request that an engine uses.
 type chatRequest struct {
 	Model    string `json:"model"`
 	Messages []struct {
@@ -34,7 +34,7 @@
 	TransferParams      *transferParams `json:"kv_transfer_params"`
 }
 
-// transfer is vLLM's kv_transfer_params.
+// transferParams is vLLM's kv_transfer_params.
 type transferParams struct {
 	DoRemoteDecode  bool   `json:"do_remote_decode"`
 	DoRemotePrefill bool   `json:"do_remote_prefill"`
@@ -45,50 +45,50 @@
 	RemoteRequestID string `json:"remote_request_id,omitempty"`
 }
 
-// job is one dispatch at an engine.
+// dispatch is one dispatch at an engine.
 type dispatch struct {
-	engine       *Engine
-	request      *chatRequest
-	workload     workload
-	id           string // of the dispatch
-	completion   string // of the completion
-	key          string
-	peer         peer
-	prompt       string
-	promptTokens float64
-	blocks       []uint64
-	cachedTokens float64
-	answerTokens int
-	isRead       bool
+	engine         *Engine
+	request        *chatRequest
+	workload       workload
+	id             string
+	completion     string // ID of the completion
+	idempotencyKey string
+	peer           peer
+	prompt         string
+	promptTokens   float64
+	blocks         []uint64 // hashes of the prompt's blocks
+	cachedTokens   float64
+	answerTokens   int
+	isRead         bool
 }
 
-func (j *dispatch) record(kind pb.EngineEvent_Kind, detail string) {
+func (d *dispatch) record(kind pb.EngineEvent_Kind, detail string) {
 	role := pb.Role_WRITER
-	if j.isRead {
+	if d.isRead {
 		role = pb.Role_READER
 	}
-	j.engine.record(&pb.EngineEvent{Kind: kind.Enum(), Completion: proto.String(j.completion), Dispatch: proto.String(j.id), Key: proto.String(j.key),
-		Peer: proto.String(j.peer.name), Role: role.Enum(), Workload: proto.Int32(int32(j.workload.index)),
-		WorkS: proto.Float64(j.workSeconds()), Detail: proto.String(detail)})
+	d.engine.record(&pb.EngineEvent{Kind: kind.Enum(), Completion: proto.String(d.completion), Dispatch: proto.String(d.id), Key: proto.String(d.idempotencyKey),
+		Peer: proto.String(d.peer.name), Role: role.Enum(), Workload: proto.Int32(int32(d.workload.index)),
+		WorkS: proto.Float64(d.workSeconds()), Detail: proto.String(detail)})
 }
 
-// seconds is the job's work, as a part of the warm engine's whole capacity.
-func (j *dispatch) workSeconds() float64 {
-	s := j.engine.settings
+// workSeconds returns the work of the dispatch, in seconds of the warm engine's full capacity.
+func (d *dispatch) workSeconds() float64 {
+	settings := d.engine.settings
 	work := 0.0
-	if j.isRead || j.request.TransferParams == nil || !j.request.TransferParams.DoRemotePrefill {
-		work = max(0, j.promptTokens-j.cachedTokens) / s.GetReadTokensPerS()
+	if d.isRead || d.request.TransferParams == nil || !d.request.TransferParams.DoRemotePrefill {
+		work = max(0, d.promptTokens-d.cachedTokens) / settings.GetReadTokensPerS()
 	}
-	if !j.isRead {
-		work += float64(j.answerTokens) * s.GetTokenMs() / 1000 / float64(s.GetSlots())
+	if !d.isRead {
+		work += float64(d.answerTokens) * settings.GetTokenMs() / 1000 / float64(settings.GetSlots())
 	}
 	return work
 }
 
-func writeError(w http.ResponseWriter, status int, format string, a ...any) {
+func writeError(w http.ResponseWriter, status int, format string, args ...any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(map[string]any{"error": map[string]any{"message": fmt.Sprintf(format, a...), "code": status}}) //nolint:errcheck // the peer left
+	json.NewEncoder(w).Encode(map[string]any{"error": map[string]any{"message": fmt.Sprintf(format, args...), "code": status}}) //nolint:errcheck // the peer left
 }
 
 func (e *Engine) peerOf(r *http.Request) peer {
@@ -102,59 +102,59 @@
 	if err != nil {
 		return
 	}
-	j := &dispatch{engine: e, request: &chatRequest{}, peer: peer, id: r.Header.Get("X-Request-Id"), key: r.Header.Get("Idempotency-Key")}
-	if err := json.Unmarshal(body, j.request); err != nil || len(j.request.Messages) == 0 {
+	d := &dispatch{engine: e, request: &chatRequest{}, peer: peer, id: r.Header.Get("X-Request-Id"), idempotencyKey: r.Header.Get("Idempotency-Key")}
+	if err := json.Unmarshal(body, d.request); err != nil || len(d.request.Messages) == 0 {
 		writeError(w, http.StatusBadRequest, "no chat call: %v", err)
 		return
 	}
-	j.completion = completionID(j.id)
-	var known bool
-	if j.workload, known = e.fleet.workloads[j.request.Model]; !known {
-		writeError(w, http.StatusNotFound, "no model %q", j.request.Model)
+	d.completion = completionID(d.id)
+	var found bool
+	if d.workload, found = e.fleet.workloads[d.request.Model]; !found {
+		writeError(w, http.StatusNotFound, "no model %q", d.request.Model)
 		return
 	}
 	var prompt strings.Builder
-	for _, m := range j.request.Messages {
+	for _, m := range d.request.Messages {
 		prompt.WriteString(m.Role)
 		prompt.Write(m.Content)
 	}
-	j.prompt = prompt.String()
-	j.promptTokens, j.blocks = float64(len(j.prompt))/4, blockHashes(j.prompt)
-	j.cachedTokens = e.countCachedTokens(j.blocks)
-	j.isRead = j.request.TransferParams != nil && j.request.TransferParams.DoRemoteDecode
-	most := max(1, j.request.MaxTokens, j.request.MaxCompletionTokens)
-	j.answerTokens = min(most, 1+int(xxhash.Sum64String(j.prompt)%uint64(2*e.settings.GetMeanAnswerTokens())))
-	j.record(pb.EngineEvent_ARRIVED, "") // it is on the socket, whether the engine hears it or not
+	d.prompt = prompt.String()
+	d.promptTokens, d.blocks = float64(len(d.prompt))/4, blockHashes(d.prompt)
+	d.cachedTokens = e.countCachedTokens(d.blocks)
+	d.isRead = d.request.TransferParams != nil && d.request.TransferParams.DoRemoteDecode
+	maxTokens := max(1, d.request.MaxTokens, d.request.MaxCompletionTokens)
+	d.answerTokens = min(maxTokens, 1+int(xxhash.Sum64String(d.prompt)%uint64(2*e.settings.GetMeanAnswerTokens())))
+	d.record(pb.EngineEvent_ARRIVED, "") // it has arrived on the socket, whether the engine handles it or not
 	outcome := "deaf"
-	defer func() { j.record(pb.EngineEvent_ENDED, outcome) }()
+	defer func() { d.record(pb.EngineEvent_ENDED, outcome) }()
 	if !e.awaitReachable(r.Context(), peer) {
 		panic(http.ErrAbortHandler)
 	}
-	if outcome = j.admit(w); outcome != "" {
+	if outcome = d.admit(w); outcome != "" {
 		return
 	}
-	if j.isRead {
-		outcome = j.serveRead(w, r)
+	if d.isRead {
+		outcome = d.serveRead(w, r)
 	} else {
-		outcome = j.serveWrite(w, r)
+		outcome = d.serveWrite(w, r)
 	}
 	if outcome == "broke" || outcome == "lost" {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit turns a job away, or not: "".
-func (j *dispatch) admit(w http.ResponseWriter) string {
-	e := j.engine
+// admit rejects the dispatch and returns its outcome, or returns "" if it is accepted.
+func (d *dispatch) admit(w http.ResponseWriter) string {
+	e := d.engine
 	e.mu.Lock()
-	ills, draining, started := e.faults, e.draining, e.started
+	faults, draining, started := e.faults, e.draining, e.started
 	e.mu.Unlock()
-	told := started.IsZero() || e.fleet.List.knowsStart(j.peer.name, e.name, started)
+	knewStart := started.IsZero() || e.fleet.List.knowsStart(d.peer.name, e.name, started)
 	switch {
-	case e.addColdWork(j.workSeconds(), told):
+	case e.addColdWork(d.workSeconds(), knewStart):
 		go e.stopServing()
 		return "fell"
-	case ills.failureShare > 0 && e.fleet.randomShare() < ills.failureShare, ills.failingWorkload == j.workload.index:
+	case faults.failureShare > 0 && e.fleet.randomShare() < faults.failureShare, faults.failingWorkload == d.workload.index:
 		writeError(w, http.StatusInternalServerError, "engine trouble")
 		return "failed"
 	case draining:
@@ -164,7 +164,7 @@
 	return ""
 }
 
-// report is the ORCA header.
+// loadReport returns the value of the ORCA header.
 func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,46 +173,46 @@
 		float64(e.running)/float64(e.settings.GetSlots()), e.unreadTokens/1000)
 }
 
-func (j *dispatch) serveRead(w http.ResponseWriter, r *http.Request) string {
-	e, ctx := j.engine, r.Context()
+func (d *dispatch) serveRead(w http.ResponseWriter, r *http.Request) string {
+	e, ctx := d.engine, r.Context()
 	if err := e.acquireSlot(ctx); err != nil {
-		return j.refuse(w, err)
+		return d.refuse(w, err)
 	}
 	defer e.releaseSlot()
-	if !e.allocate(j.promptTokens) {
-		return j.refuse(w, errFull)
+	if !e.allocate(d.promptTokens) {
+		return d.refuse(w, errFull)
 	}
-	if err := e.prefill(ctx, max(0, j.promptTokens-j.cachedTokens)); err != nil || !e.awaitReachable(ctx, j.peer) {
-		e.free(j.promptTokens)
+	if err := e.prefill(ctx, max(0, d.promptTokens-d.cachedTokens)); err != nil || !e.awaitReachable(ctx, d.peer) {
+		e.free(d.promptTokens)
 		return "left"
 	}
-	if j.losesAnswer() {
-		e.free(j.promptTokens)
-		j.waitForEnd(ctx)
+	if d.losesAnswer() {
+		e.free(d.promptTokens)
+		d.waitForEnd(ctx)
 		return "lost"
 	}
-	e.cachePrefix(j.blocks)
-	e.holdState(j.id, j.completion, j.promptTokens)
+	e.cachePrefix(d.blocks)
+	e.holdState(d.id, d.completion, d.promptTokens)
 	host, port, _ := net.SplitHostPort(e.address)
-	n, _ := strconv.Atoi(port)
+	portNumber, _ := strconv.Atoi(port)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Endpoint-Load-Metrics", e.loadReport())
 	json.NewEncoder(w).Encode(map[string]any{ //nolint:errcheck // the peer left
-		"id": "chatcmpl-" + j.id, "object": "chat.completion", "created": time.Now().Unix(), "model": j.request.Model,
+		"id": "chatcmpl-" + d.id, "object": "chat.completion", "created": time.Now().Unix(), "model": d.request.Model,
 		"choices": []any{map[string]any{"index": 0, "finish_reason": "length", "message": map[string]any{"role": "assistant", "content": "a"}}},
-		"usage":   j.usage(1),
+		"usage":   d.usage(1),
 		"kv_transfer_params": transferParams{DoRemotePrefill: true, RemoteEngineID: e.name, RemoteBlockIDs: []int{1, 2}, RemoteHost: host,
-			RemotePort: n, RemoteRequestID: j.id},
+			RemotePort: portNumber, RemoteRequestID: d.id},
 	})
 	return "done"
 }
 
-func (j *dispatch) usage(answer int) map[string]any {
-	return map[string]any{"prompt_tokens": int(j.promptTokens), "completion_tokens": answer, "total_tokens": int(j.promptTokens) + answer,
-		"prompt_tokens_details": map[string]any{"cached_tokens": int(j.cachedTokens)}}
+func (d *dispatch) usage(answerTokens int) map[string]any {
+	return map[string]any{"prompt_tokens": int(d.promptTokens), "completion_tokens": answerTokens, "total_tokens": int(d.promptTokens) + answerTokens,
+		"prompt_tokens_details": map[string]any{"cached_tokens": int(d.cachedTokens)}}
 }
 
-func (j *dispatch) refuse(w http.ResponseWriter, err error) string {
+func (d *dispatch) refuse(w http.ResponseWriter, err error) string {
 	if errors.Is(err, errFull) {
 		writeError(w, http.StatusTooManyRequests, "full")
 		return "full"
@@ -220,38 +220,38 @@
 	return "left"
 }
 
-func (j *dispatch) losesAnswer() bool {
-	j.engine.mu.Lock()
-	share := j.engine.faults.lostShare
-	j.engine.mu.Unlock()
-	return share > 0 && j.engine.fleet.randomShare() < share
+func (d *dispatch) losesAnswer() bool {
+	d.engine.mu.Lock()
+	share := d.engine.faults.lostShare
+	d.engine.mu.Unlock()
+	return share > 0 && d.engine.fleet.randomShare() < share
 }
 
-func (j *dispatch) waitForEnd(ctx context.Context) {
+func (d *dispatch) waitForEnd(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-j.engine.lifetimeContext().Done():
+	case <-d.engine.lifetimeContext().Done():
 	}
 }
 
-// fetch brings the state from its reader. A reader that is cut off, deaf or gone has none to give.
-func (j *dispatch) fetchState(ctx context.Context) (found bool, err error) {
-	t := j.request.TransferParams
-	from := j.engine.fleet.engineAt(net.JoinHostPort(t.RemoteHost, strconv.Itoa(t.RemotePort)))
+// fetchState transfers the state from its reader. None is found at a reader that is isolated, unresponsive or down.
+func (d *dispatch) fetchState(ctx context.Context) (found bool, err error) {
+	params := d.request.TransferParams
+	from := d.engine.fleet.engineAt(net.JoinHostPort(params.RemoteHost, strconv.Itoa(params.RemotePort)))
 	if from == nil || !from.isUp() {
 		return false, nil
 	}
-	if !from.awaitReachable(ctx, peer{zone: j.engine.settings.GetZone()}) {
+	if !from.awaitReachable(ctx, peer{zone: d.engine.settings.GetZone()}) {
 		return false, ctx.Err()
 	}
-	s := from.heldState(t.RemoteRequestID)
-	if s == nil {
+	held := from.heldState(params.RemoteRequestID)
+	if held == nil {
 		return false, nil
 	}
-	if err := j.engine.sleep(ctx, j.engine.fleet.transferTime(from, j.engine, s.tokens)); err != nil {
+	if err := d.engine.sleep(ctx, d.engine.fleet.transferTime(from, d.engine, held.tokens)); err != nil {
 		return false, err
 	}
-	return from.release(t.RemoteRequestID, pb.EngineEvent_STATE_TAKEN), nil
+	return from.release(params.RemoteRequestID, pb.EngineEvent_STATE_TAKEN), nil
 }
 
 func (e *Engine) isUp() bool {
@@ -260,100 +260,100 @@
 	return e.up
 }
 
-func (j *dispatch) serveWrite(w http.ResponseWriter, r *http.Request) string {
-	e, ctx := j.engine, r.Context()
+func (d *dispatch) serveWrite(w http.ResponseWriter, r *http.Request) string {
+	e, ctx := d.engine, r.Context()
 	if e.settings.GetRole() == pb.Role_READER {
 		writeError(w, http.StatusBadRequest, "a reader writes nothing")
 		return "refused"
 	}
-	e.release(j.completion+"-place", pb.EngineEvent_STATE_TAKEN) // its memory is taken anew below
+	e.release(d.completion+"-place", pb.EngineEvent_STATE_TAKEN) // its memory is allocated again below
 	if err := e.acquireSlot(ctx); err != nil {
-		return j.refuse(w, err)
+		return d.refuse(w, err)
 	}
 	defer e.releaseSlot()
-	need := j.promptTokens + float64(j.answerTokens)
-	if !e.allocate(need) {
-		return j.refuse(w, errFull)
+	tokens := d.promptTokens + float64(d.answerTokens)
+	if !e.allocate(tokens) {
+		return d.refuse(w, errFull)
 	}
-	defer e.free(need)
-	if t := j.request.TransferParams; t != nil && t.DoRemotePrefill {
-		found, err := j.fetchState(ctx)
+	defer e.free(tokens)
+	if params := d.request.TransferParams; params != nil && params.DoRemotePrefill {
+		found, err := d.fetchState(ctx)
 		if err != nil {
 			return "left"
 		}
 		if !found {
-			writeError(w, http.StatusFailedDependency, "no state %q", t.RemoteRequestID)
+			writeError(w, http.StatusFailedDependency, "no state %q", params.RemoteRequestID)
 			return "stateless"
 		}
-	} else if err := e.prefill(ctx, max(0, j.promptTokens-j.cachedTokens)); err != nil {
+	} else if err := e.prefill(ctx, max(0, d.promptTokens-d.cachedTokens)); err != nil {
 		return "left"
 	}
-	e.cachePrefix(j.blocks)
-	if e.fleet.isFirstRun(e, j.workload, j.key) {
-		j.record(pb.EngineEvent_RAN, "")
+	e.cachePrefix(d.blocks)
+	if e.fleet.isFirstRun(e, d.workload, d.idempotencyKey) {
+		d.record(pb.EngineEvent_RAN, "")
 	} else {
-		j.record(pb.EngineEvent_REPEAT, "")
+		d.record(pb.EngineEvent_REPEAT, "")
 	}
-	if j.losesAnswer() {
-		j.waitForEnd(ctx)
+	if d.losesAnswer() {
+		d.waitForEnd(ctx)
 		return "lost"
 	}
-	return j.streamAnswer(ctx, w)
+	return d.streamAnswer(ctx, w)
 }
 
-// stream writes the answer, a token at a time.
-func (j *dispatch) streamAnswer(ctx context.Context, w http.ResponseWriter) string {
-	e := j.engine
-	breakAt := -1
+// streamAnswer streams the answer, one token at a time.
+func (d *dispatch) streamAnswer(ctx context.Context, w http.ResponseWriter) string {
+	e := d.engine
+	breakAtToken := -1
 	e.mu.Lock()
-	breaks := e.faults.brokenShare
+	brokenShare := e.faults.brokenShare
 	e.mu.Unlock()
-	if breaks > 0 && e.fleet.randomShare() < breaks {
-		breakAt = int(e.fleet.randomShare() * float64(j.answerTokens))
-	}
-	h := w.Header()
-	h.Set("Content-Type", "text/event-stream")
-	h.Set("Endpoint-Load-Metrics", e.loadReport())
-	h.Set("Trailer", "Endpoint-Load-Metrics")
-	out := http.NewResponseController(w)
-	head := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q,"choices":[{"index":0,`, j.id, time.Now().Unix(), j.request.Model)
-	send := func(format string, a ...any) error {
-		if !e.awaitReachable(ctx, j.peer) {
+	if brokenShare > 0 && e.fleet.randomShare() < brokenShare {
+		breakAtToken = int(e.fleet.randomShare() * float64(d.answerTokens))
+	}
+	header := w.Header()
+	header.Set("Content-Type", "text/event-stream")
+	header.Set("Endpoint-Load-Metrics", e.loadReport())
+	header.Set("Trailer", "Endpoint-Load-Metrics")
+	controller := http.NewResponseController(w)
+	prefix := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q,"choices":[{"index":0,`, d.id, time.Now().Unix(), d.request.Model)
+	send := func(format string, args ...any) error {
+		if !e.awaitReachable(ctx, d.peer) {
 			return errDown
 		}
-		if _, err := fmt.Fprintf(w, "data: "+format+"\n\n", a...); err != nil {
+		if _, err := fmt.Fprintf(w, "data: "+format+"\n\n", args...); err != nil {
 			return err
 		}
-		return out.Flush()
+		return controller.Flush()
 	}
-	for n := range j.answerTokens {
-		if n == breakAt {
+	for n := range d.answerTokens {
+		if n == breakAtToken {
 			return "broke"
 		}
 		if n > 0 {
 			e.mu.Lock()
-			gap := e.settings.GetTokenMs() * e.faults.slowdown * (1 + float64(e.running)/float64(e.settings.GetSlots())) / 1.5
+			gapMS := e.settings.GetTokenMs() * e.faults.slowdown * (1 + float64(e.running)/float64(e.settings.GetSlots())) / 1.5
 			e.mu.Unlock()
-			if err := e.sleep(ctx, time.Duration(gap*float64(time.Millisecond))); err != nil {
+			if err := e.sleep(ctx, time.Duration(gapMS*float64(time.Millisecond))); err != nil {
 				return "left"
 			}
-		} else if err := send(`%s"delta":{"role":"assistant","content":""},"finish_reason":null}]}`, head); err != nil {
+		} else if err := send(`%s"delta":{"role":"assistant","content":""},"finish_reason":null}]}`, prefix); err != nil {
 			return "left"
 		}
-		if err := send(`%s"delta":{"content":"tok%d "},"finish_reason":null}]}`, head, n); err != nil {
+		if err := send(`%s"delta":{"content":"tok%d "},"finish_reason":null}]}`, prefix, n); err != nil {
 			return "left"
 		}
 	}
-	last := fmt.Sprintf(`%s"delta":{},"finish_reason":"stop"}]}`, head)
-	if j.request.StreamOptions.IncludeUsage {
-		usage, err := json.Marshal(j.usage(j.answerTokens))
+	final := fmt.Sprintf(`%s"delta":{},"finish_reason":"stop"}]}`, prefix)
+	if d.request.StreamOptions.IncludeUsage {
+		usage, err := json.Marshal(d.usage(d.answerTokens))
 		if err != nil {
 			return "broke"
 		}
-		last += fmt.Sprintf("\n\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":%q,\"choices\":[],\"usage\":%s}",
-			j.id, time.Now().Unix(), j.request.Model, usage)
+		final += fmt.Sprintf("\n\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":%q,\"choices\":[],\"usage\":%s}",
+			d.id, time.Now().Unix(), d.request.Model, usage)
 	}
-	if err := send("%s", last+"\n\ndata: [DONE]"); err != nil {
+	if err := send("%s", final+"\n\ndata: [DONE]"); err != nil {
 		return "left"
 	}
 	w.Header().Set("Endpoint-Load-Metrics", e.loadReport())
@@ -373,28 +373,28 @@
 	if !e.awaitReachable(r.Context(), e.peerOf(r)) {
 		panic(http.ErrAbortHandler)
 	}
-	var call struct {
-		ID     string  `json:"id"`
-		Tokens float64 `json:"prompt_tokens"`
-		Lease  int     `json:"lease_ms"`
+	var request struct {
+		ID           string  `json:"id"`
+		PromptTokens float64 `json:"prompt_tokens"`
+		LeaseMS      int     `json:"lease_ms"`
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&call); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&request); err != nil {
 		writeError(w, http.StatusBadRequest, "no place call: %v", err)
 		return
 	}
 	e.mu.Lock()
-	free := e.running < int(e.settings.GetSlots()) && len(e.waiting) == 0 && !e.draining
+	slotFree := e.running < int(e.settings.GetSlots()) && len(e.waiting) == 0 && !e.draining
 	e.mu.Unlock()
-	held := free && e.allocate(call.Tokens)
-	if held {
+	reserved := slotFree && e.allocate(request.PromptTokens)
+	if reserved {
 		e.mu.Lock()
-		e.reservations[call.ID] = call.Tokens
-		// Recorded under the lock, as drop does: a write that takes the place at once is recorded after it.
-		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_HELD.Enum(), Dispatch: proto.String(call.ID), Completion: proto.String(completionID(call.ID))})
+		e.reservations[request.ID] = request.PromptTokens
+		// Recorded under the lock, as in release: a write that uses the reservation at once is recorded after it.
+		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_PLACE_HELD.Enum(), Dispatch: proto.String(request.ID), Completion: proto.String(completionID(request.ID))})
 		e.mu.Unlock()
-		time.AfterFunc(time.Duration(call.Lease)*time.Millisecond, func() { e.release(call.ID, pb.EngineEvent_STATE_RELEASED) })
+		time.AfterFunc(time.Duration(request.LeaseMS)*time.Millisecond, func() { e.release(request.ID, pb.EngineEvent_STATE_RELEASED) })
 	}
-	json.NewEncoder(w).Encode(map[string]bool{"held": held}) //nolint:errcheck // the peer left
+	json.NewEncoder(w).Encode(map[string]bool{"held": reserved}) //nolint:errcheck // the peer left
 }
 
 func (e *Engine) serveMetrics(w http.ResponseWriter, r *http.Request) {
