--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -173,6 +173,7 @@
 		float64(e.running)/float64(e.settings.GetSlots()), e.unreadTokens/1000)
 }
 
+// serveRead runs a read, holds its state, and returns the outcome for the record.
 func (d *dispatch) serveRead(w http.ResponseWriter, r *http.Request) string {
 	e, ctx := d.engine, r.Context()
 	if err := e.acquireSlot(ctx); err != nil {
@@ -220,6 +221,7 @@
 	return "left"
 }
 
+// losesAnswer decides at random whether the answer is never sent.
 func (d *dispatch) losesAnswer() bool {
 	d.engine.mu.Lock()
 	share := d.engine.faults.lostShare
@@ -227,6 +229,7 @@
 	return share > 0 && d.engine.fleet.randomShare() < share
 }
 
+// waitForEnd waits until the peer leaves or the engine goes down.
 func (d *dispatch) waitForEnd(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -260,6 +263,7 @@
 	return e.up
 }
 
+// serveWrite runs a write and returns the outcome for the record.
 func (d *dispatch) serveWrite(w http.ResponseWriter, r *http.Request) string {
 	e, ctx := d.engine, r.Context()
 	if e.settings.GetRole() == pb.Role_READER {
@@ -301,7 +305,7 @@
 	return d.streamAnswer(ctx, w)
 }
 
-// streamAnswer streams the answer, one token at a time.
+// streamAnswer streams the answer, one token at a time, and returns the outcome for the record.
 func (d *dispatch) streamAnswer(ctx context.Context, w http.ResponseWriter) string {
 	e := d.engine
 	breakAtToken := -1
