--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -33,19 +33,19 @@
 
 // WriteBody is the body of a write, streamed with its usage; state is a read's kv_transfer_params, nil for
 // none. most is the most tokens of the answer where the client named none.
-func WriteBody(fields []Field, state []byte, most int) []byte {
-	named := false
+func WriteBody(fields []Field, state []byte, defaultMaxTokens int) []byte {
+	hasMaxTokens := false
 	b := beginBody(fields, func(name string) bool {
 		switch name {
 		case "stream", "stream_options", "kv_transfer_params":
 			return false
 		case "max_tokens", "max_completion_tokens":
-			named = true
+			hasMaxTokens = true
 		}
 		return true
 	})
-	if !named {
-		b = strconv.AppendInt(append(b, `"max_tokens":`...), int64(most), 10)
+	if !hasMaxTokens {
+		b = strconv.AppendInt(append(b, `"max_tokens":`...), int64(defaultMaxTokens), 10)
 		b = append(b, ',')
 	}
 	if state != nil {
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -30,8 +30,8 @@
 }
 
 // NewDialer makes a dialer of so many connections at once over next; drop closes idle ones.
-func NewDialer(most int, next func(ctx context.Context, network, address string) (net.Conn, error), drop func()) *Dialer {
-	d := &Dialer{dial: next, closeIdle: drop, slots: make(chan struct{}, most)}
+func NewDialer(maxConns int, dial func(ctx context.Context, network, address string) (net.Conn, error), closeIdle func()) *Dialer {
+	d := &Dialer{dial: dial, closeIdle: closeIdle, slots: make(chan struct{}, maxConns)}
 	d.openSpare()
 	return d
 }
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -14,11 +14,11 @@
 	"cherryhub/decide"
 )
 
-func TestDialsStayWithinTheirDescriptors(t *testing.T) {
-	dropped := 0
-	d := NewDialer(2, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() { dropped++ })
+func TestDialerConnLimit(t *testing.T) {
+	closedIdle := 0
+	d := NewDialer(2, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() { closedIdle++ })
 	defer d.Close()
-	one, err := d.Dial(t.Context(), "tcp", "x")
+	first, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
 	_, err = d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
@@ -26,10 +26,10 @@
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
 	require.ErrorIs(t, err, errConnLimit)
-	assert.Equal(t, 1, dropped, "idle ones were asked to go")
+	assert.Equal(t, 1, closedIdle, "idle ones were asked to go")
 	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "no fault of the engine")
 	assert.Equal(t, decide.Finished, ProbeOutcome(err))
-	time.AfterFunc(20*time.Millisecond, func() { one.Close(); one.Close() })
+	time.AfterFunc(20*time.Millisecond, func() { first.Close(); first.Close() })
 	_, err = d.Dial(t.Context(), "tcp", "x")
 	assert.NoError(t, err, "one became free")
 	ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -38,27 +38,27 @@
 	assert.ErrorIs(t, err, errConnLimit, "closed twice counts once")
 }
 
-func TestSpareMakesWayForADial(t *testing.T) {
-	tries, dropped := 0, 0
+func TestSpareDescriptorIsUsedForDial(t *testing.T) {
+	dials, closedIdle := 0, 0
 	var d *Dialer
 	d = NewDialer(4, func(context.Context, string, string) (net.Conn, error) {
-		tries++
+		dials++
 		if d.spare != nil {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 		}
 		a, _ := net.Pipe()
 		return a, nil
-	}, func() { dropped++ })
+	}, func() { closedIdle++ })
 	defer d.Close()
 	_, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
-	assert.Equal(t, 2, tries)
-	assert.Zero(t, dropped, "the ways to engines that hold states stay")
+	assert.Equal(t, 2, dials)
+	assert.Zero(t, closedIdle, "the ways to engines that hold states stay")
 	assert.NotNil(t, d.spare, "there is one again")
 }
 
 // TestSpareEndsWithTheClient: a connection that outlives its client opens no descriptor that nobody would close.
-func TestSpareEndsWithTheClient(t *testing.T) {
+func TestSpareStaysClosedAfterClose(t *testing.T) {
 	d := NewDialer(4, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() {})
 	conn, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -65,34 +65,34 @@
 
 // NewClient makes a client of net/http's transport and not of Hertz's client, which can't end a call that
 // waits for its header when the context ends.
-func NewClient(o Options) (*Client, error) {
-	d := &net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: 15 * time.Second}
-	if o.SourceAddress != "" {
-		ip := net.ParseIP(o.SourceAddress)
+func NewClient(options Options) (*Client, error) {
+	netDialer := &net.Dialer{Timeout: options.ConnectTimeout, KeepAlive: 15 * time.Second}
+	if options.SourceAddress != "" {
+		ip := net.ParseIP(options.SourceAddress)
 		if ip == nil {
-			return nil, fmt.Errorf("engine client: source address %q is no IP address", o.SourceAddress)
+			return nil, fmt.Errorf("engine client: source address %q is no IP address", options.SourceAddress)
 		}
-		d.LocalAddr = &net.TCPAddr{IP: ip}
+		netDialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	c := &Client{options: o}
-	dial := d.DialContext
-	if o.Dial != nil {
-		dial = o.Dial
+	c := &Client{options: options}
+	dial := netDialer.DialContext
+	if options.Dial != nil {
+		dial = options.Dial
 	}
-	if o.MaxConns > 0 {
-		c.dialer = NewDialer(o.MaxConns, dial, func() { c.http.CloseIdleConnections() })
+	if options.MaxConns > 0 {
+		c.dialer = NewDialer(options.MaxConns, dial, func() { c.http.CloseIdleConnections() })
 		dial = c.dialer.Dial
 	}
-	copies := &sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
+	buffers := &sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 	c.http = &http.Client{
 		Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &pooledCopyConn{conn, copies}, nil
+			return &pooledCopyConn{conn, buffers}, nil
 		}, DisableCompression: true, MaxIdleConnsPerHost: 512,
-			IdleConnTimeout: o.IdleConnTimeout, MaxResponseHeaderBytes: maxHeaderBytes, ReadBufferSize: 1 << 10, WriteBufferSize: 1 << 10},
+			IdleConnTimeout: options.IdleConnTimeout, MaxResponseHeaderBytes: maxHeaderBytes, ReadBufferSize: 1 << 10, WriteBufferSize: 1 << 10},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return c, nil
@@ -159,8 +159,8 @@
 // that carries an Idempotency-Key by itself when the connection breaks, which is for the planner to decide.
 func (c *Client) post(ctx context.Context, call *Call) (*http.Response, *Result) {
 	var wrote atomic.Bool
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }})
-	req, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+call.Address+"/v1/chat/completions",
+	traceCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }})
+	req, err := http.NewRequestWithContext(traceCtx, http.MethodPost, "http://"+call.Address+"/v1/chat/completions",
 		io.NopCloser(bytes.NewReader(call.Body)))
 	if err != nil {
 		return nil, &Result{Outcome: decide.NotSent, Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
@@ -210,9 +210,9 @@
 
 // Read has a reader read the prompt and hold its state.
 func (c *Client) Read(ctx context.Context, call *Call) *Result {
-	resp, bad := c.post(ctx, call)
-	if bad != nil {
-		return bad
+	resp, failed := c.post(ctx, call)
+	if failed != nil {
+		return failed
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(c.options.MaxEventBytes)+1))
@@ -266,7 +266,7 @@
 // maxSmall bounds the answer of a call that is no completion.
 const maxControlAnswerBytes = 4 << 20
 
-func (c *Client) control(ctx context.Context, method, address, path string, body []byte, read func([]byte) error) error {
+func (c *Client) control(ctx context.Context, method, address, path string, body []byte, parse func([]byte) error) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("%s %s at %s: %w", method, path, address, err)
@@ -283,8 +283,8 @@
 	if err == nil && resp.StatusCode/100 != 2 && resp.StatusCode != http.StatusNotFound {
 		err = fmt.Errorf("status %d", resp.StatusCode)
 	}
-	if err == nil && read != nil {
-		err = read(answer)
+	if err == nil && parse != nil {
+		err = parse(answer)
 	}
 	if err != nil {
 		return fmt.Errorf("%s %s at %s: %w", method, path, address, err)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -21,7 +21,7 @@
 )
 
 // peer is an engine of a few bytes: each connection gets a call's bytes read and then the script.
-func peer(t *testing.T, script func(conn net.Conn)) string {
+func startEngine(t *testing.T, script func(conn net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -61,18 +61,18 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func say(texts ...string) func(net.Conn) {
+func send(texts ...string) func(net.Conn) {
 	return func(conn net.Conn) { io.WriteString(conn, strings.Join(texts, "")) } //nolint:errcheck // the test sees it
 }
 
-func wait(texts ...string) func(net.Conn) {
+func sendAndHang(texts ...string) func(net.Conn) {
 	return func(conn net.Conn) {
-		say(texts...)(conn)
+		send(texts...)(conn)
 		io.Copy(io.Discard, conn) //nolint:errcheck // until the client closes
 	}
 }
 
-func client(t *testing.T) *Client {
+func newClient(t *testing.T) *Client {
 	c, err := NewClient(Options{ConnectTimeout: 200 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, IdleConnTimeout: time.Second,
 		StreamIdleTimeout: 150 * time.Millisecond, MaxEventBytes: 4096, LoadMetrics: LoadMetrics{
 			{Column: "queue", ORCA: "named_metrics.waiting", Prometheus: "vllm:num_requests_waiting", Sum: true},
@@ -83,8 +83,8 @@
 }
 
 // write makes a whole write and returns what it came to, the events, and how long it took.
-func write(t *testing.T, address string, timeout time.Duration, cancelAfter time.Duration) (*Result, int, time.Duration) {
-	c, began := client(t), time.Now()
+func runWrite(t *testing.T, address string, timeout time.Duration, cancelAfter time.Duration) (*Result, int, time.Duration) {
+	c, began := newClient(t), time.Now()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	if cancelAfter > 0 {
 		time.AfterFunc(cancelAfter, func() { cancel(ErrCancelled) })
@@ -105,54 +105,54 @@
 
 // TestOutcomes holds each outcome to its cause on the socket, as docs/outcomes.md lists them.
 func TestOutcomes(t *testing.T) {
-	for name, c := range map[string]struct {
-		script  func(net.Conn)
-		outcome decide.Outcome
-		events  int
-		done    bool
-		found   float64
-		cancel  time.Duration
+	for name, test := range map[string]struct {
+		script       func(net.Conn)
+		outcome      decide.Outcome
+		events       int
+		answered     bool
+		cachedTokens float64
+		cancel       time.Duration
 	}{
-		"whole answer":              {wait(okHead, chunk(role), chunk(token), chunk(token+stop), chunk(usageText+done), "0\r\n\r\n"), decide.Finished, 5, false, 4, 0},
-		"output after [DONE]":       {wait(okHead, chunk(token), chunk(stop+done+token), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
+		"whole answer":              {sendAndHang(okHead, chunk(role), chunk(token), chunk(token+stop), chunk(usageText+done), "0\r\n\r\n"), decide.Finished, 5, false, 4, 0},
+		"output after [DONE]":       {sendAndHang(okHead, chunk(token), chunk(stop+done+token), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
 		"reset before a byte":       {reset, decide.Broken, 0, false, 0, 0},
-		"closed before a byte":      {say(), decide.Broken, 0, false, 0, 0},
-		"reset after a token":       {func(c net.Conn) { say(okHead, chunk(token))(c); time.Sleep(30 * time.Millisecond); reset(c) }, decide.Broken, 1, false, 0, 0},
-		"truncated":                 {say(okHead, chunk(token), "0\r\n\r\n"), decide.Broken, 1, false, 0, 0},
-		"full":                      {say("HTTP/1.1 429 Too Many\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 0, 0},
-		"no state":                  {say("HTTP/1.1 424 Failed Dependency\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 1, 0},
-		"5xx":                       {say("HTTP/1.1 503 Bad\r\nContent-Length: 0\r\n\r\n"), decide.Errored, 0, false, 0, 0},
-		"the completion's fault":    {say("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}"), decide.Cancelled, 0, true, 0, 0},
-		"silent":                    {wait(), decide.TimedOut, 0, false, 0, 0},
-		"a byte a while":            {drip, decide.TimedOut, 0, false, 0, 0},
-		"silent after a token":      {wait(okHead, chunk(token)), decide.TimedOut, 1, false, 0, 0},
-		"no HTTP":                   {say("hello\r\n\r\n"), decide.Errored, 0, false, 0, 0},
-		"no event stream":           {say("HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 2\r\n\r\nhi"), decide.Errored, 0, false, 0, 0},
-		"no JSON":                   {wait(okHead, chunk("data: {\n\n")), decide.Errored, 0, false, 0, 0},
-		"no JSON after a token":     {wait(okHead, chunk(token), chunk("data: {\n\n")), decide.Errored, 1, false, 0, 0},
-		"its own error event":       {wait(okHead, chunk(`data: {"error":{"message":"x"}}`+"\n\n")), decide.Errored, 0, false, 0, 0},
-		"[DONE] without a reason":   {wait(okHead, chunk(token+done)), decide.Errored, 1, false, 0, 0},
-		"an event of any length":    {flood, decide.Errored, 0, false, 0, 0},
-		"headers of any length":     {headers, decide.Errored, 0, false, 0, 0},
-		"cancelled while it waits":  {wait(), decide.Cancelled, 0, false, 0, 50 * time.Millisecond},
-		"cancelled after a token":   {wait(okHead, chunk(token)), decide.Cancelled, 1, false, 0, 50 * time.Millisecond},
-		"roles for ever":            {wait(okHead, strings.Repeat(chunk(role), 40)), decide.Errored, 0, false, 0, 0},
-		"comments and other fields": {wait(okHead, chunk(": hi\n\nevent: x\nid: 3\n"+token+stop), chunk(done), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
+		"closed before a byte":      {send(), decide.Broken, 0, false, 0, 0},
+		"reset after a token":       {func(c net.Conn) { send(okHead, chunk(token))(c); time.Sleep(30 * time.Millisecond); reset(c) }, decide.Broken, 1, false, 0, 0},
+		"truncated":                 {send(okHead, chunk(token), "0\r\n\r\n"), decide.Broken, 1, false, 0, 0},
+		"full":                      {send("HTTP/1.1 429 Too Many\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 0, 0},
+		"no state":                  {send("HTTP/1.1 424 Failed Dependency\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 1, 0},
+		"5xx":                       {send("HTTP/1.1 503 Bad\r\nContent-Length: 0\r\n\r\n"), decide.Errored, 0, false, 0, 0},
+		"the completion's fault":    {send("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}"), decide.Cancelled, 0, true, 0, 0},
+		"silent":                    {sendAndHang(), decide.TimedOut, 0, false, 0, 0},
+		"a byte a while":            {sendSlowly, decide.TimedOut, 0, false, 0, 0},
+		"silent after a token":      {sendAndHang(okHead, chunk(token)), decide.TimedOut, 1, false, 0, 0},
+		"no HTTP":                   {send("hello\r\n\r\n"), decide.Errored, 0, false, 0, 0},
+		"no event stream":           {send("HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 2\r\n\r\nhi"), decide.Errored, 0, false, 0, 0},
+		"no JSON":                   {sendAndHang(okHead, chunk("data: {\n\n")), decide.Errored, 0, false, 0, 0},
+		"no JSON after a token":     {sendAndHang(okHead, chunk(token), chunk("data: {\n\n")), decide.Errored, 1, false, 0, 0},
+		"its own error event":       {sendAndHang(okHead, chunk(`data: {"error":{"message":"x"}}`+"\n\n")), decide.Errored, 0, false, 0, 0},
+		"[DONE] without a reason":   {sendAndHang(okHead, chunk(token+done)), decide.Errored, 1, false, 0, 0},
+		"an event of any length":    {sendEndlessEvent, decide.Errored, 0, false, 0, 0},
+		"headers of any length":     {sendEndlessHeader, decide.Errored, 0, false, 0, 0},
+		"cancelled while it waits":  {sendAndHang(), decide.Cancelled, 0, false, 0, 50 * time.Millisecond},
+		"cancelled after a token":   {sendAndHang(okHead, chunk(token)), decide.Cancelled, 1, false, 0, 50 * time.Millisecond},
+		"roles for ever":            {sendAndHang(okHead, strings.Repeat(chunk(role), 40)), decide.Errored, 0, false, 0, 0},
+		"comments and other fields": {sendAndHang(okHead, chunk(": hi\n\nevent: x\nid: 3\n"+token+stop), chunk(done), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result, events, took := write(t, peer(t, c.script), 300*time.Millisecond, c.cancel)
-			assert.Equal(t, c.outcome, result.Outcome, "%v", result.Err)
-			assert.Equal(t, c.events, events)
-			assert.Equal(t, c.done, result.Answered)
-			assert.Equal(t, c.found, result.CachedTokens)
-			assert.Less(t, took, 2*time.Second)
-			assert.Equal(t, c.outcome == decide.Finished, result.Err == nil, "an error says what happened")
+			result, events, elapsed := runWrite(t, startEngine(t, test.script), 300*time.Millisecond, test.cancel)
+			assert.Equal(t, test.outcome, result.Outcome, "%v", result.Err)
+			assert.Equal(t, test.events, events)
+			assert.Equal(t, test.answered, result.Answered)
+			assert.Equal(t, test.cachedTokens, result.CachedTokens)
+			assert.Less(t, elapsed, 2*time.Second)
+			assert.Equal(t, test.outcome == decide.Finished, result.Err == nil, "an error says what happened")
 		})
 	}
 }
 
-func drip(conn net.Conn) {
+func sendSlowly(conn net.Conn) {
 	for _, b := range []byte(okHead + chunk(token)) {
 		if _, err := conn.Write([]byte{b}); err != nil {
 			return
@@ -161,8 +161,8 @@
 	}
 }
 
-func flood(conn net.Conn) {
-	say(okHead)(conn)
+func sendEndlessEvent(conn net.Conn) {
+	send(okHead)(conn)
 	for {
 		if _, err := io.WriteString(conn, chunk("data: "+strings.Repeat("x", 1000))); err != nil {
 			return
@@ -170,8 +170,8 @@
 	}
 }
 
-func headers(conn net.Conn) {
-	say("HTTP/1.1 200 OK\r\n")(conn)
+func sendEndlessHeader(conn net.Conn) {
+	send("HTTP/1.1 200 OK\r\n")(conn)
 	for {
 		if _, err := io.WriteString(conn, "X: "+strings.Repeat("x", 1000)+"\r\n"); err != nil {
 			return
@@ -183,19 +183,19 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ln.Close()
-	result, _, _ := write(t, ln.Addr().String(), time.Second, 0)
+	result, _, _ := runWrite(t, ln.Addr().String(), time.Second, 0)
 	assert.Equal(t, decide.Unreachable, result.Outcome)
-	assert.Equal(t, decide.Unreachable, ProbeOutcome(probe(t, ln.Addr().String())))
+	assert.Equal(t, decide.Unreachable, ProbeOutcome(probeError(t, ln.Addr().String())))
 }
 
-func probe(t *testing.T, address string) error {
-	_, err := client(t).Probe(context.Background(), address)
+func probeError(t *testing.T, address string) error {
+	_, err := newClient(t).Probe(context.Background(), address)
 	return err
 }
 
 // TestNeverRepeats: net/http repeats by itself what carries an Idempotency-Key when a kept connection breaks.
 // Here it must not: whether it ran is for the planner to judge.
-func TestNeverRepeats(t *testing.T) {
+func TestNoAutomaticRetry(t *testing.T) {
 	calls := make(chan string, 10)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -208,7 +208,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, token+stop+done) //nolint:errcheck // the test sees it
 	}))
-	c := client(t)
+	c := newClient(t)
 	for i, want := range []decide.Outcome{decide.Finished, decide.Broken} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		s, result := c.Write(ctx, cancel, &Call{Address: ln.Addr().String(), ID: fmt.Sprintf("c-%d", i), IdempotencyKey: "k", Body: []byte(`{}`)}, time.Second)
@@ -226,12 +226,12 @@
 }
 
 // TestCancelCloses: a dispatch that is cancelled closes its connection within 50 ms, before its first byte too.
-func TestCancelCloses(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	for name, begin := range map[string]string{"before a byte": "", "in the stream": okHead + chunk(token)} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan time.Time, 1)
-			address := peer(t, func(conn net.Conn) { wait(begin)(conn); closed <- time.Now() })
-			c := client(t)
+			address := startEngine(t, func(conn net.Conn) { sendAndHang(begin)(conn); closed <- time.Now() })
+			c := newClient(t)
 			ctx, cancel := context.WithCancelCause(context.Background())
 			go func() {
 				s, _ := c.Write(ctx, cancel, &Call{Address: address, ID: "c-0", Body: []byte(`{}`)}, time.Second)
@@ -242,44 +242,44 @@
 				}
 			}()
 			time.Sleep(80 * time.Millisecond)
-			at := time.Now()
+			cancelledAt := time.Now()
 			cancel(ErrCancelled)
-			assert.Less(t, (<-closed).Sub(at), 50*time.Millisecond)
+			assert.Less(t, (<-closed).Sub(cancelledAt), 50*time.Millisecond)
 		})
 	}
 }
 
 func TestRead(t *testing.T) {
 	answer := func(body string) func(net.Conn) {
-		return say(fmt.Sprintf("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT named_metrics.waiting=3, named_metrics.kv=0.5\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+		return send(fmt.Sprintf("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT named_metrics.waiting=3, named_metrics.kv=0.5\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	}
-	for name, c := range map[string]struct {
-		script  func(net.Conn)
-		outcome decide.Outcome
-		state   string
-		found   float64
+	for name, test := range map[string]struct {
+		script       func(net.Conn)
+		outcome      decide.Outcome
+		state        string
+		cachedTokens float64
 	}{
 		"read":           {answer(`{"kv_transfer_params":{"remote_host":"h"},"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`), decide.Read, `{"remote_host":"h"}`, 7},
 		"no state in it": {answer(`{"usage":{}}`), decide.Errored, "", 0},
 		"no JSON":        {answer(`{`), decide.Errored, "", 0},
 		"too long":       {answer(`{"a":"` + strings.Repeat("x", 5000) + `"}`), decide.Errored, "", 0},
-		"cut short":      {say("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"), decide.Broken, "", 0},
+		"cut short":      {send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"), decide.Broken, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var heard []float64
-			result := client(t).Read(context.Background(), &Call{Address: peer(t, c.script), ID: "c-0", Body: []byte(`{}`), OnReport: func(r []float64) { heard = r }})
-			assert.Equal(t, c.outcome, result.Outcome, "%v", result.Err)
-			assert.Equal(t, c.state, string(result.State))
-			assert.Equal(t, c.found, result.CachedTokens)
+			var report []float64
+			result := newClient(t).Read(context.Background(), &Call{Address: startEngine(t, test.script), ID: "c-0", Body: []byte(`{}`), OnReport: func(r []float64) { report = r }})
+			assert.Equal(t, test.outcome, result.Outcome, "%v", result.Err)
+			assert.Equal(t, test.state, string(result.State))
+			assert.Equal(t, test.cachedTokens, result.CachedTokens)
 			if name != "cut short" {
-				assert.Equal(t, []float64{3, 0.5}, heard)
+				assert.Equal(t, []float64{3, 0.5}, report)
 			}
 		})
 	}
 }
 
 func TestReports(t *testing.T) {
-	f, nan := client(t).options.LoadMetrics, math.NaN()
+	metrics, nan := newClient(t).options.LoadMetrics, math.NaN()
 	for header, want := range map[string][]float64{
 		"TEXT named_metrics.waiting=2,named_metrics.kv=0.25, cpu=3": {2, 0.25},
 		"TEXT named_metrics.kv=0.25":                                {nan, 0.25},
@@ -291,13 +291,13 @@
 		"": nil,
 		"TEXT named_metrics.waiting=x, named_metrics.kv=1, =, ,,a==b": {nan, 1},
 	} {
-		got := f.parseORCA(header)
+		got := metrics.parseORCA(header)
 		assert.Equal(t, fmt.Sprint(want), fmt.Sprint(got), header)
 	}
-	got, err := f.parsePrometheus([]byte("vllm:num_requests_waiting{m=\"a\"} 2\nvllm:num_requests_waiting{m=\"b\"} 3\nvllm:kv_cache_usage_perc{m=\"a\"} 0.5\n"))
+	got, err := metrics.parsePrometheus([]byte("vllm:num_requests_waiting{m=\"a\"} 2\nvllm:num_requests_waiting{m=\"b\"} 3\nvllm:kv_cache_usage_perc{m=\"a\"} 0.5\n"))
 	require.NoError(t, err)
 	assert.Equal(t, []float64{5, 0.5}, got)
-	_, err = f.parsePrometheus([]byte("{{{"))
+	_, err = metrics.parsePrometheus([]byte("{{{"))
 	assert.Error(t, err)
 }
 
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -39,8 +39,8 @@
 // classOf is the class of an error. sent: some of the call was written (net/http), or all of it (a client that knows).
 func classify(err error, sent bool) errorClass {
 	var op *net.OpError
-	var number syscall.Errno
-	isOp, isNumber := errors.As(err, &op), errors.As(err, &number)
+	var errno syscall.Errno
+	isOp, isErrno := errors.As(err, &op), errors.As(err, &errno)
 	dialed := isOp && op.Op == "dial" || errors.Is(err, errConnLimit)
 	switch {
 	case errors.Is(err, ErrMalformed):
@@ -49,7 +49,7 @@
 		return localError
 	case dialed, !sent:
 		return notSent
-	case isAny(err, connErrors), isOp, isNumber, isTransportError(err):
+	case isAny(err, connErrors), isOp, isErrno, isTransportError(err):
 		return mayHaveRun
 	case errors.Is(err, context.Canceled): // a stream that was closed here in the middle
 		return closedLocally
@@ -76,12 +76,12 @@
 // isLocal tells whether a dial failed for want of something here: no fault of the engine.
 func isLocalError(err error) bool { return isAny(err, localErrors) }
 
-func isAny(err error, of []error) bool {
-	return slices.ContainsFunc(of, func(one error) bool { return errors.Is(err, one) })
+func isAny(err error, targets []error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
 func isTransportError(err error) bool {
-	return slices.ContainsFunc(transportErrorTexts, func(words string) bool { return strings.Contains(err.Error(), words) })
+	return slices.ContainsFunc(transportErrorTexts, func(part string) bool { return strings.Contains(err.Error(), part) })
 }
 
 // ErrNotAsked is a probe that was not made: nothing was learnt of the engine.
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -18,28 +18,28 @@
 // TestErrorClasses: what each system call's error says of a dispatch, while it connects and in use, before and after its
 // last byte.
 func TestErrorClasses(t *testing.T) {
-	system := func(op, call string, number syscall.Errno) error {
-		return fmt.Errorf("dispatch: %w", &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(call, number)})
+	syscallError := func(op, call string, errno syscall.Errno) error {
+		return fmt.Errorf("dispatch: %w", &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(call, errno)})
 	}
-	for _, number := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		for _, call := range []string{"socket", "connect"} {
-			err := system("dial", call, number)
+			err := syscallError("dial", call, errno)
 			assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "%v", err)
 			assert.Equal(t, decide.Finished, ProbeOutcome(err), "%v: nothing was learnt of the engine", err)
 		}
 	}
-	for _, number := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET} {
-		err := system("dial", "connect", number)
+	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET} {
+		err := syscallError("dial", "connect", errno)
 		assert.Equal(t, decide.Unreachable, OutcomeOf(t.Context(), err, false), "%v", err)
 		assert.Equal(t, decide.Unreachable, ProbeOutcome(err), "%v", err)
 	}
-	for _, number := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENOBUFS, syscall.EIO} {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENOBUFS, syscall.EIO} {
 		for op, call := range map[string]string{"read": "read", "write": "write"} {
-			err := system(op, call, number)
+			err := syscallError(op, call, errno)
 			assert.Equal(t, decide.Broken, OutcomeOf(t.Context(), err, true), "%v after the last byte", err)
 			assert.Equal(t, decide.Unreachable, OutcomeOf(t.Context(), err, false), "%v before it", err)
 		}
-		assert.Equal(t, decide.Broken, OutcomeOf(t.Context(), number, true), "%v without a net.OpError", number)
+		assert.Equal(t, decide.Broken, OutcomeOf(t.Context(), errno, true), "%v without a net.OpError", errno)
 	}
 	for _, err := range []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, ErrTruncated} {
 		assert.Equal(t, decide.Broken, OutcomeOf(t.Context(), err, true), "%v", err)
@@ -49,7 +49,7 @@
 }
 
 // TestEndedByItsCaller: what its caller ended before it was sent has not run, whatever the cause; after that it may have.
-func TestEndedByItsCaller(t *testing.T) {
+func TestCancelledByCaller(t *testing.T) {
 	for cause, want := range map[error]struct{ before, after decide.Outcome }{
 		ErrCancelled: {decide.NotSent, decide.Cancelled}, ErrTimedOut: {decide.NotSent, decide.TimedOut}, ErrStreamIdle: {decide.NotSent, decide.TimedOut},
 		ErrNotConnected: {decide.Unreachable, decide.Cancelled}, errors.New("other"): {decide.NotSent, decide.Cancelled},
--- a/internal/engine/report.go
+++ b/internal/engine/report.go
@@ -24,16 +24,16 @@
 type LoadMetrics []LoadMetric
 
 // Columns are their names.
-func (f LoadMetrics) Columns() (names []string) {
-	for _, one := range f {
-		names = append(names, one.Column)
+func (metrics LoadMetrics) Columns() (names []string) {
+	for _, metric := range metrics {
+		names = append(names, metric.Column)
 	}
 	return names
 }
 
 // fromORCA reads an endpoint-load-metrics header in its TEXT or JSON form. What is missing is NaN; a report
 // that tells nothing is nil.
-func (f LoadMetrics) parseORCA(header string) []float64 {
+func (metrics LoadMetrics) parseORCA(header string) []float64 {
 	format, text, _ := strings.Cut(header, " ")
 	var value func(name string) float64
 	switch format {
@@ -46,7 +46,7 @@
 			}
 		}
 		value = func(name string) float64 {
-			if v, told := pairs[name]; told {
+			if v, found := pairs[name]; found {
 				return v
 			}
 			return math.NaN()
@@ -64,25 +64,25 @@
 	default:
 		return nil
 	}
-	return f.report(func(one LoadMetric) float64 { return value(one.ORCA) })
+	return metrics.buildReport(func(metric LoadMetric) float64 { return value(metric.ORCA) })
 }
 
 // fromPrometheus reads figures from the text format of /metrics.
-func (f LoadMetrics) parsePrometheus(text []byte) ([]float64, error) {
+func (metrics LoadMetrics) parsePrometheus(text []byte) ([]float64, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
 	if err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
-	return f.report(func(one LoadMetric) float64 {
-		family := families[one.Prometheus]
+	return metrics.buildReport(func(metric LoadMetric) float64 {
+		family := families[metric.Prometheus]
 		if family == nil {
 			return math.NaN()
 		}
 		total := 0.0
 		for _, m := range family.Metric {
 			v := m.GetGauge().GetValue() + m.GetUntyped().GetValue() + m.GetCounter().GetValue()
-			if one.Sum {
+			if metric.Sum {
 				total += v
 			} else {
 				total = math.Max(total, v)
@@ -92,17 +92,17 @@
 	}), nil
 }
 
-func (f LoadMetrics) report(value func(LoadMetric) float64) []float64 {
-	report, told := make([]float64, len(f)), false
-	for i, one := range f {
-		v := value(one)
+func (metrics LoadMetrics) buildReport(value func(LoadMetric) float64) []float64 {
+	report, found := make([]float64, len(metrics)), false
+	for i, metric := range metrics {
+		v := value(metric)
 		if math.IsInf(v, 0) || v < 0 {
 			v = math.NaN()
 		}
 		report[i] = v
-		told = told || !math.IsNaN(v)
+		found = found || !math.IsNaN(v)
 	}
-	if !told {
+	if !found {
 		return nil
 	}
 	return report
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -55,14 +55,14 @@
 func (c *Client) Write(ctx context.Context, cancel context.CancelCauseFunc, call *Call, timeout time.Duration) (*Stream, *Result) {
 	s := &Stream{client: c, ctx: ctx, cancel: cancel, address: call.Address}
 	s.timer = time.AfterFunc(timeout, func() { cancel(ErrTimedOut) })
-	resp, bad := c.post(ctx, call)
-	if bad != nil {
+	resp, failed := c.post(ctx, call)
+	if failed != nil {
 		s.timer.Stop()
-		return nil, bad
+		return nil, failed
 	}
 	s.resp, s.r = resp, bufio.NewReaderSize(resp.Body, 1<<10)
-	if kind := resp.Header.Get("Content-Type"); !strings.HasPrefix(kind, "text/event-stream") {
-		s.err = fmt.Errorf("%w: content type %q", ErrMalformed, kind)
+	if contentType := resp.Header.Get("Content-Type"); !strings.HasPrefix(contentType, "text/event-stream") {
+		s.err = fmt.Errorf("%w: content type %q", ErrMalformed, contentType)
 	}
 	for s.err == nil {
 		data, token, err := s.readEvent()
@@ -162,22 +162,22 @@
 		if len(s.buf) > s.client.options.MaxEventBytes {
 			return nil, false, fmt.Errorf("%w: an event of over %d bytes", ErrMalformed, s.client.options.MaxEventBytes)
 		}
-		begin := len(s.buf)
+		start := len(s.buf)
 		if err := s.readLine(); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = ErrTruncated
 			}
 			return nil, false, err
 		}
-		line := bytes.TrimRight(s.buf[begin:], "\r\n")
+		line := bytes.TrimRight(s.buf[start:], "\r\n")
 		switch {
-		case len(line) == 0 && begin > 0:
-			return s.parseEvent(s.buf[:begin])
+		case len(line) == 0 && start > 0:
+			return s.parseEvent(s.buf[:start])
 		case bytes.HasPrefix(line, dataPrefix):
-			kept := append(s.buf[:begin], bytes.TrimPrefix(line[len(dataPrefix):], []byte(" "))...)
+			kept := append(s.buf[:start], bytes.TrimPrefix(line[len(dataPrefix):], []byte(" "))...)
 			s.buf = kept
 		default: // a comment, or a field without meaning here
-			s.buf = s.buf[:begin]
+			s.buf = s.buf[:start]
 		}
 	}
 }
@@ -185,8 +185,8 @@
 // line appends one line to buf, with no more than the most an event may have.
 func (s *Stream) readLine() error {
 	for {
-		part, err := s.r.ReadSlice('\n')
-		s.buf = append(s.buf, part...)
+		fragment, err := s.r.ReadSlice('\n')
+		s.buf = append(s.buf, fragment...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return err
 		}
@@ -207,11 +207,11 @@
 	if !gjson.ValidBytes(data) || data[0] != '{' {
 		return nil, false, fmt.Errorf("%w: an event of no JSON object: %.80q", ErrMalformed, data)
 	}
-	var fault, usage, choice gjson.Result
+	var engineErr, usage, choice gjson.Result
 	gjson.Parse(UnsafeString(data)).ForEach(func(key, value gjson.Result) bool {
 		switch key.Str {
 		case "error":
-			fault = value
+			engineErr = value
 		case "usage":
 			usage = value
 		case "choices":
@@ -219,8 +219,8 @@
 		}
 		return true
 	})
-	if fault.Exists() && fault.Type != gjson.Null {
-		return nil, false, fmt.Errorf("the engine's own error event: %.200s", fault.Raw)
+	if engineErr.Exists() && engineErr.Type != gjson.Null {
+		return nil, false, fmt.Errorf("the engine's own error event: %.200s", engineErr.Raw)
 	}
 	if usage.IsObject() {
 		s.hasUsage = true
--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -62,11 +62,11 @@
 // New makes a client.
 func New(o Options) *Client {
 	c := &Client{options: o, endpoints: map[string]*endpoint{}, idle: list.New()}
-	next := o.Dial
-	if next == nil {
-		next = (&net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1}).DialContext
+	dial := o.Dial
+	if dial == nil {
+		dial = (&net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1}).DialContext
 	}
-	c.dialer = engine.NewDialer(o.MaxConns, next, c.closeLongestIdle)
+	c.dialer = engine.NewDialer(o.MaxConns, dial, c.closeLongestIdle)
 	c.parseReport = func(text []byte) []float64 { return parseReport(o.ReportColumns, text) }
 	return c
 }
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -16,7 +16,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-func client(t *testing.T, engines ...Engine) *Client {
+func newClient(t *testing.T, engines ...Engine) *Client {
 	c := New(Options{ReportColumns: []string{"queue", "util"}, ProbesAllowed: true, ConnectTimeout: 250 * time.Millisecond, EngineIdleTimeout: 10 * time.Second, MaxConns: 16})
 	t.Cleanup(c.Close)
 	c.UpdateEngines(true, engines, nil)
@@ -31,24 +31,24 @@
 }
 
 // TestKept: a connection is used again, one that the engine has closed meanwhile is not, and nothing is sent twice.
-func TestKept(t *testing.T) {
-	w := standin.NewFleet()
-	e, err := w.StartEngine("e", true)
+func TestConnectionReuse(t *testing.T) {
+	fleet := standin.NewFleet()
+	e, err := fleet.StartEngine("e", true)
 	require.NoError(t, err)
-	c := client(t, Engine{Name: "e", Address: e.Address()})
+	c := newClient(t, Engine{Name: "e", Address: e.Address()})
 	for range 3 {
 		r := read(c, "e")
 		require.Equal(t, decide.Read, r.Outcome)
 		require.Equal(t, []float64{1, 0.5}, r.Report)
 		require.Equal(t, 128.0, r.CachedTokens)
 	}
-	for _, call := range w.Calls(standin.Read) {
+	for _, call := range fleet.Calls(standin.Read) {
 		require.Equal(t, 1, call.ConnNumber)
 	}
 	e.Close()
 	require.Eventually(t, func() bool { return e.ConnCount() == 0 }, time.Second, time.Millisecond)
 	require.Equal(t, decide.Unreachable, read(c, "e").Outcome, "a call that no engine got may not count as run")
-	require.Len(t, w.Calls(standin.Read), 3)
+	require.Len(t, fleet.Calls(standin.Read), 3)
 }
 
 // TestUnreachable: what never came up was never run; an engine that is not listed is no dispatch at all.
@@ -57,67 +57,67 @@
 	require.NoError(t, err)
 	address := ln.Addr().String()
 	require.NoError(t, ln.Close())
-	c := client(t, Engine{Name: "refuses", Address: address})
+	c := newClient(t, Engine{Name: "refuses", Address: address})
 	require.Equal(t, decide.Unreachable, read(c, "refuses").Outcome)
 	require.Equal(t, decide.NotSent, read(c, "nobody").Outcome)
 }
 
 // TestBrokenWrite: a connection that breaks while the call is written counts as never run.
 func TestBrokenWrite(t *testing.T) {
-	near, far := net.Pipe()
+	clientSide, engineSide := net.Pipe()
 	go func() {
-		far.Read(make([]byte, 64)) //nolint:errcheck // a part of it
-		far.Close()                //nolint:errcheck // breaks it
+		engineSide.Read(make([]byte, 64)) //nolint:errcheck // a part of it
+		engineSide.Close()                //nolint:errcheck // breaks it
 	}()
 	c := New(Options{ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
-		Dial: func(context.Context, string, string) (net.Conn, error) { return near, nil }})
+		Dial: func(context.Context, string, string) (net.Conn, error) { return clientSide, nil }})
 	t.Cleanup(c.Close)
 	c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
 	require.Equal(t, decide.Unreachable, read(c, "e").Outcome)
 }
 
 // TestReleaseElsewhere: any engine lets go of all, so one that is gone or silent doesn't keep a state held.
-func TestReleaseElsewhere(t *testing.T) {
-	w := standin.NewFleet()
+func TestReleaseAtOtherEngine(t *testing.T) {
+	fleet := standin.NewFleet()
 	var all []Engine
 	for _, name := range [...]string{"silent", "well"} {
-		e, err := w.StartEngine(name, true)
+		e, err := fleet.StartEngine(name, true)
 		require.NoError(t, err)
 		t.Cleanup(e.Close)
 		all = append(all, Engine{Name: name, Address: e.Address()})
 	}
-	w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
+	fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Engine == "silent" && c.Kind == standin.Release {
 			return standin.Silent
 		}
 		return standin.None
 	}
-	c := client(t, all...)
+	c := newClient(t, all...)
 	require.Equal(t, decide.Read, read(c, "silent").Outcome)
-	require.Equal(t, 1, w.HeldCount())
+	require.Equal(t, 1, fleet.HeldCount())
 	began := time.Now()
 	require.NoError(t, c.Release(context.Background(), "silent", "x"))
 	require.Less(t, time.Since(began), 300*time.Millisecond)
-	require.Zero(t, w.HeldCount())
+	require.Zero(t, fleet.HeldCount())
 }
 
 // TestCommentInEvent: an event that has a comment in it is an event, and a comment alone is none.
 func TestCommentInEvent(t *testing.T) {
-	near, far := net.Pipe()
+	clientSide, engineSide := net.Pipe()
 	event := ": X-Load: {\"queue\":7}\ndata: {\"choices\":[]}\n\n"
 	chunks := event + ": X-Load: {\"util\":0.25}\n\ndata: [DONE]\n\n"
 	go func() {
-		far.Read(make([]byte, 4096)) //nolint:errcheck // the head
-		far.Read(make([]byte, 4096)) //nolint:errcheck // the body
-		fmt.Fprintf(far, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(chunks), chunks)
+		engineSide.Read(make([]byte, 4096)) //nolint:errcheck // the head
+		engineSide.Read(make([]byte, 4096)) //nolint:errcheck // the body
+		fmt.Fprintf(engineSide, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(chunks), chunks)
 	}()
 	c := New(Options{ReportColumns: []string{"util"}, ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
-		Dial: func(context.Context, string, string) (net.Conn, error) { return near, nil }})
+		Dial: func(context.Context, string, string) (net.Conn, error) { return clientSide, nil }})
 	t.Cleanup(c.Close)
 	c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	s, bad := c.Write(ctx, cancel, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(time.Second)}, time.Second)
-	require.Nil(t, bad)
+	s, failed := c.Write(ctx, cancel, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(time.Second)}, time.Second)
+	require.Nil(t, failed)
 	var got []string
 	for {
 		e, err := s.Next()
@@ -134,13 +134,13 @@
 }
 
 // TestReports: a report that can't be read tells nothing, and one that lacks a figure tells the others.
-func TestReports(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	for text, want := range map[string][]float64{`{"util":0.5,"queue":2}`: {2, 0.5}, `{"util":1e999}`: nil, `[1]`: nil, `{"util":`: nil,
 		`{"queue":-1}`: nil, `{"queue":"many"}`: nil, ``: nil} {
 		require.Equal(t, want, parseReport([]string{"queue", "util"}, []byte(text)), text)
 	}
-	one := parseReport([]string{"queue", "util"}, []byte(`{"queue":3}`))
-	require.Len(t, one, 2)
-	require.Equal(t, 3.0, one[0])
-	require.NotEqual(t, one[1], one[1], "a figure that is missing is no number") //nolint:testifylint // NaN
+	report := parseReport([]string{"queue", "util"}, []byte(`{"queue":3}`))
+	require.Len(t, report, 2)
+	require.Equal(t, 3.0, report[0])
+	require.NotEqual(t, report[1], report[1], "a figure that is missing is no number") //nolint:testifylint // NaN
 }
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -12,19 +12,19 @@
 )
 
 // small makes a call without a body and gives its status and body.
-func (c *Client) control(ctx context.Context, name, method, target string, how request) (int, []byte, *http1.Head, error) {
+func (c *Client) control(ctx context.Context, name, method, target string, req request) (int, []byte, *http1.Head, error) {
 	text := bodylessRequest(method, target)
-	how.engine, how.build = name, func() ([][]byte, error) { return [][]byte{text}, nil }
-	a, _, err := c.do(ctx, how)
+	req.engine, req.build = name, func() ([][]byte, error) { return [][]byte{text}, nil }
+	resp, _, err := c.do(ctx, req)
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("%s %s at %s: %w", method, target, name, err)
 	}
-	body, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	a.finish(err == nil && !a.head.NoLength)
+	body, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
+	resp.finish(err == nil && !resp.head.NoLength)
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("%s %s at %s: %w", method, target, name, err)
 	}
-	return a.head.Status, body, a.head, nil
+	return resp.head.Status, body, resp.head, nil
 }
 
 // The targets of calls without a body.
@@ -58,40 +58,40 @@
 func (c *Client) Release(ctx context.Context, name, id string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ask := append([]string{name, name}, c.releaseFallbacks(name)...)
-	ended := make(chan error, len(ask))
+	remaining := append([]string{name, name}, c.releaseFallbacks(name)...)
+	results := make(chan error, len(remaining))
 	wait := firstReleaseWait
-	next := time.NewTimer(0)
-	defer next.Stop()
-	var last error
-	anew := false
-	for out := 0; out > 0 || len(ask) > 0; {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var lastErr error
+	newConn := false
+	for pending := 0; pending > 0 || len(remaining) > 0; {
 		select {
-		case <-next.C:
-			if len(ask) == 0 {
+		case <-timer.C:
+			if len(remaining) == 0 {
 				continue
 			}
-			go func(at string, anew bool) { ended <- c.releaseAt(ctx, at, id, anew) }(ask[0], anew)
-			ask, out, anew = ask[1:], out+1, true
-			next.Reset(wait)
+			go func(engineName string, newConn bool) { results <- c.releaseAt(ctx, engineName, id, newConn) }(remaining[0], newConn)
+			remaining, pending, newConn = remaining[1:], pending+1, true
+			timer.Reset(wait)
 			wait = nextReleaseWait
-		case err := <-ended:
-			out--
+		case err := <-results:
+			pending--
 			if err == nil {
 				return nil
 			}
-			last = err
-			next.Reset(0)
+			lastErr = err
+			timer.Reset(0)
 		case <-ctx.Done():
-			return fmt.Errorf("release of %s: %w", id, errors.Join(context.Cause(ctx), last))
+			return fmt.Errorf("release of %s: %w", id, errors.Join(context.Cause(ctx), lastErr))
 		}
 	}
-	return last
+	return lastErr
 }
 
 // releaseAt has one engine let go of all. anew: by a connection of its own.
-func (c *Client) releaseAt(ctx context.Context, name, id string, anew bool) error {
-	status, _, _, err := c.control(ctx, name, "DELETE", roomsPath+id, request{requirement: connRequirement{newConn: anew}})
+func (c *Client) releaseAt(ctx context.Context, name, id string, newConn bool) error {
+	status, _, _, err := c.control(ctx, name, "DELETE", roomsPath+id, request{requirement: connRequirement{newConn: newConn}})
 	if err == nil && status != 204 {
 		err = fmt.Errorf("release at %s: status %d", name, status)
 	}
--- a/internal/platform/backend/check_test.go
+++ b/internal/platform/backend/check_test.go
@@ -17,74 +17,74 @@
 )
 
 // proxied is a client of one stand-in, "e", behind a proxy that plays faults.
-func proxied(t *testing.T, plan func(int) faultproxy.Plan, late func() time.Duration) (*Client, *faultproxy.Proxy) {
+func newProxiedClient(t *testing.T, plan func(int) faultproxy.Plan, late func() time.Duration) (*Client, *faultproxy.Proxy) {
 	e, err := standin.NewFleet().StartEngine("e", true)
 	require.NoError(t, err)
 	t.Cleanup(e.Close)
 	p, err := faultproxy.Start(e.Address(), plan, late)
 	require.NoError(t, err)
 	t.Cleanup(func() { p.Close() }) //nolint:errcheck // the test is over
-	return client(t, Engine{Name: "e", Address: p.Address()}), p
+	return newClient(t, Engine{Name: "e", Address: p.Address()}), p
 }
 
 // keep makes connections to an engine that are kept.
-func keep(t *testing.T, c *Client, e Engine, count int) {
-	var all []*conn
+func addIdleConns(t *testing.T, c *Client, e Engine, count int) {
+	var all []*engineConn
 	for range count {
-		one, err := c.connect(t.Context(), c.endpoints[e.Name], e.Address)
+		conn, err := c.connect(t.Context(), c.endpoints[e.Name], e.Address)
 		require.NoError(t, err)
-		all = append(all, one)
+		all = append(all, conn)
 	}
-	for _, one := range all {
-		c.returnConn(one)
+	for _, conn := range all {
+		c.returnConn(conn)
 	}
 }
 
 // readChecked is a read at "e" whose connection is checked where its last answer is older than a time.
-func readChecked(ctx context.Context, c *Client, after time.Duration, wrote func(engine.ConnInfo)) *engine.Result {
+func readChecked(ctx context.Context, c *Client, checkAfter time.Duration, onSent func(engine.ConnInfo)) *engine.Result {
 	return c.Read(ctx, &engine.Call{Address: "e", ID: "y", Target: "/v1/chat/completions", Body: []byte("{}"),
-		Deadline: time.Now().Add(time.Second), CheckAfter: after, OnSent: wrote})
+		Deadline: time.Now().Add(time.Second), CheckAfter: checkAfter, OnSent: onSent})
 }
 
 // TestSilentConnectionIsNotUsed: a dispatch that has its connection checked doesn't go by a kept connection that has fallen silent; another
 // does, and waits.
 func TestSilentConnectionIsNotUsed(t *testing.T) {
-	for name, one := range map[string]struct {
-		after time.Duration
-		want  decide.Outcome
+	for name, test := range map[string]struct {
+		checkAfter time.Duration
+		want       decide.Outcome
 	}{"checked": {time.Millisecond, decide.Read}, "not checked": {0, decide.TimedOut}} {
 		t.Run(name, func(t *testing.T) {
-			c, p := proxied(t, nil, nil)
+			c, p := newProxiedClient(t, nil, nil)
 			require.Equal(t, decide.Read, read(c, "e").Outcome)
 			require.Equal(t, 1, p.SilenceOpen())
 			time.Sleep(5 * time.Millisecond)
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 			defer cancel()
 			var sent engine.ConnInfo
-			r := readChecked(ctx, c, one.after, func(s engine.ConnInfo) { sent = s })
-			require.Equal(t, one.want, r.Outcome)
-			require.Equal(t, one.after > 0, sent.Number != 1, "a connection that is not the silent one")
+			r := readChecked(ctx, c, test.checkAfter, func(s engine.ConnInfo) { sent = s })
+			require.Equal(t, test.want, r.Outcome)
+			require.Equal(t, test.checkAfter > 0, sent.Number != 1, "a connection that is not the silent one")
 		})
 	}
 }
 
 // TestReleaseBesideSilence: a release is done within a part of the limit though the engines that are asked first are silent.
-func TestReleaseBesideSilence(t *testing.T) {
-	w := standin.NewFleet()
+func TestReleaseWithSilentEngines(t *testing.T) {
+	fleet := standin.NewFleet()
 	var engines []Engine
 	for _, name := range []string{"a", "b", "c", "d", "e", "answers"} {
-		e, err := w.StartEngine(name, true)
+		e, err := fleet.StartEngine(name, true)
 		require.NoError(t, err)
 		defer e.Close()
 		engines = append(engines, Engine{Name: name, Address: e.Address()})
 	}
-	w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
+	fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Engine != "answers" {
 			return standin.Silent
 		}
 		return standin.None
 	}
-	c := client(t, engines...)
+	c := newClient(t, engines...)
 	for _, e := range engines[1:5] { // so that they are asked before the one that answers
 		c.endpoints[e.Name].lastAnswerAt = time.Now()
 	}
@@ -95,10 +95,10 @@
 
 // TestNewConnectionIsAsked: a dispatch that has its connection checked is not written to a connection that came up and swallows all; the
 // engine counts as unreachable, and the next one that is made is used.
-func TestNewConnectionIsAsked(t *testing.T) {
+func TestNewConnectionIsChecked(t *testing.T) {
 	var silent atomic.Bool // of connections that come up
 	silent.Store(true)
-	c, _ := proxied(t, func(int) faultproxy.Plan {
+	c, _ := newProxiedClient(t, func(int) faultproxy.Plan {
 		if silent.Load() {
 			return faultproxy.Plan{Silence: faultproxy.AtStart}
 		}
@@ -117,13 +117,13 @@
 
 // TestReleaseBesideSilentConnections: a release is done within a part of the limit though all connections that are kept, to
 // whatever engine, have fallen silent, as new ones work.
-func TestReleaseBesideSilentConnections(t *testing.T) {
-	const keptEach = 2
-	w := standin.NewFleet()
+func TestReleaseWithSilentConnections(t *testing.T) {
+	const idlePerEngine = 2
+	fleet := standin.NewFleet()
 	var engines []Engine
 	var proxies []*faultproxy.Proxy
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		e, err := w.StartEngine(name, true)
+		e, err := fleet.StartEngine(name, true)
 		require.NoError(t, err)
 		defer e.Close()
 		p, err := faultproxy.Start(e.Address(), nil, nil)
@@ -132,13 +132,13 @@
 		proxies = append(proxies, p)
 		engines = append(engines, Engine{Name: name, Address: p.Address()})
 	}
-	c := client(t, engines...)
+	c := newClient(t, engines...)
 	for _, e := range engines {
-		keep(t, c, e, keptEach)
+		addIdleConns(t, c, e, idlePerEngine)
 	}
 	for _, p := range proxies {
-		require.Eventually(t, func() bool { return p.ConnCount() == keptEach }, time.Second, time.Millisecond, "it has accepted them")
-		require.Equal(t, keptEach, p.SilenceOpen())
+		require.Eventually(t, func() bool { return p.ConnCount() == idlePerEngine }, time.Second, time.Millisecond, "it has accepted them")
+		require.Equal(t, idlePerEngine, p.SilenceOpen())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond/3)
 	defer cancel()
@@ -146,12 +146,12 @@
 }
 
 // TestSilentKeptOnes: of several kept connections that are silent one is waited for, and the rest are closed.
-func TestSilentKeptOnes(t *testing.T) {
-	const kept = 4
-	c, p := proxied(t, nil, nil)
-	keep(t, c, Engine{Name: "e", Address: p.Address()}, kept)
-	require.Eventually(t, func() bool { return p.ConnCount() == kept }, time.Second, time.Millisecond, "it has accepted them")
-	require.Equal(t, kept, p.SilenceOpen())
+func TestSilentIdleConnections(t *testing.T) {
+	const idleConns = 4
+	c, p := newProxiedClient(t, nil, nil)
+	addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, idleConns)
+	require.Eventually(t, func() bool { return p.ConnCount() == idleConns }, time.Second, time.Millisecond, "it has accepted them")
+	require.Equal(t, idleConns, p.SilenceOpen())
 	time.Sleep(5 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*checkTimeout)
 	defer cancel()
@@ -160,18 +160,18 @@
 
 // TestFreshKeptConnectionIsAsked: a connection that was made to be kept, and on which no answer has come yet, is asked before a
 // dispatch that has its connection checked goes by it, however fresh it is.
-func TestFreshKeptConnectionIsAsked(t *testing.T) {
+func TestUnusedIdleConnectionIsChecked(t *testing.T) {
 	var silent atomic.Bool // of connections that come up
-	c, p := proxied(t, func(int) faultproxy.Plan {
+	c, p := newProxiedClient(t, func(int) faultproxy.Plan {
 		if silent.Load() {
 			return faultproxy.Plan{Silence: faultproxy.AtStart}
 		}
 		return faultproxy.Plan{}
 	}, nil)
-	for _, swallows := range []bool{false, true} {
-		silent.Store(swallows)
+	for _, silentNow := range []bool{false, true} {
+		silent.Store(silentNow)
 		count := p.ConnCount()
-		keep(t, c, Engine{Name: "e", Address: p.Address()}, 1)
+		addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, 1)
 		require.Eventually(t, func() bool { return p.ConnCount() > count }, time.Second, time.Millisecond, "it has accepted it")
 	}
 	silent.Store(false)
@@ -185,9 +185,9 @@
 
 // TestFailedDialIsNotRepeated: where the kept connection is silent and no other comes up, a dispatch counts as not connected behind one
 // dial.
-func TestFailedDialIsNotRepeated(t *testing.T) {
-	c, p := proxied(t, nil, nil)
-	keep(t, c, Engine{Name: "e", Address: p.Address()}, 1)
+func TestFailedDialIsNotRetried(t *testing.T) {
+	c, p := newProxiedClient(t, nil, nil)
+	addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, 1)
 	require.Eventually(t, func() bool { return p.SilenceOpen() == 1 }, time.Second, time.Millisecond, "it has accepted it")
 	dials := 0
 	c.dialer = engine.NewDialer(1, func(context.Context, string, string) (net.Conn, error) {
@@ -200,8 +200,8 @@
 
 // TestNewConnectionUnasked: where engines must not be probed, a new connection is used as it is, also if the process was held up since
 // it came up.
-func TestNewConnectionUnasked(t *testing.T) {
-	c, _ := proxied(t, nil, nil)
+func TestNewConnectionWithoutProbes(t *testing.T) {
+	c, _ := newProxiedClient(t, nil, nil)
 	c.options.ProbesAllowed = false
 	require.Equal(t, decide.Read, readChecked(t.Context(), c, time.Nanosecond, func(engine.ConnInfo) {}).Outcome)
 }
--- a/internal/platform/backend/connect.go
+++ b/internal/platform/backend/connect.go
@@ -20,43 +20,43 @@
 }
 
 // get takes a kept connection that still stands and is as demanded, or makes one.
-func (c *Client) acquire(ctx context.Context, name string, w connRequirement) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, name string, required connRequirement) (*engineConn, error) {
 	c.mu.Lock()
-	t := c.endpoints[name]
-	if t == nil {
+	ep := c.endpoints[name]
+	if ep == nil {
 		c.mu.Unlock()
 		return nil, fmt.Errorf("%s: %w", name, errUnknownEngine)
 	}
-	address := t.address
+	address := ep.address
 	c.mu.Unlock()
-	if !w.newConn {
-		if one := c.reuseIdle(ctx, name, t, w); one != nil {
-			return one, nil
+	if !required.newConn {
+		if conn := c.reuseIdle(ctx, name, ep, required); conn != nil {
+			return conn, nil
 		}
 	}
-	one, err := c.connect(ctx, t, address)
+	conn, err := c.connect(ctx, ep, address)
 	if err != nil || !c.options.ProbesAllowed {
-		return one, err
+		return conn, err
 	}
-	if err := c.checkIfRequired(ctx, one, w); err != nil {
-		one.Close() //nolint:errcheck // of no use
+	if err := c.checkIfRequired(ctx, conn, required); err != nil {
+		conn.Close() //nolint:errcheck // of no use
 		return nil, fmt.Errorf("%s: a new connection: %w", name, err)
 	}
-	return one, nil
+	return conn, nil
 }
 
 // kept takes a kept connection that is as demanded, nil for none. Where one is silent all that are kept to that engine go: the
 // others may be as dead, and each would have to be waited for. Where engines must not be probed, one makes room for a new one.
-func (c *Client) reuseIdle(ctx context.Context, name string, t *endpoint, w connRequirement) *conn {
-	for one := c.takeIdle(t); one != nil; one = c.takeIdle(t) {
+func (c *Client) reuseIdle(ctx context.Context, name string, ep *endpoint, required connRequirement) *engineConn {
+	for conn := c.takeIdle(ep); conn != nil; conn = c.takeIdle(ep) {
 		err := errConnEnding
-		if time.Since(one.idleSince) < c.options.EngineIdleTimeout/idleTimeoutDivisor && hasNoInput(one.Conn) {
-			err = c.checkIfRequired(ctx, one, w)
+		if time.Since(conn.idleSince) < c.options.EngineIdleTimeout/idleTimeoutDivisor && hasNoInput(conn.Conn) {
+			err = c.checkIfRequired(ctx, conn, required)
 		}
 		if err == nil {
-			return one
+			return conn
 		}
-		one.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // of no use
 		if errors.Is(err, engine.ErrProbeSkipped) {
 			return nil
 		}
@@ -68,75 +68,75 @@
 }
 
 // ensureWorks checks a connection where that is demanded of it.
-func (c *Client) checkIfRequired(ctx context.Context, one *conn, w connRequirement) error {
-	if w.checkAfter == 0 || time.Since(one.lastActive) < w.checkAfter {
+func (c *Client) checkIfRequired(ctx context.Context, conn *engineConn, required connRequirement) error {
+	if required.checkAfter == 0 || time.Since(conn.lastActive) < required.checkAfter {
 		return nil
 	}
 	if !c.options.ProbesAllowed {
 		return engine.ErrProbeSkipped
 	}
-	return c.checkConn(ctx, one)
+	return c.checkConn(ctx, conn)
 }
 
 // connect makes a connection. That it comes up tells of the engine's machine alone, so it counts as seen to work only where engines
 // must not be probed; else it is checked before it takes a call that demands that.
-func (c *Client) connect(ctx context.Context, t *endpoint, address string) (*conn, error) {
+func (c *Client) connect(ctx context.Context, ep *endpoint, address string) (*engineConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ConnectTimeout)
 	defer cancel()
-	plain, err := c.dialer.Dial(ctx, "tcp", address)
+	netConn, err := c.dialer.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	one := &conn{Conn: plain, r: bufio.NewReaderSize(plain, readBufferBytes), endpoint: t, address: address}
+	conn := &engineConn{Conn: netConn, r: bufio.NewReaderSize(netConn, readBufferBytes), endpoint: ep, address: address}
 	if !c.options.ProbesAllowed {
-		one.lastActive = time.Now()
+		conn.lastActive = time.Now()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.connsMade++
-	one.number = c.connsMade
-	return one, nil
+	conn.number = c.connsMade
+	return conn, nil
 }
 
 // check probes the engine on a connection, and gives what is wrong with that; errSilent where no answer came in time, which
 // shows in no other way.
-func (c *Client) checkConn(ctx context.Context, one *conn) error {
-	asking, cancel := context.WithTimeout(ctx, checkTimeout)
+func (c *Client) checkConn(ctx context.Context, conn *engineConn) error {
+	checkCtx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	stop := context.AfterFunc(asking, func() { one.Close() }) //nolint:errcheck // ends reads and writes
-	head, _, err := c.exchange(one, [][]byte{bodylessRequest("GET", loadPath)}, nil)
+	stop := context.AfterFunc(checkCtx, func() { conn.Close() }) //nolint:errcheck // ends reads and writes
+	head, _, err := c.exchange(conn, [][]byte{bodylessRequest("GET", loadPath)}, nil)
 	if err == nil {
-		_, err = http1.ReadBody(one.r, head, limits, nil)
+		_, err = http1.ReadBody(conn.r, head, limits, nil)
 	}
 	switch {
 	case !stop() && ctx.Err() == nil:
 		return errConnSilent
 	case err != nil:
 		return err
-	case head.Close, head.NoLength, one.r.Buffered() > 0:
+	case head.Close, head.NoLength, conn.r.Buffered() > 0:
 		return errConnEnding
 	}
 	return context.Cause(ctx)
 }
 
 // quiet tells whether nothing came on a kept connection, its end included.
-func hasNoInput(one net.Conn) bool {
-	if u, wraps := one.(interface{ Unwrap() net.Conn }); wraps {
-		one = u.Unwrap()
+func hasNoInput(conn net.Conn) bool {
+	if unwrapper, ok := conn.(interface{ Unwrap() net.Conn }); ok {
+		conn = unwrapper.Unwrap()
 	}
-	s, has := one.(syscall.Conn)
-	if !has {
+	sysConn, ok := conn.(syscall.Conn)
+	if !ok {
 		return true
 	}
-	raw, err := s.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	still := false
+	empty := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		still = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && still
+	return err == nil && empty
 }
--- a/internal/platform/backend/dispatch.go
+++ b/internal/platform/backend/dispatch.go
@@ -34,7 +34,7 @@
 
 // post sends a dispatch and gives a head of the status that is wanted, or what the dispatch came to.
 func (c *Client) post(ctx context.Context, call *engine.Call, wanted int) (*response, *engine.Result) {
-	a, sent, err := c.do(ctx, request{engine: call.Address, startsWork: true, requirement: connRequirement{checkAfter: call.CheckAfter}, onSent: call.OnSent,
+	resp, sent, err := c.do(ctx, request{engine: call.Address, startsWork: true, requirement: connRequirement{checkAfter: call.CheckAfter}, onSent: call.OnSent,
 		build: func() ([][]byte, error) { return dispatchMessage(call) }})
 	if err != nil {
 		r := &engine.Result{Outcome: engine.OutcomeOf(ctx, err, sent), Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
@@ -46,12 +46,12 @@
 		}
 		return nil, r
 	}
-	if a.head.Status == wanted {
-		return a, nil
+	if resp.head.Status == wanted {
+		return resp, nil
 	}
-	status := a.head.Status
-	notRun, _ := a.head.Get("x-not-run")
-	r := &engine.Result{Outcome: decide.Errored, Status: status, Report: c.reportInHead(a.head),
+	status := resp.head.Status
+	notRun, _ := resp.head.Get("x-not-run")
+	r := &engine.Result{Outcome: decide.Errored, Status: status, Report: c.reportInHead(resp.head),
 		Err: fmt.Errorf("dispatch to %s: status %d", call.Address, status)}
 	switch {
 	case status == 410 && notRun == "1":
@@ -59,15 +59,15 @@
 	case (status == 503 || status == 504) && notRun == "1":
 		r.Outcome = decide.Full
 	}
-	a.discardBody()
+	resp.discardBody()
 	return nil, r
 }
 
 // drop reads a body that tells nothing, so that the connection can be kept.
-func (a *response) discardBody() {
-	a.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // it is closed if this fails
-	_, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	a.finish(err == nil && !a.head.NoLength)
+func (resp *response) discardBody() {
+	resp.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // it is closed if this fails
+	_, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
+	resp.finish(err == nil && !resp.head.NoLength)
 }
 
 func (c *Client) reportInHead(h *http1.Head) []float64 {
@@ -79,19 +79,19 @@
 
 // Read has a reader read the prompt and hold its state.
 func (c *Client) Read(ctx context.Context, call *engine.Call) *engine.Result {
-	a, bad := c.post(ctx, call, 202)
-	if bad != nil {
-		return bad
+	resp, failed := c.post(ctx, call, 202)
+	if failed != nil {
+		return failed
 	}
-	body, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	found := gjson.GetBytes(body, "cached_tokens")
-	if err == nil && (!gjson.ValidBytes(body) || found.Type != gjson.Number) {
+	body, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
+	cached := gjson.GetBytes(body, "cached_tokens")
+	if err == nil && (!gjson.ValidBytes(body) || cached.Type != gjson.Number) {
 		err = fmt.Errorf("%w: a read's answer without cached_tokens", http1.ErrMalformed)
 	}
-	a.finish(err == nil && !a.head.NoLength)
+	resp.finish(err == nil && !resp.head.NoLength)
 	if err != nil {
 		err = engineError(err)
 		return &engine.Result{Outcome: engine.OutcomeOf(ctx, err, true), Status: 202, Err: fmt.Errorf("read at %s: %w", call.Address, err)}
 	}
-	return &engine.Result{Outcome: decide.Read, Status: 202, CachedTokens: found.Float(), Report: c.reportInHead(a.head)}
+	return &engine.Result{Outcome: decide.Read, Status: 202, CachedTokens: cached.Float(), Report: c.reportInHead(resp.head)}
 }
--- a/internal/platform/backend/pool.go
+++ b/internal/platform/backend/pool.go
@@ -14,13 +14,13 @@
 	listed    bool
 	draining  bool
 	goneSince time.Time
-	idle      []*conn // last used last
+	idle      []*engineConn // last used last
 
 	lastAnswerAt time.Time // its last answer came then
 }
 
 // conn is a connection to an engine.
-type conn struct {
+type engineConn struct {
 	net.Conn
 	r         *bufio.Reader
 	endpoint  *endpoint
@@ -41,108 +41,108 @@
 
 // Listed tells of engines that are new or moved. whole: all others have left. What changes costs no more the more engines
 // there are.
-func (c *Client) UpdateEngines(whole bool, engines []Engine, gone []string) {
+func (c *Client) UpdateEngines(snapshot bool, engines []Engine, gone []string) {
 	now := time.Now()
-	var drop []*conn
+	var dropped []*engineConn
 	c.mu.Lock()
-	if whole {
+	if snapshot {
 		gone = c.missingFrom(engines)
 	}
 	for _, e := range engines {
-		t := c.endpoints[e.Name]
-		if t == nil {
-			t = &endpoint{}
-			c.endpoints[e.Name] = t
+		ep := c.endpoints[e.Name]
+		if ep == nil {
+			ep = &endpoint{}
+			c.endpoints[e.Name] = ep
 			c.names = append(c.names, e.Name)
 		}
-		if t.address != e.Address {
-			drop = append(drop, c.takeAllIdle(t)...)
+		if ep.address != e.Address {
+			dropped = append(dropped, c.takeAllIdle(ep)...)
 		}
-		t.address, t.listed, t.draining, t.goneSince = e.Address, true, e.Draining, time.Time{}
+		ep.address, ep.listed, ep.draining, ep.goneSince = e.Address, true, e.Draining, time.Time{}
 	}
 	for _, name := range gone {
-		if t := c.endpoints[name]; t != nil && t.listed {
-			t.listed, t.goneSince = false, now
-			drop = append(drop, c.takeAllIdle(t)...)
+		if ep := c.endpoints[name]; ep != nil && ep.listed {
+			ep.listed, ep.goneSince = false, now
+			dropped = append(dropped, c.takeAllIdle(ep)...)
 		}
 	}
 	c.mu.Unlock()
-	closeAll(drop)
+	closeAll(dropped)
 }
 
 // unnamed are the engines known that are not among those named; it is called with the lock.
-func (c *Client) missingFrom(engines []Engine) (left []string) {
-	named := make(map[string]bool, len(engines))
+func (c *Client) missingFrom(engines []Engine) (missing []string) {
+	listed := make(map[string]bool, len(engines))
 	for _, e := range engines {
-		named[e.Name] = true
+		listed[e.Name] = true
 	}
 	for _, name := range c.names {
-		if !named[name] {
-			left = append(left, name)
+		if !listed[name] {
+			missing = append(missing, name)
 		}
 	}
-	return left
+	return missing
 }
 
-func closeAll(conns []*conn) {
-	for _, one := range conns {
-		one.Close() //nolint:errcheck // idle
+func closeAll(conns []*engineConn) {
+	for _, conn := range conns {
+		conn.Close() //nolint:errcheck // idle
 	}
 }
 
 // takeOut takes an idle connection from those kept; it is called with the lock.
-func (c *Client) removeIdle(one *conn) {
-	c.idle.Remove(one.idleElement)
-	one.idleElement = nil
-	idle := one.endpoint.idle
-	if last := len(idle) - 1; idle[last] == one { // as it is for nearly all
-		one.endpoint.idle = idle[:last]
+func (c *Client) removeIdle(conn *engineConn) {
+	c.idle.Remove(conn.idleElement)
+	conn.idleElement = nil
+	idle := conn.endpoint.idle
+	if last := len(idle) - 1; idle[last] == conn { // as it is for nearly all
+		conn.endpoint.idle = idle[:last]
 		return
 	}
-	one.endpoint.idle = slices.DeleteFunc(idle, func(other *conn) bool { return other == one })
+	conn.endpoint.idle = slices.DeleteFunc(idle, func(other *engineConn) bool { return other == conn })
 }
 
 // takeIdle takes the idle connection of an engine that was used last; nil: there is none.
-func (c *Client) takeIdle(t *endpoint) *conn {
+func (c *Client) takeIdle(ep *endpoint) *engineConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(t.idle) == 0 {
+	if len(ep.idle) == 0 {
 		return nil
 	}
-	one := t.idle[len(t.idle)-1]
-	c.removeIdle(one)
-	return one
+	conn := ep.idle[len(ep.idle)-1]
+	c.removeIdle(conn)
+	return conn
 }
 
 // empty takes all idle connections of an engine; it is called with the lock.
-func (c *Client) takeAllIdle(t *endpoint) (all []*conn) {
-	for len(t.idle) > 0 {
-		one := t.idle[len(t.idle)-1]
-		c.removeIdle(one)
-		all = append(all, one)
+func (c *Client) takeAllIdle(ep *endpoint) (all []*engineConn) {
+	for len(ep.idle) > 0 {
+		conn := ep.idle[len(ep.idle)-1]
+		c.removeIdle(conn)
+		all = append(all, conn)
 	}
 	return all
 }
 
 // unusedFor takes out the connection that is unused for longest, if it is for as long; nil if none is. It is called with
 // the lock.
-func (c *Client) takeIdleFor(least time.Duration) *conn {
-	first := c.idle.Front()
-	if first == nil {
+func (c *Client) takeIdleFor(minIdle time.Duration) *engineConn {
+	oldest := c.idle.Front()
+	if oldest == nil {
 		return nil
 	}
-	one := first.Value.(*conn) //nolint:forcetypeassert // nothing else is in it
-	if time.Since(one.idleSince) < least {
+	conn := oldest.Value.(*engineConn) //nolint:forcetypeassert // nothing else is in it
+	if time.Since(conn.idleSince) < minIdle {
 		return nil
 	}
-	c.removeIdle(one)
-	return one
+	c.removeIdle(conn)
+	return conn
 }
 
 // allUnusedFor takes out all connections that are unused for so long; it is called with the lock.
-func (c *Client) takeAllIdleFor(least time.Duration) (all []*conn) {
-	for one := c.takeIdleFor(least); one != nil; one = c.takeIdleFor(least) {
-		all = append(all, one)
+func (c *Client) takeAllIdleFor(minIdle time.Duration) (all []*engineConn) {
+	for conn := c.takeIdleFor(minIdle); conn != nil; conn = c.takeIdleFor(minIdle) {
+		all = append(all, conn)
 	}
 	return all
 }
@@ -150,10 +150,10 @@
 // dropIdle closes the idle connection that was used longest ago, so that another can be made.
 func (c *Client) closeLongestIdle() {
 	c.mu.Lock()
-	one := c.takeIdleFor(0)
+	conn := c.takeIdleFor(0)
 	c.mu.Unlock()
-	if one != nil {
-		one.Close() //nolint:errcheck // idle
+	if conn != nil {
+		conn.Close() //nolint:errcheck // idle
 	}
 }
 
@@ -161,25 +161,25 @@
 func (c *Client) Prune() {
 	now := time.Now()
 	c.mu.Lock()
-	drop := c.takeAllIdleFor(c.options.EngineIdleTimeout / idleTimeoutDivisor)
+	dropped := c.takeAllIdleFor(c.options.EngineIdleTimeout / idleTimeoutDivisor)
 	c.names = slices.DeleteFunc(c.names, func(name string) bool {
-		t := c.endpoints[name]
-		lapsed := !t.listed && now.Sub(t.goneSince) > goneEngineRetention
-		if lapsed {
+		ep := c.endpoints[name]
+		expired := !ep.listed && now.Sub(ep.goneSince) > goneEngineRetention
+		if expired {
 			delete(c.endpoints, name)
 		}
-		return lapsed
+		return expired
 	})
 	c.mu.Unlock()
-	closeAll(drop)
+	closeAll(dropped)
 }
 
 // Close closes idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
-	drop := c.takeAllIdleFor(0)
+	dropped := c.takeAllIdleFor(0)
 	c.mu.Unlock()
-	closeAll(drop)
+	closeAll(dropped)
 	c.dialer.Close()
 }
 
@@ -198,34 +198,34 @@
 		if other == name || !c.endpoints[other].listed {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(latest, c.endpoints[other].lastAnswerAt, func(one string, answered time.Time) int {
-			return answered.Compare(c.endpoints[one].lastAnswerAt)
+		index, _ := slices.BinarySearchFunc(latest, c.endpoints[other].lastAnswerAt, func(element string, answered time.Time) int {
+			return answered.Compare(c.endpoints[element].lastAnswerAt)
 		})
-		if at >= maxReleaseEngines-1 {
+		if index >= maxReleaseEngines-1 {
 			continue
 		}
-		latest = slices.Insert(latest, at, other)
+		latest = slices.Insert(latest, index, other)
 		latest = latest[:min(len(latest), maxReleaseEngines-1)]
 	}
 	return latest
 }
 
 // put keeps a connection, if nothing more has come on it, and its engine has neither left nor moved meanwhile.
-func (c *Client) returnConn(one *conn) {
-	if one.r.Buffered() > 0 || one.SetDeadline(time.Time{}) != nil {
-		one.Close() //nolint:errcheck // of no use
+func (c *Client) returnConn(conn *engineConn) {
+	if conn.r.Buffered() > 0 || conn.SetDeadline(time.Time{}) != nil {
+		conn.Close() //nolint:errcheck // of no use
 		return
 	}
-	one.idleSince = time.Now()
+	conn.idleSince = time.Now()
 	c.mu.Lock()
-	keep := one.endpoint.listed && one.endpoint.address == one.address && len(one.endpoint.idle) < maxIdleConnsPerEngine
+	keep := conn.endpoint.listed && conn.endpoint.address == conn.address && len(conn.endpoint.idle) < maxIdleConnsPerEngine
 	if keep {
-		one.endpoint.idle = append(one.endpoint.idle, one)
-		one.idleElement = c.idle.PushBack(one)
+		conn.endpoint.idle = append(conn.endpoint.idle, conn)
+		conn.idleElement = c.idle.PushBack(conn)
 	}
 	c.mu.Unlock()
 	if !keep {
-		one.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // of no use
 	}
 }
 
@@ -233,10 +233,10 @@
 // one tells at once. It harms an engine whose one connection broke alone, by a few handshakes.
 func (c *Client) closeIdleTo(name string) {
 	c.mu.Lock()
-	var drop []*conn
-	if t := c.endpoints[name]; t != nil {
-		drop = c.takeAllIdle(t)
+	var dropped []*engineConn
+	if ep := c.endpoints[name]; ep != nil {
+		dropped = c.takeAllIdle(ep)
 	}
 	c.mu.Unlock()
-	closeAll(drop)
+	closeAll(dropped)
 }
--- a/internal/platform/backend/pool_test.go
+++ b/internal/platform/backend/pool_test.go
@@ -18,19 +18,19 @@
 )
 
 // pipeTo keeps an idle connection to an engine and returns the engine's side.
-func pipeTo(c *Client, name string) net.Conn {
-	near, far := net.Pipe()
-	c.returnConn(&conn{Conn: near, r: bufio.NewReader(near), endpoint: c.endpoints[name], address: c.endpoints[name].address})
-	return far
+func addIdlePipe(c *Client, name string) net.Conn {
+	clientSide, engineSide := net.Pipe()
+	c.returnConn(&engineConn{Conn: clientSide, r: bufio.NewReader(clientSide), endpoint: c.endpoints[name], address: c.endpoints[name].address})
+	return engineSide
 }
 
-func isClosed(far net.Conn) bool {
-	far.SetReadDeadline(time.Now()) //nolint:errcheck // a test
-	_, err := far.Read(make([]byte, 1))
+func isClosed(engineSide net.Conn) bool {
+	engineSide.SetReadDeadline(time.Now()) //nolint:errcheck // a test
+	_, err := engineSide.Read(make([]byte, 1))
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func poolOf(names ...string) *Client {
+func newPool(names ...string) *Client {
 	c := New(Options{EngineIdleTimeout: 10 * time.Second, MaxConns: 16, ConnectTimeout: time.Second})
 	var engines []Engine
 	for _, name := range names {
@@ -44,13 +44,13 @@
 // gone, go with it; Tidy closes what was idle for half of an engine's own time.
 func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := poolOf("a", "b", "c")
+		c := newPool("a", "b", "c")
 		defer c.Close()
-		a1 := pipeTo(c, "a")
+		a1 := addIdlePipe(c, "a")
 		time.Sleep(time.Second)
-		b1 := pipeTo(c, "b")
+		b1 := addIdlePipe(c, "b")
 		time.Sleep(time.Second)
-		a2, c1 := pipeTo(c, "a"), pipeTo(c, "c")
+		a2, c1 := addIdlePipe(c, "a"), addIdlePipe(c, "c")
 		require.Equal(t, 4, c.IdleConns())
 		c.closeLongestIdle()
 		require.True(t, isClosed(a1))
@@ -67,9 +67,9 @@
 
 // TestGoneAreForgotten: an engine that left is still known for a while, for releases, and not for good; one that comes
 // back meanwhile stays.
-func TestGoneAreForgotten(t *testing.T) {
+func TestGoneEnginesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := poolOf("a", "b", "c")
+		c := newPool("a", "b", "c")
 		defer c.Close()
 		c.UpdateEngines(false, nil, []string{"a"})
 		c.UpdateEngines(true, []Engine{{Name: "c", Address: "c"}}, nil) // b has left too
@@ -85,8 +85,8 @@
 }
 
 // TestOthers: a release is asked first of those that were heard of last.
-func TestOthers(t *testing.T) {
-	c := poolOf("a", "b", "c", "d", "e", "f")
+func TestReleaseFallbacks(t *testing.T) {
+	c := newPool("a", "b", "c", "d", "e", "f")
 	defer c.Close()
 	for i, name := range []string{"c", "e", "a", "f"} {
 		c.endpoints[name].lastAnswerAt = time.Now().Add(time.Duration(i) * time.Second)
@@ -96,7 +96,7 @@
 	require.Equal(t, []string{"f", "a", "c", "d"}, c.releaseFallbacks("b"))
 }
 
-func changed(c *Client, engines int) func() {
+func listChange(c *Client, engines int) func() {
 	n := 0
 	return func() {
 		name := fmt.Sprint("engine-", n%engines)
@@ -106,25 +106,25 @@
 	}
 }
 
-func sized(engines int) *Client {
+func newPoolOfSize(engines int) *Client {
 	var names []string
 	for n := range engines {
 		names = append(names, fmt.Sprint("engine-", n))
 	}
-	return poolOf(names...)
+	return newPool(names...)
 }
 
 // TestChangesDoNotGrow: a change of the list costs no more memory before 3,200 engines than before 200.
-func TestChangesDoNotGrow(t *testing.T) {
-	small, large := testing.AllocsPerRun(200, changed(sized(200), 200)), testing.AllocsPerRun(200, changed(sized(3200), 3200))
+func TestListChangeCost(t *testing.T) {
+	small, large := testing.AllocsPerRun(200, listChange(newPoolOfSize(200), 200)), testing.AllocsPerRun(200, listChange(newPoolOfSize(3200), 3200))
 	t.Logf("allocations of a change: %.1f before 200 engines, %.1f before 3,200", small, large)
 	require.LessOrEqual(t, large, small+1)
 }
 
-func BenchmarkListed(b *testing.B) {
+func BenchmarkUpdateEngines(b *testing.B) {
 	for _, engines := range []int{200, 3200} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			change := changed(sized(engines), engines)
+			change := listChange(newPoolOfSize(engines), engines)
 			b.ReportAllocs()
 			for b.Loop() {
 				change()
@@ -134,30 +134,30 @@
 }
 
 // TestMovedInACall: a connection on which a call runs while its engine moves is not kept: the next call goes to the new address.
-func TestMovedInACall(t *testing.T) {
-	w := standin.NewFleet()
-	begun, goOn := make(chan struct{}), make(chan struct{})
-	announce := sync.OnceFunc(func() { close(begun) })
-	w.ServiceTime = func(c *standin.Call) time.Duration {
+func TestEngineMovesDuringCall(t *testing.T) {
+	fleet := standin.NewFleet()
+	started, proceed := make(chan struct{}), make(chan struct{})
+	closeStarted := sync.OnceFunc(func() { close(started) })
+	fleet.ServiceTime = func(c *standin.Call) time.Duration {
 		if c.Engine == "before" {
-			announce()
-			<-goOn
+			closeStarted()
+			<-proceed
 		}
 		return 0
 	}
-	before, err := w.StartEngine("before", true)
+	oldEngine, err := fleet.StartEngine("before", true)
 	require.NoError(t, err)
-	defer before.Close()
-	after, err := w.StartEngine("after", true)
+	defer oldEngine.Close()
+	newEngine, err := fleet.StartEngine("after", true)
 	require.NoError(t, err)
-	defer after.Close()
-	c := client(t, Engine{Name: "e", Address: before.Address()})
-	ended := make(chan decide.Outcome)
-	go func() { ended <- read(c, "e").Outcome }()
-	<-begun
-	c.UpdateEngines(false, []Engine{{Name: "e", Address: after.Address()}}, nil)
-	close(goOn)
-	require.Equal(t, decide.Read, <-ended)
+	defer newEngine.Close()
+	c := newClient(t, Engine{Name: "e", Address: oldEngine.Address()})
+	outcomes := make(chan decide.Outcome)
+	go func() { outcomes <- read(c, "e").Outcome }()
+	<-started
+	c.UpdateEngines(false, []Engine{{Name: "e", Address: newEngine.Address()}}, nil)
+	close(proceed)
+	require.Equal(t, decide.Read, <-outcomes)
 	require.Equal(t, decide.Read, read(c, "e").Outcome)
-	require.Equal(t, "after", w.Calls(standin.Read)[1].Engine)
+	require.Equal(t, "after", fleet.Calls(standin.Read)[1].Engine)
 }
--- a/internal/platform/backend/stream.go
+++ b/internal/platform/backend/stream.go
@@ -49,14 +49,14 @@
 func (c *Client) Write(ctx context.Context, cancel context.CancelCauseFunc, call *engine.Call, timeout time.Duration) (edge.Stream, *engine.Result) {
 	timer := time.AfterFunc(timeout, func() { cancel(engine.ErrTimedOut) })
 	defer timer.Stop()
-	a, bad := c.post(ctx, call, 200)
-	if bad != nil {
-		return nil, bad
+	resp, failed := c.post(ctx, call, 200)
+	if failed != nil {
+		return nil, failed
 	}
-	s := &stream{response: a, ctx: ctx, cancel: cancel, name: call.Address}
-	kind, _ := a.head.Get("content-type")
-	if !strings.HasPrefix(kind, "text/event-stream") || a.head.Length >= 0 {
-		s.err = fmt.Errorf("%w: content type %.40q, no chunks", engine.ErrMalformed, kind)
+	s := &stream{response: resp, ctx: ctx, cancel: cancel, name: call.Address}
+	contentType, _ := resp.head.Get("content-type")
+	if !strings.HasPrefix(contentType, "text/event-stream") || resp.head.Length >= 0 {
+		s.err = fmt.Errorf("%w: content type %.40q, no chunks", engine.ErrMalformed, contentType)
 	}
 	if s.awaitEvent(); s.err != nil && !errors.Is(s.err, io.EOF) {
 		return nil, s.Close()
@@ -70,25 +70,25 @@
 		s.buf = append(s.buf[:0], s.buf[s.consumed:]...)
 		s.consumed = 0
 	}
-	one := s.response.conn
-	wait := maxChunkPause
+	conn := s.response.conn
+	maxPause := maxChunkPause
 	if s.doneSeen {
-		wait = maxFinalChunkPause
+		maxPause = maxFinalChunkPause
 	}
 	if s.events > 0 { // before the first event the dispatch's own time counts
-		one.SetReadDeadline(time.Now().Add(wait)) //nolint:errcheck // a connection that is closed fails in reading
+		conn.SetReadDeadline(time.Now().Add(maxPause)) //nolint:errcheck // a connection that is closed fails in reading
 	}
-	if one.r.Buffered() == 0 {
-		if _, err := one.r.Peek(1); err != nil {
+	if conn.r.Buffered() == 0 {
+		if _, err := conn.r.Peek(1); err != nil {
 			s.setReadError(err)
 			return
 		}
 	}
-	one.SetReadDeadline(time.Now().Add(maxChunkDuration)) //nolint:errcheck // as above
+	conn.SetReadDeadline(time.Now().Add(maxChunkDuration)) //nolint:errcheck // as above
 	before := len(s.buf)
-	buf, err := http1.ReadChunk(one.r, s.buf, maxBodyBytes)
+	buf, err := http1.ReadChunk(conn.r, s.buf, maxBodyBytes)
 	s.buf = buf
-	one.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
+	conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
 	switch {
 	case errors.Is(err, io.EOF) && (!s.doneSeen || len(s.buf) > s.consumed):
 		s.err = fmt.Errorf("%w: %d bytes left", engine.ErrTruncated, len(s.buf)-s.consumed)
@@ -133,7 +133,7 @@
 
 // comment takes the load report that a comment may be.
 func (s *stream) parseComment(line []byte) {
-	if text, is := bytes.CutPrefix(line, []byte(": X-Load:")); is {
+	if text, ok := bytes.CutPrefix(line, []byte(": X-Load:")); ok {
 		s.report = s.response.client.parseReport(bytes.TrimSpace(text))
 	}
 }
@@ -151,8 +151,8 @@
 // check looks at the event that comes next.
 func (s *stream) checkEvent() error {
 	for line := range bytes.SplitSeq(s.buf[s.consumed:s.eventEnd-len(eventSeparator)], []byte("\n")) {
-		data, is := bytes.CutPrefix(line, []byte("data:"))
-		if !is {
+		data, ok := bytes.CutPrefix(line, []byte("data:"))
+		if !ok {
 			if len(line) > 0 && line[0] == ':' {
 				s.parseComment(line)
 				continue
@@ -214,14 +214,14 @@
 	if !root.IsObject() {
 		return nil
 	}
-	report, told := make([]float64, len(columns)), false
+	report, found := make([]float64, len(columns)), false
 	for i, name := range columns {
 		v := root.Get(name)
 		if report[i] = math.NaN(); v.Type == gjson.Number && v.Num >= 0 && !math.IsInf(v.Num, 0) {
-			report[i], told = v.Num, true
+			report[i], found = v.Num, true
 		}
 	}
-	if !told {
+	if !found {
 		return nil
 	}
 	return report
--- a/internal/platform/http1/http1.go
+++ b/internal/platform/http1/http1.go
@@ -42,16 +42,16 @@
 }
 
 // Get is a field's value, and how often it stands there.
-func (h *Head) Get(name string) (value string, times int) {
+func (h *Head) Get(name string) (value string, count int) {
 	for _, f := range h.Fields {
 		if f.Name == name {
-			if times == 0 {
+			if count == 0 {
 				value = f.Value
 			}
-			times++
+			count++
 		}
 	}
-	return value, times
+	return value, count
 }
 
 func malformed(format string, a ...any) error {
@@ -59,9 +59,9 @@
 }
 
 // ReadRequest reads a request's head. io.EOF: there was none.
-func ReadRequest(r *bufio.Reader, l Limits) (*Head, error) {
-	left := l.HeadBytes
-	line, err := readLine(r, &left)
+func ReadRequest(r *bufio.Reader, limits Limits) (*Head, error) {
+	remaining := limits.HeadBytes
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, err
 	}
@@ -78,22 +78,22 @@
 		}
 	}
 	h := &Head{Method: parts[0], Target: parts[1]}
-	if err := h.readFields(r, l, &left); err != nil {
+	if err := h.readFields(r, limits, &remaining); err != nil {
 		return nil, err
 	}
 	if h.NoLength {
 		h.Length = 0
 	}
-	if _, times := h.Get("host"); times != 1 {
-		return nil, malformed("%d Host fields", times)
+	if _, count := h.Get("host"); count != 1 {
+		return nil, malformed("%d Host fields", count)
 	}
 	return h, nil
 }
 
 // ReadResponse reads a response's head, which may be a 1xx answer ahead of it.
-func ReadResponse(r *bufio.Reader, l Limits) (*Head, error) {
-	left := l.HeadBytes
-	line, err := readLine(r, &left)
+func ReadResponse(r *bufio.Reader, limits Limits) (*Head, error) {
+	remaining := limits.HeadBytes
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
@@ -105,7 +105,7 @@
 		return nil, malformed("status line %.80q", line)
 	}
 	h := &Head{Status: status}
-	if err := h.readFields(r, l, &left); err != nil {
+	if err := h.readFields(r, limits, &remaining); err != nil {
 		return nil, err
 	}
 	if status < 200 || status == 204 || status == 304 {
@@ -115,14 +115,14 @@
 }
 
 // read reads the fields and finds how long the body is.
-func (h *Head) readFields(r *bufio.Reader, l Limits, left *int) error {
+func (h *Head) readFields(r *bufio.Reader, limits Limits, remaining *int) error {
 	for {
-		line, err := readLine(r, left)
+		line, err := readLine(r, remaining)
 		if err != nil {
 			return unexpectedEOF(err)
 		}
 		if line == "" {
-			return h.setFraming(l)
+			return h.setFraming(limits)
 		}
 		name, value, found := strings.Cut(line, ":")
 		if !found || !isToken(name) { // a folded line begins with a space, which is no token
@@ -134,30 +134,30 @@
 				return malformed("header value of %.40q", name)
 			}
 		}
-		if len(h.Fields) >= l.Fields {
-			return fmt.Errorf("%w: more than %d header fields", ErrTooLarge, l.Fields)
+		if len(h.Fields) >= limits.Fields {
+			return fmt.Errorf("%w: more than %d header fields", ErrTooLarge, limits.Fields)
 		}
 		h.Fields = append(h.Fields, Field{strings.ToLower(name), value})
 	}
 }
 
-func (h *Head) setFraming(l Limits) error {
+func (h *Head) setFraming(limits Limits) error {
 	if v, _ := h.Get("connection"); strings.EqualFold(v, "close") {
 		h.Close = true
 	}
-	length, lengths := h.Get("content-length")
-	encoding, encodings := h.Get("transfer-encoding")
+	length, lengthCount := h.Get("content-length")
+	encoding, encodingCount := h.Get("transfer-encoding")
 	switch {
-	case lengths > 0 && encodings > 0:
+	case lengthCount > 0 && encodingCount > 0:
 		return malformed("Content-Length with Transfer-Encoding")
-	case lengths > 1 || encodings > 1:
+	case lengthCount > 1 || encodingCount > 1:
 		return malformed("a length given twice")
-	case encodings == 1:
+	case encodingCount == 1:
 		if !strings.EqualFold(encoding, "chunked") {
 			return malformed("Transfer-Encoding %.40q", encoding)
 		}
 		h.Length = -1
-	case lengths == 1:
+	case lengthCount == 1:
 		n, ok := parseDigits(length, 10)
 		if !ok && len(length) > 0 && strings.Trim(length, "0123456789") == "" {
 			return fmt.Errorf("%w: Content-Length %.40s", ErrTooLarge, length)
@@ -165,7 +165,7 @@
 		if !ok {
 			return malformed("Content-Length %.40q", length)
 		}
-		if n > l.BodyBytes {
+		if n > limits.BodyBytes {
 			return fmt.Errorf("%w: Content-Length %d", ErrTooLarge, n)
 		}
 		h.Length = n
@@ -176,25 +176,25 @@
 }
 
 // readLine reads up to a CRLF, which it leaves out.
-func readLine(r *bufio.Reader, left *int) (string, error) {
-	var long []byte
+func readLine(r *bufio.Reader, remaining *int) (string, error) {
+	var prefix []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if *left -= len(part); *left < 0 {
+		if *remaining -= len(part); *remaining < 0 {
 			return "", fmt.Errorf("%w: its head", ErrTooLarge)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, part...)
+			prefix = append(prefix, part...)
 			continue
 		}
 		if err != nil {
-			if len(long)+len(part) > 0 {
+			if len(prefix)+len(part) > 0 {
 				err = unexpectedEOF(err)
 			}
 			return "", err
 		}
-		if long != nil {
-			part = append(long, part...)
+		if prefix != nil {
+			part = append(prefix, part...)
 		}
 		if len(part) < 2 || part[len(part)-2] != '\r' {
 			return "", malformed("a line without CR")
@@ -239,10 +239,10 @@
 const bodyStepBytes = 8 << 10
 
 // ReadBody reads the body that a head announces. grow is asked before more memory is used, nil for no such question.
-func ReadBody(r *bufio.Reader, h *Head, l Limits, grow func(bytes int) error) ([]byte, error) {
+func ReadBody(r *bufio.Reader, h *Head, limits Limits, grow func(bytes int) error) ([]byte, error) {
 	var body []byte
-	take := func(n int) error {
-		if len(body)+n > l.BodyBytes {
+	readData := func(n int) error {
+		if len(body)+n > limits.BodyBytes {
 			return fmt.Errorf("%w: its body", ErrTooLarge)
 		}
 		if grow != nil {
@@ -252,9 +252,9 @@
 		}
 		for n > 0 {
 			step := min(n, max(bodyStepBytes, len(body)))
-			at := len(body)
+			start := len(body)
 			body = append(body, make([]byte, step)...)
-			if _, err := io.ReadFull(r, body[at:]); err != nil {
+			if _, err := io.ReadFull(r, body[start:]); err != nil {
 				return unexpectedEOF(err)
 			}
 			n -= step
@@ -262,18 +262,18 @@
 		return nil
 	}
 	if h.Length >= 0 {
-		err := take(h.Length)
+		err := readData(h.Length)
 		return body, err
 	}
 	for {
-		n, err := readChunkSize(r, l.BodyBytes)
+		n, err := readChunkSize(r, limits.BodyBytes)
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
 			return body, readTrailer(r)
 		}
-		if err := take(n); err != nil {
+		if err := readData(n); err != nil {
 			return nil, err
 		}
 		if err := readChunkEnd(r); err != nil {
@@ -284,8 +284,8 @@
 
 // ReadChunk appends the data of one chunk to buf, once all of it has come and fits. io.EOF: it was the last one, and
 // the message is whole. No chunk is longer than most.
-func ReadChunk(r *bufio.Reader, buf []byte, most int) ([]byte, error) {
-	n, err := readChunkSize(r, most)
+func ReadChunk(r *bufio.Reader, buf []byte, maxBytes int) ([]byte, error) {
+	n, err := readChunkSize(r, maxBytes)
 	if err != nil {
 		return buf, err
 	}
@@ -295,18 +295,18 @@
 		}
 		return buf, io.EOF
 	}
-	begin := len(buf)
+	chunkStart := len(buf)
 	for n > 0 {
 		step := min(n, bodyStepBytes)
-		at := len(buf)
+		start := len(buf)
 		buf = append(buf, make([]byte, step)...)
-		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return buf[:begin], unexpectedEOF(err)
+		if _, err := io.ReadFull(r, buf[start:]); err != nil {
+			return buf[:chunkStart], unexpectedEOF(err)
 		}
 		n -= step
 	}
 	if err := readChunkEnd(r); err != nil {
-		return buf[:begin], err
+		return buf[:chunkStart], err
 	}
 	return buf, nil
 }
@@ -314,9 +314,9 @@
 // chunkLine bounds a chunk's first line: its size, and extensions, which mean nothing here.
 const maxChunkLineBytes = 256
 
-func readChunkSize(r *bufio.Reader, most int) (int, error) {
-	left := maxChunkLineBytes
-	line, err := readLine(r, &left)
+func readChunkSize(r *bufio.Reader, maxBytes int) (int, error) {
+	remaining := maxChunkLineBytes
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return 0, unexpectedEOF(err)
 	}
@@ -325,7 +325,7 @@
 	if !ok {
 		return 0, malformed("chunk size %.40q", line)
 	}
-	if n > most {
+	if n > maxBytes {
 		return 0, fmt.Errorf("%w: a chunk of %d bytes", ErrTooLarge, n)
 	}
 	return n, nil
@@ -344,8 +344,8 @@
 
 // trailer reads what follows the last chunk.
 func readTrailer(r *bufio.Reader) error {
-	for left := maxChunkLineBytes * 16; ; {
-		line, err := readLine(r, &left)
+	for remaining := maxChunkLineBytes * 16; ; {
+		line, err := readLine(r, &remaining)
 		if err != nil {
 			return unexpectedEOF(err)
 		}
--- a/internal/platform/http1/http1_test.go
+++ b/internal/platform/http1/http1_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-var small = Limits{HeadBytes: 512, Fields: 8, BodyBytes: 1024}
+var testLimits = Limits{HeadBytes: 512, Fields: 8, BodyBytes: 1024}
 
 // TestRequest: what two readers could frame in two ways is refused, and what follows a message stays.
 func TestRequest(t *testing.T) {
 	post := "POST /x HTTP/1.1\r\nHost: a\r\n"
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		text string
 		body string
 		err  error
@@ -52,18 +52,18 @@
 		"nothing":              {"", "", io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := bufio.NewReaderSize(strings.NewReader(one.text), 64)
-			h, err := ReadRequest(r, small)
+			r := bufio.NewReaderSize(strings.NewReader(test.text), 64)
+			h, err := ReadRequest(r, testLimits)
 			var body []byte
 			if err == nil {
-				body, err = ReadBody(r, h, small, nil)
+				body, err = ReadBody(r, h, testLimits, nil)
 			}
-			if one.err != nil {
-				require.ErrorIs(t, err, one.err)
+			if test.err != nil {
+				require.ErrorIs(t, err, test.err)
 				return
 			}
 			require.NoError(t, err)
-			require.Equal(t, one.body, string(body))
+			require.Equal(t, test.body, string(body))
 			rest, _ := io.ReadAll(r)
 			require.Equal(t, "REST", string(rest))
 		})
@@ -72,7 +72,7 @@
 
 // TestResponse: an engine's answer, and chunks that are handed on only once they came whole and fit.
 func TestResponse(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		text   string
 		chunks []string
 		err    error
@@ -89,17 +89,17 @@
 		"end cut off":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", nil, io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := bufio.NewReaderSize(strings.NewReader(one.text), 64)
-			_, err := ReadResponse(r, small)
+			r := bufio.NewReaderSize(strings.NewReader(test.text), 64)
+			_, err := ReadResponse(r, testLimits)
 			var chunks []string
 			for err == nil {
 				var buf []byte
-				if buf, err = ReadChunk(r, nil, small.BodyBytes); err == nil {
+				if buf, err = ReadChunk(r, nil, testLimits.BodyBytes); err == nil {
 					chunks = append(chunks, string(buf))
 				}
 			}
-			require.True(t, errors.Is(err, one.err), "%v", err)
-			require.Equal(t, one.chunks, chunks)
+			require.True(t, errors.Is(err, test.err), "%v", err)
+			require.Equal(t, test.chunks, chunks)
 		})
 	}
 }
