--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -5,21 +5,21 @@
 	"unsafe"
 )
 
-// Text is b as a string without a copy of it. b must not change while the string, or a part of it, is in use.
+// UnsafeString returns b as a string without copying it. b must not change while the string or a part of it is in use.
 func UnsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// Field is one field of a chat call's body.
+// Field is one top-level field of a chat call's body.
 type Field struct {
 	Name       string
-	QuotedName []byte // the name as it stands in the body
-	Value      []byte // the value
+	QuotedName []byte // the name, quoted as in the body
+	Value      []byte // raw JSON
 }
 
-// askForState is what a read asks for, as vLLM's nixl connector takes it.
+// remoteDecodeParams are the kv_transfer_params of a read, as vLLM's nixl connector expects them.
 const remoteDecodeParams = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
-// ReadBody is the body of a read: the call with one token, not streamed.
+// ReadBody returns the body of a read: the client's call, limited to one token and not streamed.
 func ReadBody(fields []Field) []byte {
 	b := beginBody(fields, func(name string) bool {
 		switch name {
@@ -31,8 +31,8 @@
 	return append(b, `"max_tokens":1,"max_completion_tokens":1,"stream":false,"kv_transfer_params":`+remoteDecodeParams+`}`...)
 }
 
-// WriteBody is the body of a write, streamed with its usage; state is a read's kv_transfer_params, nil for
-// none. most is the most tokens of the answer where the client named none.
+// WriteBody returns the body of a write, which streams and reports its usage. state is the kv_transfer_params that the read
+// returned, nil for none. defaultMaxTokens limits the output where the client gave no limit.
 func WriteBody(fields []Field, state []byte, defaultMaxTokens int) []byte {
 	hasMaxTokens := false
 	b := beginBody(fields, func(name string) bool {
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -10,15 +10,16 @@
 	"syscall"
 )
 
-// errNoConns is a dial that was not made: all descriptors kept for engines are in use.
-var errConnLimit = errors.New("all connections kept for engines are in use")
+// errConnLimit is returned by a dial that found no free connection slot before its context ended.
+var errConnLimit = errors.New("connection limit for engines reached")
 
-// Dialer keeps the connections to all engines within the descriptors that are kept for them. Where there is none
-// it has idle ones closed and waits, as long as the dial may last. It guards against running the process out of
-// descriptors, and against taking those of clients; it harms where one engine's dials wait for another's streams.
+// Dialer limits the number of connections that are open to all engines together. Without a free slot it closes an idle
+// connection and waits for a slot until the dial's context ends. The limit keeps the process from running out of file
+// descriptors and leaves those of client connections alone. Its cost is that dials to one engine may wait for streams from
+// another.
 //
-// Where the process has no descriptors all the same, whoever took them, a spare one makes way for one dial. Idle
-// connections don't: the one to a reader that holds a state is the way by which the state is let go.
+// If the process runs out of file descriptors all the same, a spare descriptor is closed to let one dial succeed. Idle
+// connections are not closed for that: an idle connection to a reader that holds state is what the release is sent on.
 type Dialer struct {
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 	closeIdle func() // closes idle connections
@@ -26,17 +27,17 @@
 
 	mu     sync.Mutex
 	spare  *os.File
-	closed bool // no spare one is opened any more
+	closed bool // openSpare does nothing any more
 }
 
-// NewDialer makes a dialer of so many connections at once over next; drop closes idle ones.
+// NewDialer returns a dialer that keeps at most maxConns connections made by dial. closeIdle closes idle connections.
 func NewDialer(maxConns int, dial func(ctx context.Context, network, address string) (net.Conn, error), closeIdle func()) *Dialer {
 	d := &Dialer{dial: dial, closeIdle: closeIdle, slots: make(chan struct{}, maxConns)}
 	d.openSpare()
 	return d
 }
 
-// Dial makes a connection, which counts until it is closed.
+// Dial opens a connection. It occupies a slot until it is closed.
 func (d *Dialer) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	select {
 	case d.slots <- struct{}{}:
@@ -63,19 +64,19 @@
 	})}, nil
 }
 
-// makeWay gives the spare descriptor up, and fails if there is none.
+// closeSpare closes the spare descriptor and reports whether there was one.
 func (d *Dialer) closeSpare() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.spare == nil {
 		return false
 	}
-	d.spare.Close() //nolint:errcheck // of /dev/null
+	d.spare.Close() //nolint:errcheck // /dev/null
 	d.spare = nil
 	return true
 }
 
-// renew takes a spare descriptor again where there is none.
+// openSpare opens the spare descriptor if it is not open.
 func (d *Dialer) openSpare() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// Close gives the spare descriptor back for good.
+// Close closes the spare descriptor for good.
 func (d *Dialer) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -94,13 +95,13 @@
 	d.closeSpare()
 }
 
-// counted gives its slot back once it is closed.
+// countedConn frees its slot when it is closed.
 type countedConn struct {
 	net.Conn
 	release func()
 }
 
-// Unwrap is the connection itself.
+// Unwrap returns the underlying connection.
 func (c *countedConn) Unwrap() net.Conn { return c.Conn }
 
 func (c *countedConn) Close() error {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine speaks the engines' protocol: the two-phase chat call of vLLM (a read with max_tokens 1 and
-// kv_transfer_params that ask for remote decode; a write that carries the answer's kv_transfer_params and
-// streams), load reports in endpoint-load-metrics headers (ORCA) and in /metrics (Prometheus text). Calls for
-// releasing a state and holding a place are cherryhub's own. It gives each end of a dispatch its
-// decide.Outcome (docs/outcomes.md) and decides nothing else. internal/edge calls it.
+// Package engine is a client for the engines' protocol: the two-phase chat call of vLLM (a read with max_tokens 1 and
+// kv_transfer_params that request remote decode; a write that passes on the kv_transfer_params of the read's answer and
+// streams), and load reports in endpoint-load-metrics headers (ORCA) and from /metrics (Prometheus text format). The calls that
+// release state and reserve KV cache space are extensions of this project. The package maps the end of each dispatch to a
+// decide.Outcome (docs/outcomes.md) and takes no other decision. It is used by internal/edge.
 package engine
 
 import (
@@ -23,54 +23,54 @@
 	"cherryhub/decide"
 )
 
-// Causes with which a caller ends a dispatch's context.
+// Causes with which a caller cancels a dispatch's context.
 var (
 	ErrCancelled    = errors.New("cancelled")
 	ErrTimedOut     = errors.New("timed out")
-	ErrStreamIdle   = errors.New("no token within the stream's idle time")
-	ErrNotConnected = errors.New("not connected while the state may be held") // of one whose last byte was not written
+	ErrStreamIdle   = errors.New("no token within the stream idle timeout")
+	ErrNotConnected = errors.New("not sent before the held state is released") // the call was not written in full
 )
 
-// ErrMalformed is an answer that the protocol doesn't allow.
+// ErrMalformed means that an answer violates the protocol.
 var ErrMalformed = errors.New("malformed answer")
 
-// ErrTruncated is a stream that ended before its final event.
+// ErrTruncated means that a stream ended before its final event.
 var ErrTruncated = errors.New("stream ended before [DONE]")
 
-// Dial makes a connection, as net.Dialer.DialContext does.
+// Dial opens a connection, as net.Dialer.DialContext does.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options of a client. All must be given but SourceAddress, MaxConns and Dial.
+// Options configures a client. All fields but SourceAddress, MaxConns and Dial are required.
 type Options struct {
 	ConnectTimeout    time.Duration
 	ProbeTimeout      time.Duration
-	IdleConnTimeout   time.Duration // an unused connection is kept so long
-	StreamIdleTimeout time.Duration // the longest time between two tokens
-	MaxEventBytes     int           // of one event of a stream, of a read's answer and of an error's body
-	SourceAddress     string        // dial from this address, empty for any
-	MaxConns          int           // open at once to all engines, 0 for no bound
-	LoadMetrics       LoadMetrics   // where load reports are found
-	Dial              Dial          // in place of TCP from SourceAddress, nil for that
+	IdleConnTimeout   time.Duration // idle connections are closed after this time
+	StreamIdleTimeout time.Duration // maximum time between two tokens
+	MaxEventBytes     int           // maximum size of a stream event, of the answer to a read and of an error body
+	SourceAddress     string        // local address to dial from, empty for any
+	MaxConns          int           // maximum number of open connections to all engines together, 0 for no limit
+	LoadMetrics       LoadMetrics   // sources of the values in a load report
+	Dial              Dial          // replaces TCP from SourceAddress, nil for that
 }
 
-// Client makes dispatches. It is safe for concurrent use.
+// Client dispatches calls to engines. It is safe for concurrent use.
 type Client struct {
 	options Options
 	http    *http.Client
-	dialer  *Dialer // nil where there is no bound
+	dialer  *Dialer // nil if the connections are not limited
 }
 
-// maxHeaderBytes bounds an engine's answer header.
+// maxHeaderBytes limits the header of an engine's answer.
 const maxHeaderBytes = 64 << 10
 
-// NewClient makes a client of net/http's transport and not of Hertz's client, which can't end a call that
-// waits for its header when the context ends.
+// NewClient creates a client. It is based on net/http because Hertz's client does not end a call that waits for its header when
+// the call's context is cancelled.
 func NewClient(options Options) (*Client, error) {
 	netDialer := &net.Dialer{Timeout: options.ConnectTimeout, KeepAlive: 15 * time.Second}
 	if options.SourceAddress != "" {
 		ip := net.ParseIP(options.SourceAddress)
 		if ip == nil {
-			return nil, fmt.Errorf("engine client: source address %q is no IP address", options.SourceAddress)
+			return nil, fmt.Errorf("engine client: source address %q is not an IP address", options.SourceAddress)
 		}
 		netDialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
@@ -98,24 +98,24 @@
 	return c, nil
 }
 
-// bodyConn is a connection that copies a call's body by a buffer of its client's: TCP's own way takes a new one of the body's
-// size for each call.
+// pooledCopyConn is a connection that copies request bodies through pooled buffers. The ReadFrom of net.TCPConn allocates a
+// buffer of the body's size for each call.
 type pooledCopyConn struct {
 	net.Conn
 	buffers *sync.Pool
 }
 
-// copyBytes is the size of such a buffer: most bodies go in one piece.
+// copyBufferBytes is the size of a pooled buffer. Most bodies fit into one.
 const copyBufferBytes = 32 << 10
 
-// ReadFrom is of io.ReaderFrom.
+// ReadFrom implements io.ReaderFrom.
 func (c *pooledCopyConn) ReadFrom(r io.Reader) (int64, error) {
-	buf := c.buffers.Get().(*[]byte) //nolint:forcetypeassert // of New
+	buf := c.buffers.Get().(*[]byte) //nolint:forcetypeassert // the pool holds nothing else
 	defer c.buffers.Put(buf)
 	return io.CopyBuffer(struct{ io.Writer }{c.Conn}, r, *buf)
 }
 
-// Close drops idle connections. Dispatches that run go on.
+// Close closes idle connections. Running dispatches continue.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 	if c.dialer != nil {
@@ -123,40 +123,40 @@
 	}
 }
 
-// Sent tells how a call was written.
+// ConnInfo describes the connection on which a call was sent.
 type ConnInfo struct {
-	Number     uint64    // the connection's number at its client
-	LastActive time.Time // when the connection was last seen to work: an answer came on it, or it came up where the engine must not be probed
+	Number     uint64    // counted per client
+	LastActive time.Time // when the last answer came; before the first one, when the connection was established, if probes are not allowed
 }
 
-// Call is one dispatch.
+// Call is a dispatch to be made.
 type Call struct {
 	Address        string        // host:port
-	ID             string        // X-Request-Id: names the dispatch, and the state that a read leaves
+	ID             string        // X-Request-Id: identifies the dispatch, and the state that a read leaves
 	IdempotencyKey string        // Idempotency-Key, empty for none
-	CheckAfter     time.Duration // a connection on which no answer came within this time is checked first, 0 for never
+	CheckAfter     time.Duration // a connection without an answer for this long is probed before use, 0 for never
 	TraceParent    string        // traceparent, empty for none
-	Target         string        // of the call, empty for the chat call's own
+	Target         string        // request target, empty for the chat call's default
 	Body           []byte
-	Deadline       time.Time              // the client waits no longer for the first token; what is told of it is told when it is written
-	OnSent         func(ConnInfo)         // is called once the last byte is written, nil for none
-	OnReport       func(report []float64) // is called with a report in the header, nil for none
+	Deadline       time.Time              // until when the client waits for the first token; the engine is told the time left when the call is written
+	OnSent         func(ConnInfo)         // called when the last byte is written, nil for none
+	OnReport       func(report []float64) // called with the load report in the answer's header, nil for none
 }
 
-// Result is how a dispatch, or its beginning, ended.
+// Result describes how a dispatch ended or, for a write, how it failed before its stream began.
 type Result struct {
 	Outcome      decide.Outcome
-	Answered     bool      // the completion has its answer: Status and Body are the client's
-	CachedTokens float64   // prompt tokens found kept; with Full, 1 if there was no state to fetch
-	Report       []float64 // a load report that came at the end
+	Answered     bool      // the answer is for the client: Status and Body are passed on
+	CachedTokens float64   // prompt tokens that were cached; with the outcome Full, 1 if the state to fetch was missing
+	Report       []float64 // load report that came at the end
 	State        []byte    // of a read: kv_transfer_params
 	Status       int       // HTTP status, 0 for none
-	Body         []byte    // with Done: the engine's word for what is wrong with the completion
-	Err          error     // what happened, nil if all went well
+	Body         []byte    // with Answered: what the engine reports to be wrong with the completion
+	Err          error     // nil on success
 }
 
-// post sends a chat call. The body can't be read again (no GetBody): net/http would otherwise repeat a call
-// that carries an Idempotency-Key by itself when the connection breaks, which is for the planner to decide.
+// post sends a chat call. The request has no GetBody, so that net/http cannot replay it: it would retry a call that carries an
+// Idempotency-Key when the connection breaks, and retries are the planner's decision.
 func (c *Client) post(ctx context.Context, call *Call) (*http.Response, *Result) {
 	var wrote atomic.Bool
 	traceCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }})
@@ -193,8 +193,8 @@
 	return nil, statusResult(call.Address, resp.StatusCode, body)
 }
 
-// statusResult is what an error status means. A 400, 413 or 422 is an answer to the client: the completion is
-// at fault, no engine would take it, and it says nothing of the engine's health.
+// statusResult maps an error status to a result. 400, 413 and 422 are passed on to the client: the completion is invalid for
+// every engine, and says nothing about this engine's health.
 func statusResult(address string, status int, body []byte) *Result {
 	r := &Result{Outcome: decide.Errored, Status: status, Err: fmt.Errorf("dispatch to %s: status %d: %.200s", address, status, body)}
 	switch status {
@@ -208,7 +208,7 @@
 	return r
 }
 
-// Read has a reader read the prompt and hold its state.
+// Read has a reader run the prefill and hold the resulting state.
 func (c *Client) Read(ctx context.Context, call *Call) *Result {
 	resp, failed := c.post(ctx, call)
 	if failed != nil {
@@ -217,14 +217,14 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(c.options.MaxEventBytes)+1))
 	if err == nil && len(body) > c.options.MaxEventBytes {
-		err = fmt.Errorf("%w: over %d bytes", ErrMalformed, c.options.MaxEventBytes)
+		err = fmt.Errorf("%w: answer exceeds %d bytes", ErrMalformed, c.options.MaxEventBytes)
 	}
 	if err == nil && !gjson.ValidBytes(body) {
-		err = fmt.Errorf("%w: no JSON", ErrMalformed)
+		err = fmt.Errorf("%w: not JSON", ErrMalformed)
 	}
 	state := gjson.GetBytes(body, "kv_transfer_params")
 	if err == nil && !state.IsObject() {
-		err = fmt.Errorf("%w: a read without kv_transfer_params", ErrMalformed)
+		err = fmt.Errorf("%w: answer to a read has no kv_transfer_params", ErrMalformed)
 	}
 	if err != nil {
 		return &Result{Outcome: OutcomeOf(ctx, err, true), Status: resp.StatusCode, Err: fmt.Errorf("read at %s: %w", call.Address, err)}
@@ -233,15 +233,15 @@
 		CachedTokens: gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Float()}
 }
 
-// Release has an engine drop the state, or the place, that it holds under a dispatch's id. The call is
-// cherryhub's own. Dropping what isn't held is no error.
+// Release has an engine drop the state or the reservation that it holds under a dispatch's ID. This call is an extension of
+// this project. Releasing what is not held is not an error.
 func (c *Client) Release(ctx context.Context, address, id string) error {
 	return c.control(ctx, http.MethodDelete, address, "/v1/kv_states/"+id, nil, nil)
 }
 
-// Hold asks a writer for a place for a completion of so many prompt tokens; the call is cherryhub's own. The
-// writer drops the place by itself after the lease: it may grant it long after the call was given up, when it had
-// stood still, and no release that came before would find it.
+// Reserve asks a writer to reserve KV cache space for a completion with the given number of prompt tokens. This call is an
+// extension of this project. The writer drops the reservation after the lease: a writer that was paused may grant it long after
+// the call was given up, when a release sent before has found nothing to drop.
 func (c *Client) Reserve(ctx context.Context, address, id string, tokens float64, lease time.Duration) (held bool, err error) {
 	body := fmt.Appendf(nil, `{"id":%q,"prompt_tokens":%.0f,"lease_ms":%d}`, id, tokens, lease.Milliseconds())
 	err = c.control(ctx, http.MethodPost, address, "/v1/kv_places", body, func(answer []byte) error {
@@ -251,7 +251,7 @@
 	return held, err
 }
 
-// Probe asks an engine for its figures.
+// Probe fetches an engine's load report.
 func (c *Client) Probe(ctx context.Context, address string) ([]float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ProbeTimeout)
 	defer cancel()
@@ -263,7 +263,7 @@
 	return report, err
 }
 
-// maxSmall bounds the answer of a call that is no completion.
+// maxControlAnswerBytes limits the answer to a call that is not a completion.
 const maxControlAnswerBytes = 4 << 20
 
 func (c *Client) control(ctx context.Context, method, address, path string, body []byte, parse func([]byte) error) error {
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -12,31 +12,32 @@
 	"cherryhub/decide"
 )
 
-// errorClass says what is known of a call that ended with an error while its caller still wanted it.
+// errorClass classifies the error of a call that its caller did not cancel.
 type errorClass uint8
 
 const (
-	localError    errorClass = iota // nothing was sent, for want of descriptors, ports or buffers here
-	notSent                         // the call's last byte was not written: it did not run
-	mayHaveRun                      // the connection broke, or the answer ended early, after that
-	invalidAnswer                   // an answer came that the protocol does not allow
-	closedLocally                   // it was closed here in the middle
+	localError    errorClass = iota // nothing was sent: this machine lacked descriptors, ports or buffers
+	notSent                         // the last byte of the call was not written, so it did not run
+	mayHaveRun                      // the connection broke or the answer ended early after the call was written
+	invalidAnswer                   // the answer violates the protocol
+	closedLocally                   // the stream was closed by the router before its end
 )
 
-// outcomes are the outcomes of the classes.
+// outcomeByClass maps each error class to an outcome.
 var outcomeByClass = map[errorClass]decide.Outcome{localError: decide.NotSent, notSent: decide.Unreachable, mayHaveRun: decide.Broken,
 	invalidAnswer: decide.Errored, closedLocally: decide.Cancelled}
 
-// shortages are the errors of socket and connect that tell of this machine alone.
+// localErrors are errors of socket and connect whose cause is on this machine.
 var localErrors = []error{errConnLimit, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN}
 
-// breaks are the errors of a connection in use that are no net.OpError and no system call's.
+// connErrors are errors of an open connection that are neither net.OpError nor syscall.Errno.
 var connErrors = []error{io.EOF, io.ErrUnexpectedEOF, io.ErrShortWrite, net.ErrClosed, ErrTruncated}
 
-// transportBreaks are the ends of net/http's own words for a connection that broke: it exports no error for them.
+// transportErrorTexts are parts of net/http's messages for a broken connection, for which it exports no error values.
 var transportErrorTexts = []string{"server closed idle connection", "transport connection broken: EOF"}
 
-// classOf is the class of an error. sent: some of the call was written (net/http), or all of it (a client that knows).
+// classify returns the class of an error. sent says that the call was written: at least in part with net/http, in full with a
+// client that can tell.
 func classify(err error, sent bool) errorClass {
 	var op *net.OpError
 	var errno syscall.Errno
@@ -51,13 +52,14 @@
 		return notSent
 	case isAny(err, connErrors), isOp, isErrno, isTransportError(err):
 		return mayHaveRun
-	case errors.Is(err, context.Canceled): // a stream that was closed here in the middle
+	case errors.Is(err, context.Canceled): // a stream that the router closed before its end
 		return closedLocally
 	}
-	return invalidAnswer // such as a header that is too long, or no HTTP at all
+	return invalidAnswer // such as a header that is too long, or an answer that is not HTTP
 }
 
-// OutcomeOf is the outcome of a call that ended with an error. What its caller ended before it was sent has not run.
+// OutcomeOf returns the outcome of a call that ended with an error. A call that its caller cancelled before it was sent did not
+// run.
 func OutcomeOf(ctx context.Context, err error, sent bool) decide.Outcome {
 	cause := context.Cause(ctx)
 	switch {
@@ -73,7 +75,7 @@
 	return decide.Cancelled
 }
 
-// isLocal tells whether a dial failed for want of something here: no fault of the engine.
+// isLocalError reports whether a dial failed for lack of resources on this machine, which is no fault of the engine.
 func isLocalError(err error) bool { return isAny(err, localErrors) }
 
 func isAny(err error, targets []error) bool {
@@ -84,10 +86,10 @@
 	return slices.ContainsFunc(transportErrorTexts, func(part string) bool { return strings.Contains(err.Error(), part) })
 }
 
-// ErrNotAsked is a probe that was not made: nothing was learnt of the engine.
-var ErrProbeSkipped = errors.New("not asked")
+// ErrProbeSkipped means that no probe was made, so nothing is known about the engine.
+var ErrProbeSkipped = errors.New("probe skipped")
 
-// ProbeOutcome is the outcome of a probe that ended with err.
+// ProbeOutcome returns the outcome of a probe that ended with err.
 func ProbeOutcome(err error) decide.Outcome {
 	switch {
 	case err == nil:
@@ -95,7 +97,7 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return decide.TimedOut
 	case isLocalError(err), errors.Is(err, ErrProbeSkipped):
-		return decide.Finished // nothing was learnt, and the engine is not to blame
+		return decide.Finished // nothing is known about the engine, and it is not at fault
 	}
 	return decide.Unreachable
 }
--- a/internal/engine/report.go
+++ b/internal/engine/report.go
@@ -12,18 +12,18 @@
 	"github.com/tidwall/gjson"
 )
 
-// Figure is where one figure of a load report is found.
+// LoadMetric says where to find one value of a load report.
 type LoadMetric struct {
 	Column     string // its name in decide.Settings.ReportColumns
 	ORCA       string // a field of endpoint-load-metrics, such as named_metrics.kv_cache_usage_perc
 	Prometheus string // a metric of /metrics
-	Sum        bool   // of the metric's label sets; else the greatest
+	Sum        bool   // add up the metric's label sets; otherwise their maximum is taken
 }
 
-// Figures are those of a report, in its order.
+// LoadMetrics are the values of a load report, in the report's order.
 type LoadMetrics []LoadMetric
 
-// Columns are their names.
+// Columns returns the names of the values.
 func (metrics LoadMetrics) Columns() (names []string) {
 	for _, metric := range metrics {
 		names = append(names, metric.Column)
@@ -31,8 +31,8 @@
 	return names
 }
 
-// fromORCA reads an endpoint-load-metrics header in its TEXT or JSON form. What is missing is NaN; a report
-// that tells nothing is nil.
+// parseORCA reads an endpoint-load-metrics header in TEXT or JSON format. Missing values are NaN; it returns nil if all are
+// missing.
 func (metrics LoadMetrics) parseORCA(header string) []float64 {
 	format, text, _ := strings.Cut(header, " ")
 	var value func(name string) float64
@@ -67,7 +67,7 @@
 	return metrics.buildReport(func(metric LoadMetric) float64 { return value(metric.ORCA) })
 }
 
-// fromPrometheus reads figures from the text format of /metrics.
+// parsePrometheus reads the values from the text format of /metrics.
 func (metrics LoadMetrics) parsePrometheus(text []byte) ([]float64, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -16,7 +16,7 @@
 	"cherryhub/decide"
 )
 
-// Stream is a write's answer. One goroutine at a time may use it; Close may be called twice.
+// Stream is the answer to a write. It is not safe for concurrent use. Close may be called twice.
 type Stream struct {
 	client  *Client
 	ctx     context.Context
@@ -27,31 +27,31 @@
 	buf     []byte
 	address string
 
-	pending    [][]byte // events from before the first token
-	finishSeen bool     // a finish_reason was seen
-	doneSeen   bool     // [DONE] was seen
+	pending    [][]byte // events that came before the first token or with it and are not handed out yet
+	finishSeen bool     // a finish_reason has come
+	doneSeen   bool     // [DONE] has come
 	usage      Usage
-	hasUsage   bool // usage was
-	usageOnly  bool // the event read last holds usage and no choice
+	hasUsage   bool // usage has come
+	usageOnly  bool // the last event has usage and no choice
 	err        error
 }
 
-// Usage is what an answer's usage event says, in tokens.
+// Usage holds the token counts of an answer's usage event.
 type Usage struct{ PromptTokens, OutputTokens, CachedTokens float64 }
 
-// Event is one event of a stream. Data holds until the next call.
+// Event is one event of a stream. Its data is valid until the next call.
 type Event struct {
 	Data      []byte // the JSON
-	Raw       []byte // the event as it came with the blank line behind it, where the protocol hands it on so
-	UsageOnly bool   // it holds the usage and no choice
+	Raw       []byte // the event as it came, with the blank line after it, for protocols that pass it on unchanged
+	UsageOnly bool   // it has usage and no choice
 }
 
-// maxHeld bounds the events that come before the first token: a role, say.
+// maxEventsBeforeToken limits the events, such as a role, that may come before the first token.
 const maxEventsBeforeToken = 16
 
-// Write has a writer write the answer, and read the prompt if there is no state. It returns at the first
-// token with the stream, or with what the dispatch came to. cancel must end ctx with one of the causes above;
-// timeout is until the first token.
+// Write has a writer generate the answer, and run the prefill too if there is no state. It returns the stream at the first
+// token, or the result if the dispatch ends before. cancel must cancel ctx with one of the causes above. timeout is the time
+// until the first token.
 func (c *Client) Write(ctx context.Context, cancel context.CancelCauseFunc, call *Call, timeout time.Duration) (*Stream, *Result) {
 	s := &Stream{client: c, ctx: ctx, cancel: cancel, address: call.Address}
 	s.timer = time.AfterFunc(timeout, func() { cancel(ErrTimedOut) })
@@ -83,13 +83,13 @@
 			s.pending = append(s.pending, bytes.Clone(data))
 		}
 	}
-	if errors.Is(s.err, io.EOF) && s.doneSeen { // an answer of no token at all
+	if errors.Is(s.err, io.EOF) && s.doneSeen { // an answer without any token
 		return s, nil
 	}
 	return nil, s.Close()
 }
 
-// Next gives the stream's next event; io.EOF after the final one. What an engine sends after that is not read.
+// Next returns the next event, or io.EOF after the final one. Anything that the engine sends after that is ignored.
 func (s *Stream) Next() (Event, error) {
 	if len(s.pending) > 0 {
 		data := s.pending[0]
@@ -107,16 +107,16 @@
 	return Event{}, s.err
 }
 
-// Usage is what was said of the tokens, and whether it was.
+// Usage returns the token counts and whether they have come.
 func (s *Stream) Usage() (Usage, bool) { return s.usage, s.hasUsage }
 
-// Close ends the stream, closing its connection unless the answer was whole, and tells what it came to.
+// Close ends the stream and returns its result. The connection is closed unless the answer is complete.
 func (s *Stream) Close() *Result {
 	s.timer.Stop()
 	r := &Result{Outcome: decide.Finished, CachedTokens: s.usage.CachedTokens, Status: s.resp.StatusCode}
 	if !s.doneSeen {
 		if s.err == nil {
-			s.err = context.Canceled // closed by us in the middle
+			s.err = context.Canceled // closed by the router before its end
 		}
 		r.Outcome = OutcomeOf(s.ctx, s.err, true)
 		r.Err = fmt.Errorf("stream from %s: %w", s.address, s.err)
@@ -129,8 +129,8 @@
 	return r
 }
 
-// rest reads what is left after the final event, the end of the chunks and a trailer, so that the connection
-// can be used again; it waits for no more than what has come with the final event and gives up at anything else.
+// drain reads the end of the chunked body and the trailer after the final event, so that the connection can be reused. It
+// accepts only what came together with the final event, and gives up on anything else.
 func (s *Stream) drain() bool {
 	if s.r.Buffered() > 0 && len(bytes.TrimSpace(buffered(s.r))) > 0 {
 		return false
@@ -141,8 +141,8 @@
 	return err == nil && n < 16
 }
 
-// restMost is how long the end of a stream's body is waited for after its final event: the engine has written
-// it together with the event. The answer was handed on before.
+// drainTimeout limits the wait for the end of the body after the final event: the engine writes both together. The client
+// already has the answer by then.
 const drainTimeout = 20 * time.Millisecond
 
 func buffered(r *bufio.Reader) []byte {
@@ -155,12 +155,12 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// next reads one event and tells whether it holds output.
+// readEvent reads one event and reports whether it has output.
 func (s *Stream) readEvent() (data []byte, token bool, err error) {
 	s.buf = s.buf[:0]
 	for {
 		if len(s.buf) > s.client.options.MaxEventBytes {
-			return nil, false, fmt.Errorf("%w: an event of over %d bytes", ErrMalformed, s.client.options.MaxEventBytes)
+			return nil, false, fmt.Errorf("%w: event exceeds %d bytes", ErrMalformed, s.client.options.MaxEventBytes)
 		}
 		start := len(s.buf)
 		if err := s.readLine(); err != nil {
@@ -176,13 +176,13 @@
 		case bytes.HasPrefix(line, dataPrefix):
 			kept := append(s.buf[:start], bytes.TrimPrefix(line[len(dataPrefix):], []byte(" "))...)
 			s.buf = kept
-		default: // a comment, or a field without meaning here
+		default: // a comment, or a field that is not used
 			s.buf = s.buf[:start]
 		}
 	}
 }
 
-// line appends one line to buf, with no more than the most an event may have.
+// readLine appends one line to buf, up to the size limit of an event.
 func (s *Stream) readLine() error {
 	for {
 		fragment, err := s.r.ReadSlice('\n')
@@ -191,7 +191,7 @@
 			return err
 		}
 		if len(s.buf) > s.client.options.MaxEventBytes {
-			return fmt.Errorf("%w: an event of over %d bytes", ErrMalformed, s.client.options.MaxEventBytes)
+			return fmt.Errorf("%w: event exceeds %d bytes", ErrMalformed, s.client.options.MaxEventBytes)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 		return nil, false, io.EOF
 	}
 	if !gjson.ValidBytes(data) || data[0] != '{' {
-		return nil, false, fmt.Errorf("%w: an event of no JSON object: %.80q", ErrMalformed, data)
+		return nil, false, fmt.Errorf("%w: event is not a JSON object: %.80q", ErrMalformed, data)
 	}
 	var engineErr, usage, choice gjson.Result
 	gjson.Parse(UnsafeString(data)).ForEach(func(key, value gjson.Result) bool {
@@ -220,7 +220,7 @@
 		return true
 	})
 	if engineErr.Exists() && engineErr.Type != gjson.Null {
-		return nil, false, fmt.Errorf("the engine's own error event: %.200s", engineErr.Raw)
+		return nil, false, fmt.Errorf("error event from the engine: %.200s", engineErr.Raw)
 	}
 	if usage.IsObject() {
 		s.hasUsage = true
@@ -232,7 +232,7 @@
 		if usage.IsObject() {
 			return data, false, nil
 		}
-		return nil, false, fmt.Errorf("%w: an event without choices: %.80q", ErrMalformed, data)
+		return nil, false, fmt.Errorf("%w: event without choices: %.80q", ErrMalformed, data)
 	}
 	token := false
 	choice.ForEach(func(key, value gjson.Result) bool {
@@ -250,7 +250,7 @@
 	return data, token || s.finishSeen, nil
 }
 
-// More tells whether a whole event more has come already.
+// HasBufferedEvent reports whether another complete event has already come.
 func (s *Stream) HasBufferedEvent() bool {
 	return len(s.pending) > 0 || bytes.Contains(buffered(s.r), []byte("\n\n"))
 }
--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -1,7 +1,7 @@
-// Package backend speaks the platform's engines' protocol over net.Conn: one call at a time on a connection, nothing
-// ever written twice by itself, and for every end of a dispatch what is known of whether it ran. It is
-// edge.Engines, knows engines by the name that discovery gives and finds their addresses in what it was last told
-// (Listed). It decides nothing. internal/platform/service makes it.
+// Package backend is a client for the platform's engine protocol. It works directly on net.Conn: each connection carries one
+// call at a time, no call is ever resent automatically, and for every dispatch that ends it is known whether it may have run.
+// It implements edge.Engines. Engines are identified by their discovery names and reached at the addresses last passed to
+// UpdateEngines. The package takes no routing decisions. It is used by internal/platform/service.
 package backend
 
 import (
@@ -16,50 +16,51 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// Options of a client.
+// Options configures a client.
 type Options struct {
-	ReportColumns     []string // of a load report, in decide's order
-	ProbesAllowed     bool     // probes are allowed
+	ReportColumns     []string // names of the values in a load report
+	ProbesAllowed     bool     // probes may be sent
 	ConnectTimeout    time.Duration
-	EngineIdleTimeout time.Duration // an engine closes a connection that was idle so long
-	MaxConns          int           // open at once to all engines
-	Dial              engine.Dial   // in place of TCP, nil for that
+	EngineIdleTimeout time.Duration // an engine closes a connection that was idle this long
+	MaxConns          int           // maximum number of open connections to all engines together
+	Dial              engine.Dial   // replaces TCP, nil for TCP
 }
 
-// Client makes dispatches. It is safe for concurrent use.
+// Client dispatches calls to engines. It is safe for concurrent use.
 type Client struct {
 	options     Options
 	dialer      *engine.Dialer
 	parseReport func([]byte) []float64
 
 	mu        sync.Mutex
-	endpoints map[string]*endpoint // by name
-	names     []string             // of all, in the list's order
-	idle      *list.List           // of *conn, those unused for longest first
-	connsMade uint64               // connections made
+	endpoints map[string]*endpoint // by engine name
+	names     []string             // of all engines, in the order in which they were added
+	idle      *list.List           // of *conn, longest idle first
+	connsMade uint64               // number of connections made so far
 }
 
-// The bounds of what an engine sends. No body exceeds 256 KiB.
+// Limits on what an engine may send. The protocol allows bodies of up to 256 KiB.
 const (
 	maxHeadBytes          = 16 << 10
 	maxBodyBytes          = 256 << 10
 	maxFields             = 64
 	readBufferBytes       = 4 << 10
-	maxIdleConnsPerEngine = 32 // idle connections to one engine
+	maxIdleConnsPerEngine = 32
 )
 
 var limits = http1.Limits{HeadBytes: maxHeadBytes, Fields: maxFields, BodyBytes: maxBodyBytes}
 
-// Times of a connection. An engine's own idle time is its limit: half of it leaves room for a clock that runs late.
+// Connection times. A connection is reused for half of the engine's own idle timeout, which leaves a margin for timers that
+// fire late.
 const (
 	idleTimeoutDivisor  = 2
 	probeTimeout        = 250 * time.Millisecond
 	checkTimeout        = 150 * time.Millisecond
-	discardTimeout      = 100 * time.Millisecond // for the body of an answer whose status says all
-	goneEngineRetention = 2 * time.Minute        // an engine that left the list is still reached for releases
+	discardTimeout      = 100 * time.Millisecond // for reading the body of an answer of which only the status matters
+	goneEngineRetention = 2 * time.Minute        // an engine that left the list can still be sent releases for this long
 )
 
-// New makes a client.
+// New creates a client.
 func New(o Options) *Client {
 	c := &Client{options: o, endpoints: map[string]*endpoint{}, idle: list.New()}
 	dial := o.Dial
@@ -71,13 +72,13 @@
 	return c
 }
 
-// Errors of calls of which nothing was written, and which tell nothing of the engine.
+// Errors of calls of which nothing was written. The first three say nothing about the engine.
 var (
-	errUnknownEngine  = errors.New("an engine that is not on the list")
-	errEngineDraining = errors.New("an engine that drains or is gone")
-	errNoTimeLeft     = errors.New("no time left")
-	errConnSilent     = errors.New("no answer on a connection that is open")
-	errConnEnding     = errors.New("a connection that ends after its answer")
+	errUnknownEngine  = errors.New("engine is not on the list")
+	errEngineDraining = errors.New("engine is draining or gone")
+	errNoTimeLeft     = errors.New("deadline has passed")
+	errConnSilent     = errors.New("no answer on an open connection")
+	errConnEnding     = errors.New("connection is closed or closing")
 )
 
 var _ edge.Engines = (*Client)(nil)
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -11,7 +11,7 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// small makes a call without a body and gives its status and body.
+// control makes a call without a body and returns the answer's status, body and head.
 func (c *Client) control(ctx context.Context, name, method, target string, req request) (int, []byte, *http1.Head, error) {
 	text := bodylessRequest(method, target)
 	req.engine, req.build = name, func() ([][]byte, error) { return [][]byte{text}, nil }
@@ -27,18 +27,19 @@
 	return resp.head.Status, body, resp.head, nil
 }
 
-// The targets of calls without a body.
+// Request targets of calls without a body.
 const (
 	roomsPath = "/bootstrap/rooms/"
 	loadPath  = "/metrics/load"
 )
 
-// smallCall is the text of a call without a body.
+// bodylessRequest returns the bytes of a request without a body.
 func bodylessRequest(method, target string) []byte {
 	return []byte(method + " " + target + " HTTP/1.1\r\nHost: engine\r\nContent-Length: 0\r\n\r\n")
 }
 
-// Hold asks a writer for a place for the completion. An error: it is not known whether it is held.
+// Reserve asks a writer to reserve KV cache space for the completion. After an error it is unknown whether the reservation is
+// held.
 func (c *Client) Reserve(ctx context.Context, name, id string, _ float64, _ time.Duration) (bool, error) {
 	status, _, _, err := c.control(ctx, name, "POST", roomsPath+id, request{startsWork: true})
 	switch {
@@ -49,12 +50,12 @@
 	case status == 409:
 		return false, nil
 	}
-	return false, fmt.Errorf("place at %s: status %d", name, status)
+	return false, fmt.Errorf("reservation at %s: status %d", name, status)
 }
 
-// Release lets go of all that any engine holds for the completion. Any engine takes it: where there is no answer soon, the same
-// engine is asked on a new connection, as the kept ones may all have fallen silent, and then others beside it, until one has
-// answered.
+// Release releases everything that any engine holds for the completion. Any engine accepts it. If no answer comes soon, the
+// same engine is asked on a new connection, because all idle ones may have gone silent, and then other engines in parallel
+// until one of them answers.
 func (c *Client) Release(ctx context.Context, name, id string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -89,7 +90,7 @@
 	return lastErr
 }
 
-// releaseAt has one engine let go of all. anew: by a connection of its own.
+// releaseAt sends the release to one engine. newConn forces a new connection.
 func (c *Client) releaseAt(ctx context.Context, name, id string, newConn bool) error {
 	status, _, _, err := c.control(ctx, name, "DELETE", roomsPath+id, request{requirement: connRequirement{newConn: newConn}})
 	if err == nil && status != 204 {
@@ -98,14 +99,14 @@
 	return err
 }
 
-// A release is asked of so many engines, one after another.
+// Limits of a release, which is sent to one engine after another.
 const (
 	maxReleaseEngines = 6
-	firstReleaseWait  = 60 * time.Millisecond // the first is waited for, until the next is asked
-	nextReleaseWait   = 25 * time.Millisecond // each other one
+	firstReleaseWait  = 60 * time.Millisecond // from the first attempt to the second
+	nextReleaseWait   = 25 * time.Millisecond // between later attempts
 )
 
-// Probe asks an engine for its load.
+// Probe fetches an engine's load report.
 func (c *Client) Probe(ctx context.Context, name string) ([]float64, error) {
 	if !c.options.ProbesAllowed {
 		return nil, engine.ErrProbeSkipped
--- a/internal/platform/backend/connect.go
+++ b/internal/platform/backend/connect.go
@@ -13,13 +13,13 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// demand is what a call asks of its connection.
+// connRequirement says what a call requires of its connection.
 type connRequirement struct {
-	checkAfter time.Duration // one on which no answer came within this time is checked before it is used; 0 for never
-	newConn    bool          // no kept one
+	checkAfter time.Duration // without an answer for this long the connection is probed before use; 0 for never
+	newConn    bool          // idle connections must not be used
 }
 
-// get takes a kept connection that still stands and is as demanded, or makes one.
+// acquire returns an idle connection that meets the requirement, or a new one.
 func (c *Client) acquire(ctx context.Context, name string, required connRequirement) (*engineConn, error) {
 	c.mu.Lock()
 	ep := c.endpoints[name]
@@ -39,14 +39,15 @@
 		return conn, err
 	}
 	if err := c.checkIfRequired(ctx, conn, required); err != nil {
-		conn.Close() //nolint:errcheck // of no use
-		return nil, fmt.Errorf("%s: a new connection: %w", name, err)
+		conn.Close() //nolint:errcheck // not usable
+		return nil, fmt.Errorf("%s: new connection: %w", name, err)
 	}
 	return conn, nil
 }
 
-// kept takes a kept connection that is as demanded, nil for none. Where one is silent all that are kept to that engine go: the
-// others may be as dead, and each would have to be waited for. Where engines must not be probed, one makes room for a new one.
+// reuseIdle returns an idle connection that meets the requirement, or nil. When one has gone silent, all idle connections to
+// its engine are closed: the others have probably failed with it, and each would cost another wait. Where probes are not
+// allowed, a connection that would have to be checked is closed and nil is returned, so that a new one is made.
 func (c *Client) reuseIdle(ctx context.Context, name string, ep *endpoint, required connRequirement) *engineConn {
 	for conn := c.takeIdle(ep); conn != nil; conn = c.takeIdle(ep) {
 		err := errConnEnding
@@ -56,7 +57,7 @@
 		if err == nil {
 			return conn
 		}
-		conn.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // not usable
 		if errors.Is(err, engine.ErrProbeSkipped) {
 			return nil
 		}
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// ensureWorks checks a connection where that is demanded of it.
+// checkIfRequired checks a connection if the requirement asks for it.
 func (c *Client) checkIfRequired(ctx context.Context, conn *engineConn, required connRequirement) error {
 	if required.checkAfter == 0 || time.Since(conn.lastActive) < required.checkAfter {
 		return nil
@@ -78,8 +79,8 @@
 	return c.checkConn(ctx, conn)
 }
 
-// connect makes a connection. That it comes up tells of the engine's machine alone, so it counts as seen to work only where engines
-// must not be probed; else it is checked before it takes a call that demands that.
+// connect opens a connection. A completed TCP handshake shows that the engine's machine is up, but not its process. So the
+// connection counts as active only where probes are not allowed; otherwise a call that requires a check probes it first.
 func (c *Client) connect(ctx context.Context, ep *endpoint, address string) (*engineConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ConnectTimeout)
 	defer cancel()
@@ -98,12 +99,12 @@
 	return conn, nil
 }
 
-// check probes the engine on a connection, and gives what is wrong with that; errSilent where no answer came in time, which
-// shows in no other way.
+// checkConn probes the engine over a connection and returns what is wrong with the connection. errConnSilent means that no
+// answer came in time; a connection that has gone silent cannot be recognised otherwise.
 func (c *Client) checkConn(ctx context.Context, conn *engineConn) error {
 	checkCtx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	stop := context.AfterFunc(checkCtx, func() { conn.Close() }) //nolint:errcheck // ends reads and writes
+	stop := context.AfterFunc(checkCtx, func() { conn.Close() }) //nolint:errcheck // unblocks reads and writes
 	head, _, err := c.exchange(conn, [][]byte{bodylessRequest("GET", loadPath)}, nil)
 	if err == nil {
 		_, err = http1.ReadBody(conn.r, head, limits, nil)
@@ -119,7 +120,7 @@
 	return context.Cause(ctx)
 }
 
-// quiet tells whether nothing came on a kept connection, its end included.
+// hasNoInput reports whether neither data nor the end of the stream has come on an idle connection.
 func hasNoInput(conn net.Conn) bool {
 	if unwrapper, ok := conn.(interface{ Unwrap() net.Conn }); ok {
 		conn = unwrapper.Unwrap()
--- a/internal/platform/backend/dispatch.go
+++ b/internal/platform/backend/dispatch.go
@@ -14,7 +14,7 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// message is a dispatch's bytes, which tell the time that is left as they are made.
+// dispatchMessage returns the bytes of a dispatch. The X-Deadline header holds the time left at the moment of the call.
 func dispatchMessage(call *engine.Call) ([][]byte, error) {
 	left := time.Until(call.Deadline)
 	if left <= 0 {
@@ -23,7 +23,7 @@
 	h := make([]byte, 0, 256)
 	h = append(append(append(h, "POST "...), call.Target...), " HTTP/1.1\r\nHost: engine\r\nContent-Type: application/json\r\nX-Request-Id: "...)
 	h = append(h, call.ID...)
-	if call.IdempotencyKey != "" { // as the client sent it: http1 lets no line end into a value
+	if call.IdempotencyKey != "" { // passed on as the client sent it: http1 rejects values that contain line breaks
 		h = append(append(h, "\r\nIdempotency-Key: "...), call.IdempotencyKey...)
 	}
 	h = append(h, "\r\nX-Deadline: "...)
@@ -32,7 +32,7 @@
 	return [][]byte{h, call.Body}, nil
 }
 
-// post sends a dispatch and gives a head of the status that is wanted, or what the dispatch came to.
+// post sends a dispatch. It returns the response if its status is the wanted one, and the dispatch's result otherwise.
 func (c *Client) post(ctx context.Context, call *engine.Call, wanted int) (*response, *engine.Result) {
 	resp, sent, err := c.do(ctx, request{engine: call.Address, startsWork: true, requirement: connRequirement{checkAfter: call.CheckAfter}, onSent: call.OnSent,
 		build: func() ([][]byte, error) { return dispatchMessage(call) }})
@@ -63,9 +63,9 @@
 	return nil, r
 }
 
-// drop reads a body that tells nothing, so that the connection can be kept.
+// discardBody reads a body that is not needed, so that the connection can be reused.
 func (resp *response) discardBody() {
-	resp.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // it is closed if this fails
+	resp.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // if this fails, the connection is closed
 	_, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
 	resp.finish(err == nil && !resp.head.NoLength)
 }
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Read has a reader read the prompt and hold its state.
+// Read has a reader run the prefill and hold the resulting state.
 func (c *Client) Read(ctx context.Context, call *engine.Call) *engine.Result {
 	resp, failed := c.post(ctx, call, 202)
 	if failed != nil {
@@ -86,7 +86,7 @@
 	body, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
 	cached := gjson.GetBytes(body, "cached_tokens")
 	if err == nil && (!gjson.ValidBytes(body) || cached.Type != gjson.Number) {
-		err = fmt.Errorf("%w: a read's answer without cached_tokens", http1.ErrMalformed)
+		err = fmt.Errorf("%w: answer to a read has no cached_tokens", http1.ErrMalformed)
 	}
 	resp.finish(err == nil && !resp.head.NoLength)
 	if err != nil {
--- a/internal/platform/backend/exchange.go
+++ b/internal/platform/backend/exchange.go
@@ -12,34 +12,35 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// answer is a call whose answer's head has come.
+// response is a call whose response head has been read.
 type response struct {
 	client *Client
 	conn   *engineConn
 	head   *http1.Head
-	stop   func() bool // of the context's watch
+	stop   func() bool // ends the watch on the call's context
 }
 
-// done ends the call: its connection is kept or closed.
+// finish ends the call and returns its connection to the pool or closes it.
 func (resp *response) finish(keep bool) {
 	if resp.stop() && keep && !resp.head.Close {
 		resp.client.returnConn(resp.conn)
 		return
 	}
-	resp.conn.Close() //nolint:errcheck // done with it
+	resp.conn.Close() //nolint:errcheck // not needed any more
 }
 
-// outgoing is a call to be made.
+// request is a call to be made.
 type request struct {
 	engine      string
-	startsWork  bool // work at the engine: nothing of it goes to one that drains or is gone
+	startsWork  bool // it starts work at the engine, so it is not sent to one that is draining or gone
 	requirement connRequirement
-	build       func() ([][]byte, error) // is called when the connection is up
-	onSent      func(engine.ConnInfo)    // is called once the last byte is written, nil for none
+	build       func() ([][]byte, error) // called when the connection is ready
+	onSent      func(engine.ConnInfo)    // called when the last byte is written, nil for none
 }
 
-// ready is the last look before a call's first byte, once its connection is up: that may have taken as long as a dial
-// may, in which the caller may have left, the engine may have begun to drain, and the time left has gone by.
+// prepare makes the last checks before the first byte of a call is written. Opening the connection may have taken up to the
+// connect timeout, in which the caller may have cancelled, the engine may have begun to drain, and the time left may have run
+// out.
 func (c *Client) prepare(ctx context.Context, conn *engineConn, call *request) ([][]byte, error) {
 	c.mu.Lock()
 	stopped := conn.endpoint.draining || !conn.endpoint.listed
@@ -53,7 +54,7 @@
 	return call.build()
 }
 
-// do makes a call. sent tells whether its last byte was written. The context's end closes the connection.
+// do makes a call. sent reports whether its last byte was written. If the context ends, the connection is closed.
 func (c *Client) do(ctx context.Context, call request) (resp *response, sent bool, err error) {
 	conn, err := c.acquire(ctx, call.engine, call.requirement)
 	if err != nil {
@@ -64,18 +65,18 @@
 		c.returnConn(conn) // nothing was written to it
 		return nil, false, err
 	}
-	stop := context.AfterFunc(ctx, func() { conn.Close() }) //nolint:errcheck // ends reads and writes
+	stop := context.AfterFunc(ctx, func() { conn.Close() }) //nolint:errcheck // unblocks reads and writes
 	head, sent, err := c.exchange(conn, message, call.onSent)
 	if err != nil {
 		stop()
-		conn.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // not usable
 		return nil, sent, err
 	}
 	return &response{c, conn, head, stop}, true, nil
 }
 
-// exchange writes a call on a connection and reads the head of its answer. sent tells whether its last byte was written; wrote,
-// nil for none, is called then.
+// exchange writes a call to a connection and reads the head of its response. sent reports whether the last byte was written;
+// onSent, which may be nil, is called at that point.
 func (c *Client) exchange(conn *engineConn, message [][]byte, onSent func(engine.ConnInfo)) (head *http1.Head, sent bool, err error) {
 	size := 0
 	for _, part := range message {
@@ -99,26 +100,27 @@
 	return head, true, nil
 }
 
-// aheadMost bounds the 1xx answers ahead of an answer.
+// maxInterimResponses limits the 1xx responses before a final one.
 const maxInterimResponses = 16
 
-// readHead reads an answer's head, which comes at once as soon as it begins, and drops what comes ahead of it.
+// readResponseHead reads the head of a response and skips 1xx responses before it. Once a head has begun to come, the rest has
+// to follow without delay.
 func readResponseHead(conn *engineConn) (*http1.Head, error) {
 	for range maxInterimResponses {
 		if _, err := conn.r.Peek(1); err != nil {
 			return nil, err
 		}
-		conn.SetReadDeadline(time.Now().Add(maxChunkDuration)) //nolint:errcheck // a connection that is closed fails in reading
+		conn.SetReadDeadline(time.Now().Add(maxChunkDuration)) //nolint:errcheck // reading from a closed connection fails
 		head, err := http1.ReadResponse(conn.r, limits)
 		conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
 		if err != nil || head.Status >= 200 {
 			return head, err
 		}
 	}
-	return nil, fmt.Errorf("%w: more than %d answers of 1xx", http1.ErrMalformed, maxInterimResponses)
+	return nil, fmt.Errorf("%w: more than %d interim responses", http1.ErrMalformed, maxInterimResponses)
 }
 
-// broken has what http1 found as the engine client's errors.
+// engineError wraps errors of http1 and read timeouts in the errors of package engine.
 func engineError(err error) error {
 	if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrTooLarge) {
 		return fmt.Errorf("%w: %w", engine.ErrMalformed, err)
--- a/internal/platform/backend/pool.go
+++ b/internal/platform/backend/pool.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// target is an engine as it is reached.
+// endpoint is an engine's address and its idle connections.
 type endpoint struct {
 	address   string
 	listed    bool
 	draining  bool
 	goneSince time.Time
-	idle      []*engineConn // last used last
+	idle      []*engineConn // most recently used last
 
-	lastAnswerAt time.Time // its last answer came then
+	lastAnswerAt time.Time // when its last answer came
 }
 
-// conn is a connection to an engine.
+// engineConn is a connection to an engine.
 type engineConn struct {
 	net.Conn
 	r         *bufio.Reader
 	endpoint  *endpoint
-	idleSince time.Time // idle
+	idleSince time.Time // when it became idle
 
-	address string // where it goes: its engine may have moved since
+	address string // that it was dialled to; the engine may have moved since
 
-	number      uint64        // counts the client's connections
-	lastActive  time.Time     // when it was last seen to work: an answer came on it, or it came up and its engine must not be probed
-	idleElement *list.Element // among all that are idle
+	number      uint64        // counted per client
+	lastActive  time.Time     // when the last answer came; before the first one, when the connection was established, if probes are not allowed
+	idleElement *list.Element // its place in Client.idle
 }
 
-// Engine is where an engine is reached, and whether it drains.
+// Engine is an entry of the engine list.
 type Engine struct {
 	Name, Address string
 	Draining      bool
 }
 
-// Listed tells of engines that are new or moved. whole: all others have left. What changes costs no more the more engines
-// there are.
+// UpdateEngines applies a change of the engine list: engines that are new or have changed, and the names of those that have
+// left. With snapshot, engines holds the whole list, and all others have left. The cost of a change does not grow with the
+// number of engines.
 func (c *Client) UpdateEngines(snapshot bool, engines []Engine, gone []string) {
 	now := time.Now()
 	var dropped []*engineConn
@@ -70,7 +71,7 @@
 	closeAll(dropped)
 }
 
-// unnamed are the engines known that are not among those named; it is called with the lock.
+// missingFrom returns the names of the known engines that are not in the list. The lock must be held.
 func (c *Client) missingFrom(engines []Engine) (missing []string) {
 	listed := make(map[string]bool, len(engines))
 	for _, e := range engines {
@@ -90,19 +91,19 @@
 	}
 }
 
-// takeOut takes an idle connection from those kept; it is called with the lock.
+// removeIdle removes a connection from the idle ones. The lock must be held.
 func (c *Client) removeIdle(conn *engineConn) {
 	c.idle.Remove(conn.idleElement)
 	conn.idleElement = nil
 	idle := conn.endpoint.idle
-	if last := len(idle) - 1; idle[last] == conn { // as it is for nearly all
+	if last := len(idle) - 1; idle[last] == conn { // the usual case
 		conn.endpoint.idle = idle[:last]
 		return
 	}
 	conn.endpoint.idle = slices.DeleteFunc(idle, func(other *engineConn) bool { return other == conn })
 }
 
-// takeIdle takes the idle connection of an engine that was used last; nil: there is none.
+// takeIdle takes the most recently used idle connection to an engine, or nil if there is none.
 func (c *Client) takeIdle(ep *endpoint) *engineConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +115,7 @@
 	return conn
 }
 
-// empty takes all idle connections of an engine; it is called with the lock.
+// takeAllIdle takes all idle connections to an engine. The lock must be held.
 func (c *Client) takeAllIdle(ep *endpoint) (all []*engineConn) {
 	for len(ep.idle) > 0 {
 		conn := ep.idle[len(ep.idle)-1]
@@ -124,14 +125,14 @@
 	return all
 }
 
-// unusedFor takes out the connection that is unused for longest, if it is for as long; nil if none is. It is called with
-// the lock.
+// takeIdleFor takes the connection that has been idle the longest, if that is at least minIdle, and nil otherwise. The lock
+// must be held.
 func (c *Client) takeIdleFor(minIdle time.Duration) *engineConn {
 	oldest := c.idle.Front()
 	if oldest == nil {
 		return nil
 	}
-	conn := oldest.Value.(*engineConn) //nolint:forcetypeassert // nothing else is in it
+	conn := oldest.Value.(*engineConn) //nolint:forcetypeassert // the list holds nothing else
 	if time.Since(conn.idleSince) < minIdle {
 		return nil
 	}
@@ -139,7 +140,7 @@
 	return conn
 }
 
-// allUnusedFor takes out all connections that are unused for so long; it is called with the lock.
+// takeAllIdleFor takes all connections that have been idle for at least minIdle. The lock must be held.
 func (c *Client) takeAllIdleFor(minIdle time.Duration) (all []*engineConn) {
 	for conn := c.takeIdleFor(minIdle); conn != nil; conn = c.takeIdleFor(minIdle) {
 		all = append(all, conn)
@@ -147,7 +148,7 @@
 	return all
 }
 
-// dropIdle closes the idle connection that was used longest ago, so that another can be made.
+// closeLongestIdle closes the connection that has been idle the longest, so that another can be opened.
 func (c *Client) closeLongestIdle() {
 	c.mu.Lock()
 	conn := c.takeIdleFor(0)
@@ -157,7 +158,8 @@
 	}
 }
 
-// Tidy closes connections that were idle too long and forgets engines that are long gone; it is called now and then.
+// Prune closes connections that have been idle for too long and forgets engines that left long ago. It is to be called
+// periodically.
 func (c *Client) Prune() {
 	now := time.Now()
 	c.mu.Lock()
@@ -183,14 +185,15 @@
 	c.dialer.Close()
 }
 
-// Idle is how many connections are kept.
+// IdleConns returns the number of idle connections.
 func (c *Client) IdleConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idle.Len()
 }
 
-// others are engines to ask for a release in another's place, first those that have answered last: that one may be cut off.
+// releaseFallbacks returns other engines to which a release can be sent if the named engine cannot be reached. Those that
+// answered most recently come first.
 func (c *Client) releaseFallbacks(name string) (latest []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,10 +213,11 @@
 	return latest
 }
 
-// put keeps a connection, if nothing more has come on it, and its engine has neither left nor moved meanwhile.
+// returnConn puts a connection back into the pool. It is closed instead if unread data has come on it, if its engine has left
+// or moved meanwhile, or if there are enough idle ones.
 func (c *Client) returnConn(conn *engineConn) {
 	if conn.r.Buffered() > 0 || conn.SetDeadline(time.Time{}) != nil {
-		conn.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // not usable
 		return
 	}
 	conn.idleSince = time.Now()
@@ -225,12 +229,13 @@
 	}
 	c.mu.Unlock()
 	if !keep {
-		conn.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // not usable
 	}
 }
 
-// forget drops what is kept to an engine that was silent or broke a connection: the others may be as dead, and a new
-// one tells at once. It harms an engine whose one connection broke alone, by a few handshakes.
+// closeIdleTo closes the idle connections to an engine that was silent or broke a connection: the others have probably failed
+// too, and a new one shows the engine's condition at once. If only the one connection was broken, this costs the engine a few
+// extra handshakes.
 func (c *Client) closeIdleTo(name string) {
 	c.mu.Lock()
 	var dropped []*engineConn
--- a/internal/platform/backend/stream.go
+++ b/internal/platform/backend/stream.go
@@ -18,26 +18,26 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// An engine that runs may pause between two chunks, but writes a chunk at once, and its last one right after the final
-// event. A client may be left waiting for 5 s after its engine's last event.
+// A working engine may pause between two chunks, but it writes each chunk in one go, and the last one right after the final
+// event. A client may have to wait at most 5 s after the last event of its engine.
 const (
 	maxChunkPause      = 4500 * time.Millisecond
 	maxChunkDuration   = 1500 * time.Millisecond
 	maxFinalChunkPause = 1500 * time.Millisecond
 )
 
-// stream is a write's answer.
+// stream is the answer to a write.
 type stream struct {
 	response     *response
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	name         string
-	buf          []byte // of chunks that came whole
-	consumed     int    // of buf, handed on
-	eventEnd     int    // in buf, of the event that comes next; 0: it has not come whole
-	eventChecked bool   // that event was looked at
+	buf          []byte // data of complete chunks
+	consumed     int    // bytes of buf that were handed out
+	eventEnd     int    // end of the next event in buf, 0 while it is incomplete
+	eventChecked bool   // checkEvent was called for that event
 	events       int
-	doneSeen     bool // [DONE] came
+	doneSeen     bool // [DONE] has come
 	totalBytes   int
 	usage        engine.Usage
 	hasUsage     bool
@@ -45,7 +45,7 @@
 	err          error
 }
 
-// Write has a writer write the answer. It returns with the first event or with what the dispatch came to.
+// Write has a writer generate the answer. It returns the stream at the first event, or the result if the dispatch ends before.
 func (c *Client) Write(ctx context.Context, cancel context.CancelCauseFunc, call *engine.Call, timeout time.Duration) (edge.Stream, *engine.Result) {
 	timer := time.AfterFunc(timeout, func() { cancel(engine.ErrTimedOut) })
 	defer timer.Stop()
@@ -56,7 +56,7 @@
 	s := &stream{response: resp, ctx: ctx, cancel: cancel, name: call.Address}
 	contentType, _ := resp.head.Get("content-type")
 	if !strings.HasPrefix(contentType, "text/event-stream") || resp.head.Length >= 0 {
-		s.err = fmt.Errorf("%w: content type %.40q, no chunks", engine.ErrMalformed, contentType)
+		s.err = fmt.Errorf("%w: not a chunked event stream: content type %.40q", engine.ErrMalformed, contentType)
 	}
 	if s.awaitEvent(); s.err != nil && !errors.Is(s.err, io.EOF) {
 		return nil, s.Close()
@@ -64,7 +64,7 @@
 	return s, nil
 }
 
-// fill reads one more chunk.
+// readChunk reads one more chunk.
 func (s *stream) readChunk() {
 	if s.consumed > 0 {
 		s.buf = append(s.buf[:0], s.buf[s.consumed:]...)
@@ -75,8 +75,8 @@
 	if s.doneSeen {
 		maxPause = maxFinalChunkPause
 	}
-	if s.events > 0 { // before the first event the dispatch's own time counts
-		conn.SetReadDeadline(time.Now().Add(maxPause)) //nolint:errcheck // a connection that is closed fails in reading
+	if s.events > 0 { // before the first event the dispatch's own timeout applies
+		conn.SetReadDeadline(time.Now().Add(maxPause)) //nolint:errcheck // reading from a closed connection fails
 	}
 	if conn.r.Buffered() == 0 {
 		if _, err := conn.r.Peek(1); err != nil {
@@ -91,19 +91,19 @@
 	conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
 	switch {
 	case errors.Is(err, io.EOF) && (!s.doneSeen || len(s.buf) > s.consumed):
-		s.err = fmt.Errorf("%w: %d bytes left", engine.ErrTruncated, len(s.buf)-s.consumed)
+		s.err = fmt.Errorf("%w: %d bytes of an incomplete event", engine.ErrTruncated, len(s.buf)-s.consumed)
 	case errors.Is(err, io.EOF):
 		s.err = io.EOF
 	case err != nil:
 		s.setReadError(err)
 	default:
 		if s.totalBytes += len(s.buf) - before; s.totalBytes > maxBodyBytes {
-			s.err = fmt.Errorf("%w: an answer of over %d bytes", engine.ErrMalformed, maxBodyBytes)
+			s.err = fmt.Errorf("%w: answer exceeds %d bytes", engine.ErrMalformed, maxBodyBytes)
 		}
 	}
 }
 
-// fail keeps why reading failed; the connection's end is no end of the answer.
+// setReadError records why reading failed. The end of the connection is not the end of the answer.
 func (s *stream) setReadError(err error) {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -113,7 +113,7 @@
 
 var eventSeparator = []byte("\n\n")
 
-// More tells whether a whole event more has come already. Load reports ahead of it are taken out.
+// HasBufferedEvent reports whether another complete event has already come. It consumes load reports before that event.
 func (s *stream) HasBufferedEvent() bool {
 	for s.eventEnd == 0 {
 		rest := s.buf[s.consumed:]
@@ -121,7 +121,7 @@
 		if n < 0 {
 			return false
 		}
-		if rest[0] != ':' || bytes.IndexByte(rest[:n], '\n') >= 0 { // more than a comment
+		if rest[0] != ':' || bytes.IndexByte(rest[:n], '\n') >= 0 { // not just a comment
 			s.eventEnd = s.consumed + n + len(eventSeparator)
 			break
 		}
@@ -131,14 +131,14 @@
 	return true
 }
 
-// comment takes the load report that a comment may be.
+// parseComment reads a comment line that may be a load report.
 func (s *stream) parseComment(line []byte) {
 	if text, ok := bytes.CutPrefix(line, []byte(": X-Load:")); ok {
 		s.report = s.response.client.parseReport(bytes.TrimSpace(text))
 	}
 }
 
-// await reads until the next event has come whole, and looks at it once.
+// awaitEvent reads until the next event is complete, and checks it once.
 func (s *stream) awaitEvent() {
 	for s.err == nil && !s.HasBufferedEvent() {
 		s.readChunk()
@@ -148,7 +148,7 @@
 	}
 }
 
-// check looks at the event that comes next.
+// checkEvent checks the next event and takes its usage and load report.
 func (s *stream) checkEvent() error {
 	for line := range bytes.SplitSeq(s.buf[s.consumed:s.eventEnd-len(eventSeparator)], []byte("\n")) {
 		data, ok := bytes.CutPrefix(line, []byte("data:"))
@@ -157,7 +157,7 @@
 				s.parseComment(line)
 				continue
 			}
-			return fmt.Errorf("%w: a line of no event: %.40q", engine.ErrMalformed, line)
+			return fmt.Errorf("%w: unexpected line in an event: %.40q", engine.ErrMalformed, line)
 		}
 		data = bytes.TrimSpace(data)
 		if string(data) == "[DONE]" {
@@ -165,7 +165,7 @@
 			continue
 		}
 		if !gjson.ValidBytes(data) {
-			return fmt.Errorf("%w: an event of no JSON: %.40q", engine.ErrMalformed, data)
+			return fmt.Errorf("%w: event is not JSON: %.40q", engine.ErrMalformed, data)
 		}
 		if usage := gjson.GetBytes(data, "usage"); usage.IsObject() {
 			s.hasUsage = true
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// Next gives the next event as it came; io.EOF after the last chunk of a whole answer.
+// Next returns the next event as it came, or io.EOF after the last chunk of a complete answer.
 func (s *stream) Next() (engine.Event, error) {
 	if s.awaitEvent(); s.err != nil {
 		return engine.Event{}, s.err
@@ -187,15 +187,15 @@
 	return event, nil
 }
 
-// Usage is what was said of the tokens, and whether it was.
+// Usage returns the token counts and whether they have come.
 func (s *stream) Usage() (engine.Usage, bool) { return s.usage, s.hasUsage }
 
-// Close ends the stream, closing its connection unless the answer was whole, and tells what it came to.
+// Close ends the stream and returns its result. The connection is closed unless the answer is complete.
 func (s *stream) Close() *engine.Result {
 	r := &engine.Result{Outcome: decide.Finished, CachedTokens: s.usage.CachedTokens, Status: s.response.head.Status, Report: s.report}
 	if !errors.Is(s.err, io.EOF) {
 		if s.err == nil {
-			s.err = context.Canceled // closed by us in the middle
+			s.err = context.Canceled // closed by the router before its end
 		}
 		r.Outcome = engine.OutcomeOf(s.ctx, s.err, true)
 		r.Err = fmt.Errorf("stream from %s: %w", s.name, s.err)
@@ -205,7 +205,8 @@
 	return r
 }
 
-// reportOf reads a load report, an object of numbers. What is missing or no figure is NaN; nil: it tells nothing.
+// parseReport reads a load report, a JSON object of numbers. Values that are missing or invalid are NaN; it returns nil if all
+// are.
 func parseReport(columns []string, text []byte) []float64 {
 	if len(columns) == 0 || !gjson.ValidBytes(text) {
 		return nil
--- a/internal/platform/http1/http1.go
+++ b/internal/platform/http1/http1.go
@@ -1,8 +1,7 @@
-// Package http1 reads HTTP/1.1 messages strictly: what two readers could frame in two ways is an error, and nothing
-// is taken on a sender's word but the bytes that came. It reads from a bufio.Reader and leaves whatever follows a
-// message there. It keeps no state between messages and decides nothing. internal/platform's front, backend and
-// the stand-ins use it: net/http and Hertz accept a Content-Length beside a Transfer-Encoding and can't tell how
-// much of a call was written when a connection breaks.
+// Package http1 parses HTTP/1.1 messages strictly: a message whose framing is ambiguous is an error, and memory is allocated as
+// bytes arrive, not as lengths announce them. It reads from a bufio.Reader and leaves there whatever follows a message. It
+// keeps no state between messages. It is used by internal/platform's front, backend and standin, because net/http and Hertz
+// accept a Content-Length beside a Transfer-Encoding and cannot tell how much of a call was written when a connection breaks.
 package http1
 
 import (
@@ -15,33 +14,34 @@
 	"strings"
 )
 
-// Errors of a message. A reader's own errors come back as they are, io.ErrUnexpectedEOF in the middle of a message.
+// Errors of a message. Errors of the underlying reader are returned unchanged, except that io.EOF in the middle of a message
+// becomes io.ErrUnexpectedEOF.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLarge  = errors.New("message too large")
 )
 
-// Limits bound a message.
+// Limits bounds the size of a message.
 type Limits struct {
-	HeadBytes int // bytes of the first line and the fields
+	HeadBytes int // the first line and the header fields together
 	Fields    int
-	BodyBytes int // bytes
+	BodyBytes int
 }
 
-// Field is one header field; its name is in lower case.
+// Field is a header field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or of a response.
+// Head is the head of a request or a response.
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of a response
 	Fields         []Field
-	Length         int  // of the body, -1 where it is chunked, none is 0
-	NoLength       bool // a response whose body ends with the connection, or a request that tells no length
-	Close          bool // the sender closes the connection after the message
+	Length         int  // of the body; 0 for none, -1 for chunked
+	NoLength       bool // a response whose body ends with the connection, or a request without a length
+	Close          bool // the sender closes the connection after this message
 }
 
-// Get is a field's value, and how often it stands there.
+// Get returns the first value of a field and the number of its occurrences. The name must be in lower case.
 func (h *Head) Get(name string) (value string, count int) {
 	for _, f := range h.Fields {
 		if f.Name == name {
@@ -58,7 +58,7 @@
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, a...))
 }
 
-// ReadRequest reads a request's head. io.EOF: there was none.
+// ReadRequest reads the head of a request. It returns io.EOF if the input ends before the first byte.
 func ReadRequest(r *bufio.Reader, limits Limits) (*Head, error) {
 	remaining := limits.HeadBytes
 	line, err := readLine(r, &remaining)
@@ -90,7 +90,7 @@
 	return h, nil
 }
 
-// ReadResponse reads a response's head, which may be a 1xx answer ahead of it.
+// ReadResponse reads the head of a response, which may be an interim (1xx) one.
 func ReadResponse(r *bufio.Reader, limits Limits) (*Head, error) {
 	remaining := limits.HeadBytes
 	line, err := readLine(r, &remaining)
@@ -114,7 +114,7 @@
 	return h, nil
 }
 
-// read reads the fields and finds how long the body is.
+// readFields reads the header fields and determines how the body is framed.
 func (h *Head) readFields(r *bufio.Reader, limits Limits, remaining *int) error {
 	for {
 		line, err := readLine(r, remaining)
@@ -125,7 +125,7 @@
 			return h.setFraming(limits)
 		}
 		name, value, found := strings.Cut(line, ":")
-		if !found || !isToken(name) { // a folded line begins with a space, which is no token
+		if !found || !isToken(name) { // a folded line begins with a space, which is not a token character
 			return malformed("header line %.80q", line)
 		}
 		value = strings.Trim(value, " \t")
@@ -151,7 +151,7 @@
 	case lengthCount > 0 && encodingCount > 0:
 		return malformed("Content-Length with Transfer-Encoding")
 	case lengthCount > 1 || encodingCount > 1:
-		return malformed("a length given twice")
+		return malformed("duplicate Content-Length or Transfer-Encoding")
 	case encodingCount == 1:
 		if !strings.EqualFold(encoding, "chunked") {
 			return malformed("Transfer-Encoding %.40q", encoding)
@@ -175,13 +175,13 @@
 	return nil
 }
 
-// readLine reads up to a CRLF, which it leaves out.
+// readLine reads a line and returns it without its CRLF. left is the remaining size limit in bytes.
 func readLine(r *bufio.Reader, remaining *int) (string, error) {
 	var prefix []byte
 	for {
 		part, err := r.ReadSlice('\n')
 		if *remaining -= len(part); *remaining < 0 {
-			return "", fmt.Errorf("%w: its head", ErrTooLarge)
+			return "", fmt.Errorf("%w: head", ErrTooLarge)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			prefix = append(prefix, part...)
@@ -197,7 +197,7 @@
 			part = append(prefix, part...)
 		}
 		if len(part) < 2 || part[len(part)-2] != '\r' {
-			return "", malformed("a line without CR")
+			return "", malformed("line without CR")
 		}
 		return string(part[:len(part)-2]), nil
 	}
@@ -210,7 +210,7 @@
 	return err
 }
 
-// number reads digits and nothing else, no more than fit a size that any limit could allow.
+// parseDigits parses an unsigned number of at most 9 digits, which covers every size that a limit could allow.
 func parseDigits(s string, base int) (int, bool) {
 	if len(s) == 0 || len(s) > 9 {
 		return 0, false
@@ -235,15 +235,16 @@
 	return s != ""
 }
 
-// bodyAhead is the memory that a body gets before it came, in bytes.
+// bodyStepBytes is the memory that is allocated for a body before its bytes arrive.
 const bodyStepBytes = 8 << 10
 
-// ReadBody reads the body that a head announces. grow is asked before more memory is used, nil for no such question.
+// ReadBody reads the body that a head announces. grow, unless nil, is called before memory for more bytes is used, and may
+// refuse it with an error.
 func ReadBody(r *bufio.Reader, h *Head, limits Limits, grow func(bytes int) error) ([]byte, error) {
 	var body []byte
 	readData := func(n int) error {
 		if len(body)+n > limits.BodyBytes {
-			return fmt.Errorf("%w: its body", ErrTooLarge)
+			return fmt.Errorf("%w: body", ErrTooLarge)
 		}
 		if grow != nil {
 			if err := grow(n); err != nil {
@@ -282,8 +283,8 @@
 	}
 }
 
-// ReadChunk appends the data of one chunk to buf, once all of it has come and fits. io.EOF: it was the last one, and
-// the message is whole. No chunk is longer than most.
+// ReadChunk appends the data of one chunk to buf once the chunk has come in full. It returns io.EOF after the last chunk, when
+// the message is complete. A chunk must not be longer than maxBytes.
 func ReadChunk(r *bufio.Reader, buf []byte, maxBytes int) ([]byte, error) {
 	n, err := readChunkSize(r, maxBytes)
 	if err != nil {
@@ -311,7 +312,7 @@
 	return buf, nil
 }
 
-// chunkLine bounds a chunk's first line: its size, and extensions, which mean nothing here.
+// maxChunkLineBytes limits the line with a chunk's size and its extensions, which are ignored.
 const maxChunkLineBytes = 256
 
 func readChunkSize(r *bufio.Reader, maxBytes int) (int, error) {
@@ -326,7 +327,7 @@
 		return 0, malformed("chunk size %.40q", line)
 	}
 	if n > maxBytes {
-		return 0, fmt.Errorf("%w: a chunk of %d bytes", ErrTooLarge, n)
+		return 0, fmt.Errorf("%w: chunk of %d bytes", ErrTooLarge, n)
 	}
 	return n, nil
 }
@@ -337,12 +338,12 @@
 		return unexpectedEOF(err)
 	}
 	if !bytes.Equal(end[:], []byte("\r\n")) {
-		return malformed("a chunk that does not fit its size")
+		return malformed("chunk data does not match its size")
 	}
 	return nil
 }
 
-// trailer reads what follows the last chunk.
+// readTrailer reads the trailer fields after the last chunk.
 func readTrailer(r *bufio.Reader) error {
 	for remaining := maxChunkLineBytes * 16; ; {
 		line, err := readLine(r, &remaining)
