--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -26,16 +26,16 @@
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
 	require.ErrorIs(t, err, errConnLimit)
-	assert.Equal(t, 1, closedIdle, "idle ones were asked to go")
-	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "no fault of the engine")
+	assert.Equal(t, 1, closedIdle, "idle connections were closed")
+	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "not the engine's fault")
 	assert.Equal(t, decide.Finished, ProbeOutcome(err))
 	time.AfterFunc(20*time.Millisecond, func() { first.Close(); first.Close() })
 	_, err = d.Dial(t.Context(), "tcp", "x")
-	assert.NoError(t, err, "one became free")
+	assert.NoError(t, err, "a slot became free")
 	ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
-	assert.ErrorIs(t, err, errConnLimit, "closed twice counts once")
+	assert.ErrorIs(t, err, errConnLimit, "closing twice frees one slot")
 }
 
 func TestSpareDescriptorIsUsedForDial(t *testing.T) {
@@ -53,11 +53,11 @@
 	_, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
 	assert.Equal(t, 2, dials)
-	assert.Zero(t, closedIdle, "the ways to engines that hold states stay")
-	assert.NotNil(t, d.spare, "there is one again")
+	assert.Zero(t, closedIdle, "connections to engines that hold state stay open")
+	assert.NotNil(t, d.spare, "the spare is open again")
 }
 
-// TestSpareEndsWithTheClient: a connection that outlives its client opens no descriptor that nobody would close.
+// A connection that is closed after its client must not open a spare descriptor, which nobody would close.
 func TestSpareStaysClosedAfterClose(t *testing.T) {
 	d := NewDialer(4, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() {})
 	conn, err := d.Dial(t.Context(), "tcp", "x")
@@ -66,6 +66,6 @@
 	require.NoError(t, conn.Close())
 	assert.Nil(t, d.spare)
 	_, err = d.Dial(t.Context(), "tcp", "x")
-	require.NoError(t, err, "a release at the end is still sent")
+	require.NoError(t, err, "a release at shutdown is still sent")
 	assert.Nil(t, d.spare)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,7 +20,7 @@
 	"cherryhub/decide"
 )
 
-// peer is an engine of a few bytes: each connection gets a call's bytes read and then the script.
+// startEngine starts a server that reads one request from each connection and then runs the script on it.
 func startEngine(t *testing.T, script func(conn net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 				if err != nil {
 					return
 				}
-				io.Copy(io.Discard, r.Body) //nolint:errcheck // as far as it comes
+				io.Copy(io.Discard, r.Body) //nolint:errcheck // as much as arrives
 				script(conn)
 			}()
 		}
@@ -62,7 +62,7 @@
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 func send(texts ...string) func(net.Conn) {
-	return func(conn net.Conn) { io.WriteString(conn, strings.Join(texts, "")) } //nolint:errcheck // the test sees it
+	return func(conn net.Conn) { io.WriteString(conn, strings.Join(texts, "")) } //nolint:errcheck // the test notices
 }
 
 func sendAndHang(texts ...string) func(net.Conn) {
@@ -82,7 +82,7 @@
 	return c
 }
 
-// write makes a whole write and returns what it came to, the events, and how long it took.
+// runWrite runs a write to its end and returns its result, the number of events and the time it took.
 func runWrite(t *testing.T, address string, timeout time.Duration, cancelAfter time.Duration) (*Result, int, time.Duration) {
 	c, began := newClient(t), time.Now()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -103,7 +103,7 @@
 	return result, events, time.Since(began)
 }
 
-// TestOutcomes holds each outcome to its cause on the socket, as docs/outcomes.md lists them.
+// TestOutcomes checks the outcome for each way in which a dispatch can end on the socket, as listed in docs/outcomes.md.
 func TestOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		script       func(net.Conn)
@@ -113,31 +113,31 @@
 		cachedTokens float64
 		cancel       time.Duration
 	}{
-		"whole answer":              {sendAndHang(okHead, chunk(role), chunk(token), chunk(token+stop), chunk(usageText+done), "0\r\n\r\n"), decide.Finished, 5, false, 4, 0},
-		"output after [DONE]":       {sendAndHang(okHead, chunk(token), chunk(stop+done+token), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
-		"reset before a byte":       {reset, decide.Broken, 0, false, 0, 0},
-		"closed before a byte":      {send(), decide.Broken, 0, false, 0, 0},
-		"reset after a token":       {func(c net.Conn) { send(okHead, chunk(token))(c); time.Sleep(30 * time.Millisecond); reset(c) }, decide.Broken, 1, false, 0, 0},
-		"truncated":                 {send(okHead, chunk(token), "0\r\n\r\n"), decide.Broken, 1, false, 0, 0},
-		"full":                      {send("HTTP/1.1 429 Too Many\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 0, 0},
-		"no state":                  {send("HTTP/1.1 424 Failed Dependency\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 1, 0},
-		"5xx":                       {send("HTTP/1.1 503 Bad\r\nContent-Length: 0\r\n\r\n"), decide.Errored, 0, false, 0, 0},
-		"the completion's fault":    {send("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}"), decide.Cancelled, 0, true, 0, 0},
-		"silent":                    {sendAndHang(), decide.TimedOut, 0, false, 0, 0},
-		"a byte a while":            {sendSlowly, decide.TimedOut, 0, false, 0, 0},
-		"silent after a token":      {sendAndHang(okHead, chunk(token)), decide.TimedOut, 1, false, 0, 0},
-		"no HTTP":                   {send("hello\r\n\r\n"), decide.Errored, 0, false, 0, 0},
-		"no event stream":           {send("HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 2\r\n\r\nhi"), decide.Errored, 0, false, 0, 0},
-		"no JSON":                   {sendAndHang(okHead, chunk("data: {\n\n")), decide.Errored, 0, false, 0, 0},
-		"no JSON after a token":     {sendAndHang(okHead, chunk(token), chunk("data: {\n\n")), decide.Errored, 1, false, 0, 0},
-		"its own error event":       {sendAndHang(okHead, chunk(`data: {"error":{"message":"x"}}`+"\n\n")), decide.Errored, 0, false, 0, 0},
-		"[DONE] without a reason":   {sendAndHang(okHead, chunk(token+done)), decide.Errored, 1, false, 0, 0},
-		"an event of any length":    {sendEndlessEvent, decide.Errored, 0, false, 0, 0},
-		"headers of any length":     {sendEndlessHeader, decide.Errored, 0, false, 0, 0},
-		"cancelled while it waits":  {sendAndHang(), decide.Cancelled, 0, false, 0, 50 * time.Millisecond},
-		"cancelled after a token":   {sendAndHang(okHead, chunk(token)), decide.Cancelled, 1, false, 0, 50 * time.Millisecond},
-		"roles for ever":            {sendAndHang(okHead, strings.Repeat(chunk(role), 40)), decide.Errored, 0, false, 0, 0},
-		"comments and other fields": {sendAndHang(okHead, chunk(": hi\n\nevent: x\nid: 3\n"+token+stop), chunk(done), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
+		"complete answer":              {sendAndHang(okHead, chunk(role), chunk(token), chunk(token+stop), chunk(usageText+done), "0\r\n\r\n"), decide.Finished, 5, false, 4, 0},
+		"output after [DONE]":          {sendAndHang(okHead, chunk(token), chunk(stop+done+token), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
+		"reset before the first byte":  {reset, decide.Broken, 0, false, 0, 0},
+		"closed before the first byte": {send(), decide.Broken, 0, false, 0, 0},
+		"reset after a token":          {func(c net.Conn) { send(okHead, chunk(token))(c); time.Sleep(30 * time.Millisecond); reset(c) }, decide.Broken, 1, false, 0, 0},
+		"truncated":                    {send(okHead, chunk(token), "0\r\n\r\n"), decide.Broken, 1, false, 0, 0},
+		"full":                         {send("HTTP/1.1 429 Too Many\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 0, 0},
+		"missing state":                {send("HTTP/1.1 424 Failed Dependency\r\nContent-Length: 0\r\n\r\n"), decide.Full, 0, false, 1, 0},
+		"5xx":                          {send("HTTP/1.1 503 Bad\r\nContent-Length: 0\r\n\r\n"), decide.Errored, 0, false, 0, 0},
+		"invalid completion":           {send("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}"), decide.Cancelled, 0, true, 0, 0},
+		"silent":                       {sendAndHang(), decide.TimedOut, 0, false, 0, 0},
+		"slow bytes":                   {sendSlowly, decide.TimedOut, 0, false, 0, 0},
+		"silent after a token":         {sendAndHang(okHead, chunk(token)), decide.TimedOut, 1, false, 0, 0},
+		"no HTTP":                      {send("hello\r\n\r\n"), decide.Errored, 0, false, 0, 0},
+		"no event stream":              {send("HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 2\r\n\r\nhi"), decide.Errored, 0, false, 0, 0},
+		"no JSON":                      {sendAndHang(okHead, chunk("data: {\n\n")), decide.Errored, 0, false, 0, 0},
+		"no JSON after a token":        {sendAndHang(okHead, chunk(token), chunk("data: {\n\n")), decide.Errored, 1, false, 0, 0},
+		"error event":                  {sendAndHang(okHead, chunk(`data: {"error":{"message":"x"}}`+"\n\n")), decide.Errored, 0, false, 0, 0},
+		"[DONE] without a reason":      {sendAndHang(okHead, chunk(token+done)), decide.Errored, 1, false, 0, 0},
+		"endless event":                {sendEndlessEvent, decide.Errored, 0, false, 0, 0},
+		"endless header":               {sendEndlessHeader, decide.Errored, 0, false, 0, 0},
+		"cancelled before a token":     {sendAndHang(), decide.Cancelled, 0, false, 0, 50 * time.Millisecond},
+		"cancelled after a token":      {sendAndHang(okHead, chunk(token)), decide.Cancelled, 1, false, 0, 50 * time.Millisecond},
+		"endless roles":                {sendAndHang(okHead, strings.Repeat(chunk(role), 40)), decide.Errored, 0, false, 0, 0},
+		"comments and other fields":    {sendAndHang(okHead, chunk(": hi\n\nevent: x\nid: 3\n"+token+stop), chunk(done), "0\r\n\r\n"), decide.Finished, 2, false, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -147,7 +147,7 @@
 			assert.Equal(t, test.answered, result.Answered)
 			assert.Equal(t, test.cachedTokens, result.CachedTokens)
 			assert.Less(t, elapsed, 2*time.Second)
-			assert.Equal(t, test.outcome == decide.Finished, result.Err == nil, "an error says what happened")
+			assert.Equal(t, test.outcome == decide.Finished, result.Err == nil, "an error iff the write failed")
 		})
 	}
 }
@@ -193,8 +193,8 @@
 	return err
 }
 
-// TestNeverRepeats: net/http repeats by itself what carries an Idempotency-Key when a kept connection breaks.
-// Here it must not: whether it ran is for the planner to judge.
+// net/http retries a request with an Idempotency-Key by itself when a reused connection breaks. The client must not: the first
+// attempt may have run, and retries are the planner's decision.
 func TestNoAutomaticRetry(t *testing.T) {
 	calls := make(chan string, 10)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -203,10 +203,10 @@
 	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:errcheck // ends with the listener
 		calls <- r.Header.Get("X-Request-Id")
 		if r.Header.Get("X-Request-Id") == "c-1" {
-			panic(http.ErrAbortHandler) // closes the kept connection in the middle of the call
+			panic(http.ErrAbortHandler) // closes the reused connection during the call
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
-		io.WriteString(w, token+stop+done) //nolint:errcheck // the test sees it
+		io.WriteString(w, token+stop+done) //nolint:errcheck // the test notices
 	}))
 	c := newClient(t)
 	for i, want := range []decide.Outcome{decide.Finished, decide.Broken} {
@@ -221,13 +221,13 @@
 		}
 		assert.Equal(t, want, result.Outcome)
 	}
-	time.Sleep(100 * time.Millisecond) // a repeat would come at once
+	time.Sleep(100 * time.Millisecond) // a retry would come at once
 	assert.Len(t, calls, 2)
 }
 
-// TestCancelCloses: a dispatch that is cancelled closes its connection within 50 ms, before its first byte too.
+// Cancelling a dispatch closes its connection within 50 ms, also before the first byte of the answer.
 func TestCancelClosesConnection(t *testing.T) {
-	for name, begin := range map[string]string{"before a byte": "", "in the stream": okHead + chunk(token)} {
+	for name, begin := range map[string]string{"before the first byte": "", "during the stream": okHead + chunk(token)} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan time.Time, 1)
 			address := startEngine(t, func(conn net.Conn) { sendAndHang(begin)(conn); closed <- time.Now() })
@@ -259,11 +259,11 @@
 		state        string
 		cachedTokens float64
 	}{
-		"read":           {answer(`{"kv_transfer_params":{"remote_host":"h"},"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`), decide.Read, `{"remote_host":"h"}`, 7},
-		"no state in it": {answer(`{"usage":{}}`), decide.Errored, "", 0},
-		"no JSON":        {answer(`{`), decide.Errored, "", 0},
-		"too long":       {answer(`{"a":"` + strings.Repeat("x", 5000) + `"}`), decide.Errored, "", 0},
-		"cut short":      {send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"), decide.Broken, "", 0},
+		"read":      {answer(`{"kv_transfer_params":{"remote_host":"h"},"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`), decide.Read, `{"remote_host":"h"}`, 7},
+		"no state":  {answer(`{"usage":{}}`), decide.Errored, "", 0},
+		"no JSON":   {answer(`{`), decide.Errored, "", 0},
+		"too long":  {answer(`{"a":"` + strings.Repeat("x", 5000) + `"}`), decide.Errored, "", 0},
+		"truncated": {send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"), decide.Broken, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var report []float64
@@ -271,7 +271,7 @@
 			assert.Equal(t, test.outcome, result.Outcome, "%v", result.Err)
 			assert.Equal(t, test.state, string(result.State))
 			assert.Equal(t, test.cachedTokens, result.CachedTokens)
-			if name != "cut short" {
+			if name != "truncated" {
 				assert.Equal(t, []float64{3, 0.5}, report)
 			}
 		})
@@ -311,7 +311,7 @@
 	assert.JSONEq(t, `{"model":"m","max_tokens":7,"stream":true,"stream_options":{"include_usage":true}}`, string(WriteBody(fields[:1], nil, 7)))
 }
 
-// FuzzStream: whatever an engine sends, a stream ends, and it is finished only with a reason and [DONE].
+// FuzzStream checks that a stream ends on any input, and that it is complete only with a finish_reason and [DONE].
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{token + stop + done, role + token, "data: {}\n\n", "data:\n\n", "data: [DONE]\n\n", ": x\n\ndata: " + strings.Repeat("[", 3000) + "\n\n"} {
 		f.Add([]byte(seed))
@@ -327,6 +327,6 @@
 				return
 			}
 		}
-		t.Fatal("a stream without an end")
+		t.Fatal("the stream does not end")
 	})
 }
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -15,8 +15,7 @@
 	"cherryhub/decide"
 )
 
-// TestErrorClasses: what each system call's error says of a dispatch, while it connects and in use, before and after its
-// last byte.
+// TestErrorClasses checks the outcome for each system call error during dial, before and after the last byte of the call.
 func TestErrorClasses(t *testing.T) {
 	syscallError := func(op, call string, errno syscall.Errno) error {
 		return fmt.Errorf("dispatch: %w", &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(call, errno)})
@@ -25,7 +24,7 @@
 		for _, call := range []string{"socket", "connect"} {
 			err := syscallError("dial", call, errno)
 			assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "%v", err)
-			assert.Equal(t, decide.Finished, ProbeOutcome(err), "%v: nothing was learnt of the engine", err)
+			assert.Equal(t, decide.Finished, ProbeOutcome(err), "%v: says nothing about the engine", err)
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET} {
@@ -37,7 +36,7 @@
 		for op, call := range map[string]string{"read": "read", "write": "write"} {
 			err := syscallError(op, call, errno)
 			assert.Equal(t, decide.Broken, OutcomeOf(t.Context(), err, true), "%v after the last byte", err)
-			assert.Equal(t, decide.Unreachable, OutcomeOf(t.Context(), err, false), "%v before it", err)
+			assert.Equal(t, decide.Unreachable, OutcomeOf(t.Context(), err, false), "%v before the last byte", err)
 		}
 		assert.Equal(t, decide.Broken, OutcomeOf(t.Context(), errno, true), "%v without a net.OpError", errno)
 	}
@@ -48,7 +47,7 @@
 	assert.Equal(t, decide.Errored, OutcomeOf(t.Context(), fmt.Errorf("x: %w", ErrMalformed), true))
 }
 
-// TestEndedByItsCaller: what its caller ended before it was sent has not run, whatever the cause; after that it may have.
+// A call that its caller cancelled before it was sent did not run, whatever the cause. After that it may have run.
 func TestCancelledByCaller(t *testing.T) {
 	for cause, want := range map[error]struct{ before, after decide.Outcome }{
 		ErrCancelled: {decide.NotSent, decide.Cancelled}, ErrTimedOut: {decide.NotSent, decide.TimedOut}, ErrStreamIdle: {decide.NotSent, decide.TimedOut},
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -30,7 +30,7 @@
 		Deadline: time.Now().Add(time.Second)})
 }
 
-// TestKept: a connection is used again, one that the engine has closed meanwhile is not, and nothing is sent twice.
+// A connection is reused unless the engine has closed it, and no call is sent twice.
 func TestConnectionReuse(t *testing.T) {
 	fleet := standin.NewFleet()
 	e, err := fleet.StartEngine("e", true)
@@ -47,11 +47,11 @@
 	}
 	e.Close()
 	require.Eventually(t, func() bool { return e.ConnCount() == 0 }, time.Second, time.Millisecond)
-	require.Equal(t, decide.Unreachable, read(c, "e").Outcome, "a call that no engine got may not count as run")
+	require.Equal(t, decide.Unreachable, read(c, "e").Outcome, "a call that reached no engine must not count as run")
 	require.Len(t, fleet.Calls(standin.Read), 3)
 }
 
-// TestUnreachable: what never came up was never run; an engine that is not listed is no dispatch at all.
+// A call whose connection was never established did not run. A call to an engine that is not listed is not sent.
 func TestUnreachable(t *testing.T) {
 	ln, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
@@ -62,12 +62,12 @@
 	require.Equal(t, decide.NotSent, read(c, "nobody").Outcome)
 }
 
-// TestBrokenWrite: a connection that breaks while the call is written counts as never run.
+// A call whose connection breaks while it is written did not run.
 func TestBrokenWrite(t *testing.T) {
 	clientSide, engineSide := net.Pipe()
 	go func() {
-		engineSide.Read(make([]byte, 64)) //nolint:errcheck // a part of it
-		engineSide.Close()                //nolint:errcheck // breaks it
+		engineSide.Read(make([]byte, 64)) //nolint:errcheck // a part of the request
+		engineSide.Close()                //nolint:errcheck // breaks the connection
 	}()
 	c := New(Options{ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return clientSide, nil }})
@@ -76,7 +76,7 @@
 	require.Equal(t, decide.Unreachable, read(c, "e").Outcome)
 }
 
-// TestReleaseElsewhere: any engine lets go of all, so one that is gone or silent doesn't keep a state held.
+// Any engine accepts a release for all of them, so that an engine that is gone or silent does not keep state held.
 func TestReleaseAtOtherEngine(t *testing.T) {
 	fleet := standin.NewFleet()
 	var all []Engine
@@ -101,7 +101,7 @@
 	require.Zero(t, fleet.HeldCount())
 }
 
-// TestCommentInEvent: an event that has a comment in it is an event, and a comment alone is none.
+// A comment inside an event belongs to the event. A comment on its own is not an event.
 func TestCommentInEvent(t *testing.T) {
 	clientSide, engineSide := net.Pipe()
 	event := ": X-Load: {\"queue\":7}\ndata: {\"choices\":[]}\n\n"
@@ -133,7 +133,7 @@
 	require.Equal(t, []float64{0.25}, r.Report)
 }
 
-// TestReports: a report that can't be read tells nothing, and one that lacks a figure tells the others.
+// An invalid report has no values. A report that lacks one value has the others.
 func TestParseReport(t *testing.T) {
 	for text, want := range map[string][]float64{`{"util":0.5,"queue":2}`: {2, 0.5}, `{"util":1e999}`: nil, `[1]`: nil, `{"util":`: nil,
 		`{"queue":-1}`: nil, `{"queue":"many"}`: nil, ``: nil} {
@@ -142,5 +142,5 @@
 	report := parseReport([]string{"queue", "util"}, []byte(`{"queue":3}`))
 	require.Len(t, report, 2)
 	require.Equal(t, 3.0, report[0])
-	require.NotEqual(t, report[1], report[1], "a figure that is missing is no number") //nolint:testifylint // NaN
+	require.NotEqual(t, report[1], report[1], "a missing value is NaN") //nolint:testifylint // NaN
 }
--- a/internal/platform/backend/check_test.go
+++ b/internal/platform/backend/check_test.go
@@ -16,7 +16,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// proxied is a client of one stand-in, "e", behind a proxy that plays faults.
+// newProxiedClient returns a client of one stand-in, "e", behind a fault-injecting proxy.
 func newProxiedClient(t *testing.T, plan func(int) faultproxy.Plan, late func() time.Duration) (*Client, *faultproxy.Proxy) {
 	e, err := standin.NewFleet().StartEngine("e", true)
 	require.NoError(t, err)
@@ -27,7 +27,7 @@
 	return newClient(t, Engine{Name: "e", Address: p.Address()}), p
 }
 
-// keep makes connections to an engine that are kept.
+// addIdleConns opens connections to an engine and puts them into the pool.
 func addIdleConns(t *testing.T, c *Client, e Engine, count int) {
 	var all []*engineConn
 	for range count {
@@ -40,14 +40,14 @@
 	}
 }
 
-// readChecked is a read at "e" whose connection is checked where its last answer is older than a time.
+// readChecked makes a read at "e" that requires a check of its connection if its last answer is older than checkAfter.
 func readChecked(ctx context.Context, c *Client, checkAfter time.Duration, onSent func(engine.ConnInfo)) *engine.Result {
 	return c.Read(ctx, &engine.Call{Address: "e", ID: "y", Target: "/v1/chat/completions", Body: []byte("{}"),
 		Deadline: time.Now().Add(time.Second), CheckAfter: checkAfter, OnSent: onSent})
 }
 
-// TestSilentConnectionIsNotUsed: a dispatch that has its connection checked doesn't go by a kept connection that has fallen silent; another
-// does, and waits.
+// A dispatch that requires a check does not use an idle connection that has gone silent. A dispatch without that requirement
+// does, and times out.
 func TestSilentConnectionIsNotUsed(t *testing.T) {
 	for name, test := range map[string]struct {
 		checkAfter time.Duration
@@ -63,12 +63,12 @@
 			var sent engine.ConnInfo
 			r := readChecked(ctx, c, test.checkAfter, func(s engine.ConnInfo) { sent = s })
 			require.Equal(t, test.want, r.Outcome)
-			require.Equal(t, test.checkAfter > 0, sent.Number != 1, "a connection that is not the silent one")
+			require.Equal(t, test.checkAfter > 0, sent.Number != 1, "uses a connection other than the silent one")
 		})
 	}
 }
 
-// TestReleaseBesideSilence: a release is done within a part of the limit though the engines that are asked first are silent.
+// A release succeeds within a third of the holding limit of 800 ms even if the engines that are tried first are silent.
 func TestReleaseWithSilentEngines(t *testing.T) {
 	fleet := standin.NewFleet()
 	var engines []Engine
@@ -85,7 +85,7 @@
 		return standin.None
 	}
 	c := newClient(t, engines...)
-	for _, e := range engines[1:5] { // so that they are asked before the one that answers
+	for _, e := range engines[1:5] { // so that they are tried before the one that answers
 		c.endpoints[e.Name].lastAnswerAt = time.Now()
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond/3)
@@ -93,10 +93,10 @@
 	require.NoError(t, c.Release(ctx, "a", "x"))
 }
 
-// TestNewConnectionIsAsked: a dispatch that has its connection checked is not written to a connection that came up and swallows all; the
-// engine counts as unreachable, and the next one that is made is used.
+// A dispatch that requires a check is not written to a new connection that never answers. The engine counts as unreachable, and
+// the next connection, which works, is used.
 func TestNewConnectionIsChecked(t *testing.T) {
-	var silent atomic.Bool // of connections that come up
+	var silent atomic.Bool // of new connections
 	silent.Store(true)
 	c, _ := newProxiedClient(t, func(int) faultproxy.Plan {
 		if silent.Load() {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestReleaseBesideSilentConnections: a release is done within a part of the limit though all connections that are kept, to
-// whatever engine, have fallen silent, as new ones work.
+// A release succeeds within a third of the holding limit of 800 ms even if all idle connections, to every engine, have gone
+// silent, as long as new ones work.
 func TestReleaseWithSilentConnections(t *testing.T) {
 	const idlePerEngine = 2
 	fleet := standin.NewFleet()
@@ -137,7 +137,7 @@
 		addIdleConns(t, c, e, idlePerEngine)
 	}
 	for _, p := range proxies {
-		require.Eventually(t, func() bool { return p.ConnCount() == idlePerEngine }, time.Second, time.Millisecond, "it has accepted them")
+		require.Eventually(t, func() bool { return p.ConnCount() == idlePerEngine }, time.Second, time.Millisecond, "the proxy has accepted the connections")
 		require.Equal(t, idlePerEngine, p.SilenceOpen())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond/3)
@@ -145,12 +145,12 @@
 	require.NoError(t, c.Release(ctx, "a", "x"))
 }
 
-// TestSilentKeptOnes: of several kept connections that are silent one is waited for, and the rest are closed.
+// If several idle connections are silent, the client waits for one of them and closes the others.
 func TestSilentIdleConnections(t *testing.T) {
 	const idleConns = 4
 	c, p := newProxiedClient(t, nil, nil)
 	addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, idleConns)
-	require.Eventually(t, func() bool { return p.ConnCount() == idleConns }, time.Second, time.Millisecond, "it has accepted them")
+	require.Eventually(t, func() bool { return p.ConnCount() == idleConns }, time.Second, time.Millisecond, "the proxy has accepted the connections")
 	require.Equal(t, idleConns, p.SilenceOpen())
 	time.Sleep(5 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*checkTimeout)
@@ -158,10 +158,9 @@
 	require.Equal(t, decide.Read, readChecked(ctx, c, time.Millisecond, func(engine.ConnInfo) {}).Outcome)
 }
 
-// TestFreshKeptConnectionIsAsked: a connection that was made to be kept, and on which no answer has come yet, is asked before a
-// dispatch that has its connection checked goes by it, however fresh it is.
+// An idle connection on which no answer has come yet is checked before a dispatch that requires it, however new it is.
 func TestUnusedIdleConnectionIsChecked(t *testing.T) {
-	var silent atomic.Bool // of connections that come up
+	var silent atomic.Bool // of new connections
 	c, p := newProxiedClient(t, func(int) faultproxy.Plan {
 		if silent.Load() {
 			return faultproxy.Plan{Silence: faultproxy.AtStart}
@@ -172,7 +171,7 @@
 		silent.Store(silentNow)
 		count := p.ConnCount()
 		addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, 1)
-		require.Eventually(t, func() bool { return p.ConnCount() > count }, time.Second, time.Millisecond, "it has accepted it")
+		require.Eventually(t, func() bool { return p.ConnCount() > count }, time.Second, time.Millisecond, "the proxy has accepted the connection")
 	}
 	silent.Store(false)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*checkTimeout)
@@ -180,15 +179,14 @@
 	var sent engine.ConnInfo
 	r := readChecked(ctx, c, time.Second, func(s engine.ConnInfo) { sent = s })
 	require.Equal(t, decide.Read, r.Outcome)
-	require.EqualValues(t, 3, sent.Number, "one of its own")
+	require.EqualValues(t, 3, sent.Number, "a new connection")
 }
 
-// TestFailedDialIsNotRepeated: where the kept connection is silent and no other comes up, a dispatch counts as not connected behind one
-// dial.
+// If the idle connection is silent and no other can be opened, the dispatch counts as unreachable after a single dial.
 func TestFailedDialIsNotRetried(t *testing.T) {
 	c, p := newProxiedClient(t, nil, nil)
 	addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, 1)
-	require.Eventually(t, func() bool { return p.SilenceOpen() == 1 }, time.Second, time.Millisecond, "it has accepted it")
+	require.Eventually(t, func() bool { return p.SilenceOpen() == 1 }, time.Second, time.Millisecond, "the proxy has accepted the connection")
 	dials := 0
 	c.dialer = engine.NewDialer(1, func(context.Context, string, string) (net.Conn, error) {
 		dials++
@@ -198,8 +196,8 @@
 	require.Equal(t, 1, dials)
 }
 
-// TestNewConnectionUnasked: where engines must not be probed, a new connection is used as it is, also if the process was held up since
-// it came up.
+// Where probes are not allowed, a new connection is used without a check, even if the process was paused since it was
+// established.
 func TestNewConnectionWithoutProbes(t *testing.T) {
 	c, _ := newProxiedClient(t, nil, nil)
 	c.options.ProbesAllowed = false
--- a/internal/platform/backend/dispatch_test.go
+++ b/internal/platform/backend/dispatch_test.go
@@ -19,8 +19,8 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// lateEngine is a client whose one connection comes up when the test says so; heads are those of the calls that were
-// written to it, each answered with a read's answer.
+// slowDialEngine is an engine whose only connection is established when the test allows it. It answers every call as a read,
+// and requests receives the heads of the calls.
 type slowDialEngine struct {
 	client    *Client
 	connected chan struct{}
@@ -31,7 +31,7 @@
 	clientSide, engineSide := net.Pipe()
 	e := &slowDialEngine{connected: make(chan struct{}), requests: make(chan *http1.Head, 1)}
 	e.client = New(Options{ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
-		Dial: func(context.Context, string, string) (net.Conn, error) { // as one that comes up though it was given up
+		Dial: func(context.Context, string, string) (net.Conn, error) { // succeeds even if the dial was given up
 			<-e.connected
 			return clientSide, nil
 		}})
@@ -51,22 +51,22 @@
 	return e
 }
 
-// TestLastLook: what happens while a dispatch's connection comes up is seen before its first byte is written: the time
-// told to the engine is what is left then, and nothing is written for a caller that left, to an engine that drains or is
-// gone, or with no time left. None of these tells anything of the engine, and none may have run.
+// Changes that happen while a dispatch's connection is being established are noticed before the first byte is written. The
+// deadline sent to the engine is the time left at that moment. Nothing is written if the caller has cancelled, if the engine is
+// draining or gone, or if no time is left; such a dispatch says nothing about the engine and did not run.
 func TestChecksBeforeFirstByte(t *testing.T) {
 	const timeout, dialTime = time.Second, 400 * time.Millisecond
 	for name, test := range map[string]struct {
 		duringDial func(e *slowDialEngine, cancel context.CancelCauseFunc)
 		want       decide.Outcome
 	}{
-		"nothing": {func(*slowDialEngine, context.CancelCauseFunc) {}, decide.Read},
-		"it drains": {func(e *slowDialEngine, _ context.CancelCauseFunc) {
+		"no change": {func(*slowDialEngine, context.CancelCauseFunc) {}, decide.Read},
+		"engine drains": {func(e *slowDialEngine, _ context.CancelCauseFunc) {
 			e.client.UpdateEngines(false, []Engine{{"e", "any", true}}, nil)
 		}, decide.NotSent},
-		"it is gone":    {func(e *slowDialEngine, _ context.CancelCauseFunc) { e.client.UpdateEngines(false, nil, []string{"e"}) }, decide.NotSent},
-		"caller leaves": {func(_ *slowDialEngine, cancel context.CancelCauseFunc) { cancel(engine.ErrCancelled) }, decide.NotSent},
-		"too late":      {func(*slowDialEngine, context.CancelCauseFunc) { time.Sleep(timeout) }, decide.NotSent},
+		"engine is gone": {func(e *slowDialEngine, _ context.CancelCauseFunc) { e.client.UpdateEngines(false, nil, []string{"e"}) }, decide.NotSent},
+		"caller cancels": {func(_ *slowDialEngine, cancel context.CancelCauseFunc) { cancel(engine.ErrCancelled) }, decide.NotSent},
+		"no time left":   {func(*slowDialEngine, context.CancelCauseFunc) { time.Sleep(timeout) }, decide.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				r := e.client.Read(ctx, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(timeout)})
 				require.Equal(t, test.want, r.Outcome, "%v", r.Err)
 				if test.want != decide.Read {
-					require.Empty(t, e.requests, "it was written")
+					require.Empty(t, e.requests, "the call was written")
 					return
 				}
 				deadline, _ := (<-e.requests).Get("x-deadline")
@@ -93,11 +93,11 @@
 	}
 }
 
-// faultyConn is a connection whose reads or writes fail as a system call does.
+// faultyConn is a connection whose reads or writes fail with a system call error.
 type faultyConn struct {
 	net.Conn
 	readErr      error
-	bytesWritten int // bytes that are written before write fails; below 0: it does not
+	bytesWritten int // before a write fails; negative if it does not fail
 	writeErr     error
 }
 
@@ -110,13 +110,12 @@
 
 func (c *faultyConn) Write(b []byte) (int, error) {
 	if c.bytesWritten < 0 {
-		return len(b), nil // nobody reads it
+		return len(b), nil // discarded
 	}
 	return c.bytesWritten, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.writeErr)}
 }
 
-// TestSystemCallFaults: errors of system calls, put in through the dialer and the connection, become what is known of
-// the dispatch: nothing was sent, or it may have run.
+// System call errors from the dialer and the connection result in the outcome that tells whether the dispatch may have run.
 func TestSystemCallFaults(t *testing.T) {
 	dialError := func(errno syscall.Errno) Options {
 		return Options{Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -135,16 +134,16 @@
 		options Options
 		want    decide.Outcome
 	}{
-		"connect: EADDRNOTAVAIL":              {dialError(syscall.EADDRNOTAVAIL), decide.NotSent},
-		"connect: ENOBUFS":                    {dialError(syscall.ENOBUFS), decide.NotSent},
-		"connect: EMFILE":                     {dialError(syscall.EMFILE), decide.NotSent},
-		"connect: ENETUNREACH":                {dialError(syscall.ENETUNREACH), decide.Unreachable},
-		"connect: ECONNREFUSED":               {dialError(syscall.ECONNREFUSED), decide.Unreachable},
-		"write: EPIPE at once":                {faulty(faultyConn{writeErr: syscall.EPIPE}), decide.Unreachable},
-		"write: short, then ETIMEDOUT":        {faulty(faultyConn{bytesWritten: 20, writeErr: syscall.ETIMEDOUT}), decide.Unreachable},
-		"read: ETIMEDOUT after the last byte": {faulty(faultyConn{bytesWritten: -1, readErr: syscall.ETIMEDOUT}), decide.Broken},
-		"read: EHOSTUNREACH after it":         {faulty(faultyConn{bytesWritten: -1, readErr: syscall.EHOSTUNREACH}), decide.Broken},
-		"read: ECONNRESET after it":           {faulty(faultyConn{bytesWritten: -1, readErr: syscall.ECONNRESET}), decide.Broken},
+		"connect: EADDRNOTAVAIL":                 {dialError(syscall.EADDRNOTAVAIL), decide.NotSent},
+		"connect: ENOBUFS":                       {dialError(syscall.ENOBUFS), decide.NotSent},
+		"connect: EMFILE":                        {dialError(syscall.EMFILE), decide.NotSent},
+		"connect: ENETUNREACH":                   {dialError(syscall.ENETUNREACH), decide.Unreachable},
+		"connect: ECONNREFUSED":                  {dialError(syscall.ECONNREFUSED), decide.Unreachable},
+		"write: EPIPE before the first byte":     {faulty(faultyConn{writeErr: syscall.EPIPE}), decide.Unreachable},
+		"write: short, then ETIMEDOUT":           {faulty(faultyConn{bytesWritten: 20, writeErr: syscall.ETIMEDOUT}), decide.Unreachable},
+		"read: ETIMEDOUT after the last byte":    {faulty(faultyConn{bytesWritten: -1, readErr: syscall.ETIMEDOUT}), decide.Broken},
+		"read: EHOSTUNREACH after the last byte": {faulty(faultyConn{bytesWritten: -1, readErr: syscall.EHOSTUNREACH}), decide.Broken},
+		"read: ECONNRESET after the last byte":   {faulty(faultyConn{bytesWritten: -1, readErr: syscall.ECONNRESET}), decide.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			test.options.ConnectTimeout, test.options.EngineIdleTimeout, test.options.MaxConns = time.Second, time.Second, 2
--- a/internal/platform/backend/pool_test.go
+++ b/internal/platform/backend/pool_test.go
@@ -17,7 +17,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// pipeTo keeps an idle connection to an engine and returns the engine's side.
+// addIdlePipe adds an idle connection to an engine and returns the engine's side of it.
 func addIdlePipe(c *Client, name string) net.Conn {
 	clientSide, engineSide := net.Pipe()
 	c.returnConn(&engineConn{Conn: clientSide, r: bufio.NewReader(clientSide), endpoint: c.endpoints[name], address: c.endpoints[name].address})
@@ -40,8 +40,8 @@
 	return c
 }
 
-// TestIdleConnections: the one unused for longest goes first, of whichever engine; those to an engine that moves, or is
-// gone, go with it; Tidy closes what was idle for half of an engine's own time.
+// The connection that has been idle the longest is closed first, whichever engine it goes to. Connections to an engine that
+// moves or leaves are closed. Prune closes those that were idle for half of the engine's idle timeout.
 func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPool("a", "b", "c")
@@ -65,8 +65,7 @@
 	})
 }
 
-// TestGoneAreForgotten: an engine that left is still known for a while, for releases, and not for good; one that comes
-// back meanwhile stays.
+// An engine that left stays known for a while, for releases, but not for good. One that returns in time stays.
 func TestGoneEnginesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPool("a", "b", "c")
@@ -84,7 +83,7 @@
 	})
 }
 
-// TestOthers: a release is asked first of those that were heard of last.
+// A release is sent first to the engines that answered most recently.
 func TestReleaseFallbacks(t *testing.T) {
 	c := newPool("a", "b", "c", "d", "e", "f")
 	defer c.Close()
@@ -114,10 +113,10 @@
 	return newPool(names...)
 }
 
-// TestChangesDoNotGrow: a change of the list costs no more memory before 3,200 engines than before 200.
+// A change of the engine list allocates no more with 3,200 engines than with 200.
 func TestListChangeCost(t *testing.T) {
 	small, large := testing.AllocsPerRun(200, listChange(newPoolOfSize(200), 200)), testing.AllocsPerRun(200, listChange(newPoolOfSize(3200), 3200))
-	t.Logf("allocations of a change: %.1f before 200 engines, %.1f before 3,200", small, large)
+	t.Logf("allocations per change: %.1f with 200 engines, %.1f with 3,200", small, large)
 	require.LessOrEqual(t, large, small+1)
 }
 
@@ -133,7 +132,7 @@
 	}
 }
 
-// TestMovedInACall: a connection on which a call runs while its engine moves is not kept: the next call goes to the new address.
+// If an engine moves during a call, the call's connection is not reused, and the next call goes to the new address.
 func TestEngineMovesDuringCall(t *testing.T) {
 	fleet := standin.NewFleet()
 	started, proceed := make(chan struct{}), make(chan struct{})
