--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -126,7 +126,7 @@
 // ConnInfo describes the connection on which a call was sent.
 type ConnInfo struct {
 	Number     uint64    // counted per client
-	LastActive time.Time // when the last answer came; before the first one, when the connection was established, if probes are not allowed
+	LastActive time.Time // when the last answer came; without one, if probes are not allowed, when the connection was established
 }
 
 // Call is a dispatch to be made.
@@ -138,7 +138,7 @@
 	TraceParent    string        // traceparent, empty for none
 	Target         string        // request target, empty for the chat call's default
 	Body           []byte
-	Deadline       time.Time              // until when the client waits for the first token; the engine is told the time left when the call is written
+	Deadline       time.Time              // when the client stops waiting for the first token; the time left is sent to the engine
 	OnSent         func(ConnInfo)         // called when the last byte is written, nil for none
 	OnReport       func(report []float64) // called with the load report in the answer's header, nil for none
 }
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -53,7 +53,7 @@
 	return false, fmt.Errorf("reservation at %s: status %d", name, status)
 }
 
-// Release releases everything that any engine holds for the completion. Any engine accepts it. If no answer comes soon, the
+// Release frees everything that any engine holds for the completion. Any engine accepts the call. If no answer comes soon, the
 // same engine is asked on a new connection, because all idle ones may have gone silent, and then other engines in parallel
 // until one of them answers.
 func (c *Client) Release(ctx context.Context, name, id string) error {
--- a/internal/platform/backend/pool.go
+++ b/internal/platform/backend/pool.go
@@ -29,7 +29,7 @@
 	address string // that it was dialled to; the engine may have moved since
 
 	number      uint64        // counted per client
-	lastActive  time.Time     // when the last answer came; before the first one, when the connection was established, if probes are not allowed
+	lastActive  time.Time     // when the last answer came; without one, if probes are not allowed, when it was established
 	idleElement *list.Element // its place in Client.idle
 }
 
@@ -40,8 +40,8 @@
 }
 
 // UpdateEngines applies a change of the engine list: engines that are new or have changed, and the names of those that have
-// left. With snapshot, engines holds the whole list, and all others have left. The cost of a change does not grow with the
-// number of engines.
+// left. If snapshot is set, engines is the whole list, all others have left, and gone is ignored. Otherwise the cost of a
+// change does not grow with the number of engines.
 func (c *Client) UpdateEngines(snapshot bool, engines []Engine, gone []string) {
 	now := time.Now()
 	var dropped []*engineConn
--- a/internal/platform/backend/stream.go
+++ b/internal/platform/backend/stream.go
@@ -19,7 +19,7 @@
 )
 
 // A working engine may pause between two chunks, but it writes each chunk in one go, and the last one right after the final
-// event. A client may have to wait at most 5 s after the last event of its engine.
+// event. A client may be kept waiting for at most 5 s after the last event of its engine.
 const (
 	maxChunkPause      = 4500 * time.Millisecond
 	maxChunkDuration   = 1500 * time.Millisecond
--- a/internal/platform/http1/http1.go
+++ b/internal/platform/http1/http1.go
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// readLine reads a line and returns it without its CRLF. left is the remaining size limit in bytes.
+// readLine reads a line and returns it without its CRLF. remaining is the part of a size limit that is left, in bytes.
 func readLine(r *bufio.Reader, remaining *int) (string, error) {
 	var prefix []byte
 	for {
