--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -14,11 +14,11 @@
 	"cherryhub/decide"
 )
 
-func TestDialsStayWithinTheirDescriptors(t *testing.T) {
-	dropped := 0
-	d := NewDialer(2, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() { dropped++ })
+func TestDialerConnLimit(t *testing.T) {
+	closedIdle := 0
+	d := NewDialer(2, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() { closedIdle++ })
 	defer d.Close()
-	one, err := d.Dial(t.Context(), "tcp", "x")
+	first, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
 	_, err = d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
@@ -26,39 +26,39 @@
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
 	require.ErrorIs(t, err, errConnLimit)
-	assert.Equal(t, 1, dropped, "idle ones were asked to go")
-	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "no fault of the engine")
+	assert.Equal(t, 1, closedIdle, "idle connections were closed")
+	assert.Equal(t, decide.NotSent, OutcomeOf(t.Context(), err, false), "not the engine's fault")
 	assert.Equal(t, decide.Finished, ProbeOutcome(err))
-	time.AfterFunc(20*time.Millisecond, func() { one.Close(); one.Close() })
+	time.AfterFunc(20*time.Millisecond, func() { first.Close(); first.Close() })
 	_, err = d.Dial(t.Context(), "tcp", "x")
-	assert.NoError(t, err, "one became free")
+	assert.NoError(t, err, "a slot became free")
 	ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err = d.Dial(ctx, "tcp", "x")
-	assert.ErrorIs(t, err, errConnLimit, "closed twice counts once")
+	assert.ErrorIs(t, err, errConnLimit, "closing twice frees one slot")
 }
 
-func TestSpareMakesWayForADial(t *testing.T) {
-	tries, dropped := 0, 0
+func TestSpareDescriptorIsUsedForDial(t *testing.T) {
+	dials, closedIdle := 0, 0
 	var d *Dialer
 	d = NewDialer(4, func(context.Context, string, string) (net.Conn, error) {
-		tries++
+		dials++
 		if d.spare != nil {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 		}
 		a, _ := net.Pipe()
 		return a, nil
-	}, func() { dropped++ })
+	}, func() { closedIdle++ })
 	defer d.Close()
 	_, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
-	assert.Equal(t, 2, tries)
-	assert.Zero(t, dropped, "the ways to engines that hold states stay")
-	assert.NotNil(t, d.spare, "there is one again")
+	assert.Equal(t, 2, dials)
+	assert.Zero(t, closedIdle, "connections to engines that hold state stay open")
+	assert.NotNil(t, d.spare, "the spare is open again")
 }
 
-// TestSpareEndsWithTheClient: a connection that outlives its client opens no descriptor that nobody would close.
-func TestSpareEndsWithTheClient(t *testing.T) {
+// A connection that is closed after its client must not open a spare descriptor, which nobody would close.
+func TestSpareStaysClosedAfterClose(t *testing.T) {
 	d := NewDialer(4, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() {})
 	conn, err := d.Dial(t.Context(), "tcp", "x")
 	require.NoError(t, err)
@@ -66,6 +66,6 @@
 	require.NoError(t, conn.Close())
 	assert.Nil(t, d.spare)
 	_, err = d.Dial(t.Context(), "tcp", "x")
-	require.NoError(t, err, "a release at the end is still sent")
+	require.NoError(t, err, "a release at shutdown is still sent")
 	assert.Nil(t, d.spare)
 }
--- a/internal/platform/backend/dispatch.go
+++ b/internal/platform/backend/dispatch.go
@@ -14,7 +14,7 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// message is a dispatch's bytes, which tell the time that is left as they are made.
+// dispatchMessage returns the bytes of a dispatch. The X-Deadline header holds the time left at the moment of the call.
 func dispatchMessage(call *engine.Call) ([][]byte, error) {
 	left := time.Until(call.Deadline)
 	if left <= 0 {
@@ -23,7 +23,7 @@
 	h := make([]byte, 0, 256)
 	h = append(append(append(h, "POST "...), call.Target...), " HTTP/1.1\r\nHost: engine\r\nContent-Type: application/json\r\nX-Request-Id: "...)
 	h = append(h, call.ID...)
-	if call.IdempotencyKey != "" { // as the client sent it: http1 lets no line end into a value
+	if call.IdempotencyKey != "" { // passed on as the client sent it: http1 rejects values that contain line breaks
 		h = append(append(h, "\r\nIdempotency-Key: "...), call.IdempotencyKey...)
 	}
 	h = append(h, "\r\nX-Deadline: "...)
@@ -32,9 +32,9 @@
 	return [][]byte{h, call.Body}, nil
 }
 
-// post sends a dispatch and gives a head of the status that is wanted, or what the dispatch came to.
+// post sends a dispatch. It returns the response if its status is the wanted one, and the dispatch's result otherwise.
 func (c *Client) post(ctx context.Context, call *engine.Call, wanted int) (*response, *engine.Result) {
-	a, sent, err := c.do(ctx, request{engine: call.Address, startsWork: true, requirement: connRequirement{checkAfter: call.CheckAfter}, onSent: call.OnSent,
+	resp, sent, err := c.do(ctx, request{engine: call.Address, startsWork: true, requirement: connRequirement{checkAfter: call.CheckAfter}, onSent: call.OnSent,
 		build: func() ([][]byte, error) { return dispatchMessage(call) }})
 	if err != nil {
 		r := &engine.Result{Outcome: engine.OutcomeOf(ctx, err, sent), Err: fmt.Errorf("dispatch to %s: %w", call.Address, err)}
@@ -46,12 +46,12 @@
 		}
 		return nil, r
 	}
-	if a.head.Status == wanted {
-		return a, nil
+	if resp.head.Status == wanted {
+		return resp, nil
 	}
-	status := a.head.Status
-	notRun, _ := a.head.Get("x-not-run")
-	r := &engine.Result{Outcome: decide.Errored, Status: status, Report: c.reportInHead(a.head),
+	status := resp.head.Status
+	notRun, _ := resp.head.Get("x-not-run")
+	r := &engine.Result{Outcome: decide.Errored, Status: status, Report: c.reportInHead(resp.head),
 		Err: fmt.Errorf("dispatch to %s: status %d", call.Address, status)}
 	switch {
 	case status == 410 && notRun == "1":
@@ -59,15 +59,15 @@
 	case (status == 503 || status == 504) && notRun == "1":
 		r.Outcome = decide.Full
 	}
-	a.discardBody()
+	resp.discardBody()
 	return nil, r
 }
 
-// drop reads a body that tells nothing, so that the connection can be kept.
-func (a *response) discardBody() {
-	a.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // it is closed if this fails
-	_, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	a.finish(err == nil && !a.head.NoLength)
+// discardBody reads a body that is not needed, so that the connection can be reused.
+func (resp *response) discardBody() {
+	resp.conn.SetDeadline(time.Now().Add(discardTimeout)) //nolint:errcheck // if this fails, the connection is closed
+	_, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
+	resp.finish(err == nil && !resp.head.NoLength)
 }
 
 func (c *Client) reportInHead(h *http1.Head) []float64 {
@@ -77,21 +77,21 @@
 	return nil
 }
 
-// Read has a reader read the prompt and hold its state.
+// Read has a reader run the prefill and hold the resulting state.
 func (c *Client) Read(ctx context.Context, call *engine.Call) *engine.Result {
-	a, bad := c.post(ctx, call, 202)
-	if bad != nil {
-		return bad
+	resp, failed := c.post(ctx, call, 202)
+	if failed != nil {
+		return failed
 	}
-	body, err := http1.ReadBody(a.conn.r, a.head, limits, nil)
-	found := gjson.GetBytes(body, "cached_tokens")
-	if err == nil && (!gjson.ValidBytes(body) || found.Type != gjson.Number) {
-		err = fmt.Errorf("%w: a read's answer without cached_tokens", http1.ErrMalformed)
+	body, err := http1.ReadBody(resp.conn.r, resp.head, limits, nil)
+	cached := gjson.GetBytes(body, "cached_tokens")
+	if err == nil && (!gjson.ValidBytes(body) || cached.Type != gjson.Number) {
+		err = fmt.Errorf("%w: answer to a read has no cached_tokens", http1.ErrMalformed)
 	}
-	a.finish(err == nil && !a.head.NoLength)
+	resp.finish(err == nil && !resp.head.NoLength)
 	if err != nil {
 		err = engineError(err)
 		return &engine.Result{Outcome: engine.OutcomeOf(ctx, err, true), Status: 202, Err: fmt.Errorf("read at %s: %w", call.Address, err)}
 	}
-	return &engine.Result{Outcome: decide.Read, Status: 202, CachedTokens: found.Float(), Report: c.reportInHead(a.head)}
+	return &engine.Result{Outcome: decide.Read, Status: 202, CachedTokens: cached.Float(), Report: c.reportInHead(resp.head)}
 }
--- a/internal/platform/backend/exchange.go
+++ b/internal/platform/backend/exchange.go
@@ -12,39 +12,40 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// answer is a call whose answer's head has come.
+// response is a call whose response head has been read.
 type response struct {
 	client *Client
-	conn   *conn
+	conn   *engineConn
 	head   *http1.Head
-	stop   func() bool // of the context's watch
+	stop   func() bool // ends the watch on the call's context
 }
 
-// done ends the call: its connection is kept or closed.
-func (a *response) finish(keep bool) {
-	if a.stop() && keep && !a.head.Close {
-		a.client.returnConn(a.conn)
+// finish ends the call and returns its connection to the pool or closes it.
+func (resp *response) finish(keep bool) {
+	if resp.stop() && keep && !resp.head.Close {
+		resp.client.returnConn(resp.conn)
 		return
 	}
-	a.conn.Close() //nolint:errcheck // done with it
+	resp.conn.Close() //nolint:errcheck // not needed any more
 }
 
-// outgoing is a call to be made.
+// request is a call to be made.
 type request struct {
 	engine      string
-	startsWork  bool // work at the engine: nothing of it goes to one that drains or is gone
+	startsWork  bool // it starts work at the engine, so it is not sent to one that is draining or gone
 	requirement connRequirement
-	build       func() ([][]byte, error) // is called when the connection is up
-	onSent      func(engine.ConnInfo)    // is called once the last byte is written, nil for none
+	build       func() ([][]byte, error) // called when the connection is ready
+	onSent      func(engine.ConnInfo)    // called when the last byte is written, nil for none
 }
 
-// ready is the last look before a call's first byte, once its connection is up: that may have taken as long as a dial
-// may, in which the caller may have left, the engine may have begun to drain, and the time left has gone by.
-func (c *Client) prepare(ctx context.Context, one *conn, call *request) ([][]byte, error) {
+// prepare makes the last checks before the first byte of a call is written. Opening the connection may have taken up to the
+// connect timeout, in which the caller may have cancelled, the engine may have begun to drain, and the time left may have run
+// out.
+func (c *Client) prepare(ctx context.Context, conn *engineConn, call *request) ([][]byte, error) {
 	c.mu.Lock()
-	drains := one.endpoint.draining || !one.endpoint.listed
+	stopped := conn.endpoint.draining || !conn.endpoint.listed
 	c.mu.Unlock()
-	if call.startsWork && drains {
+	if call.startsWork && stopped {
 		return nil, fmt.Errorf("%s: %w", call.engine, errEngineDraining)
 	}
 	if err := context.Cause(ctx); err != nil {
@@ -53,72 +54,73 @@
 	return call.build()
 }
 
-// do makes a call. sent tells whether its last byte was written. The context's end closes the connection.
-func (c *Client) do(ctx context.Context, call request) (a *response, sent bool, err error) {
-	one, err := c.acquire(ctx, call.engine, call.requirement)
+// do makes a call. sent reports whether its last byte was written. If the context ends, the connection is closed.
+func (c *Client) do(ctx context.Context, call request) (resp *response, sent bool, err error) {
+	conn, err := c.acquire(ctx, call.engine, call.requirement)
 	if err != nil {
 		return nil, false, err
 	}
-	message, err := c.prepare(ctx, one, &call)
+	message, err := c.prepare(ctx, conn, &call)
 	if err != nil {
-		c.returnConn(one) // nothing was written to it
+		c.returnConn(conn) // nothing was written to it
 		return nil, false, err
 	}
-	stop := context.AfterFunc(ctx, func() { one.Close() }) //nolint:errcheck // ends reads and writes
-	head, sent, err := c.exchange(one, message, call.onSent)
+	stop := context.AfterFunc(ctx, func() { conn.Close() }) //nolint:errcheck // unblocks reads and writes
+	head, sent, err := c.exchange(conn, message, call.onSent)
 	if err != nil {
 		stop()
-		one.Close() //nolint:errcheck // of no use
+		conn.Close() //nolint:errcheck // not usable
 		return nil, sent, err
 	}
-	return &response{c, one, head, stop}, true, nil
+	return &response{c, conn, head, stop}, true, nil
 }
 
-// exchange writes a call on a connection and reads the head of its answer. sent tells whether its last byte was written; wrote,
-// nil for none, is called then.
-func (c *Client) exchange(one *conn, message [][]byte, wrote func(engine.ConnInfo)) (head *http1.Head, sent bool, err error) {
+// exchange writes a call to a connection and reads the head of its response. sent reports whether the last byte was written;
+// onSent, which may be nil, is called at that point.
+func (c *Client) exchange(conn *engineConn, message [][]byte, onSent func(engine.ConnInfo)) (head *http1.Head, sent bool, err error) {
 	size := 0
 	for _, part := range message {
 		size += len(part)
 	}
 	buffers := net.Buffers(message)
-	n, err := buffers.WriteTo(one.Conn)
+	n, err := buffers.WriteTo(conn.Conn)
 	if err != nil || int(n) < size {
 		return nil, false, fmt.Errorf("write: %w", err)
 	}
-	if wrote != nil {
-		wrote(engine.ConnInfo{Number: one.number, LastActive: one.lastActive})
+	if onSent != nil {
+		onSent(engine.ConnInfo{Number: conn.number, LastActive: conn.lastActive})
 	}
-	if head, err = readResponseHead(one); err != nil {
+	if head, err = readResponseHead(conn); err != nil {
 		return nil, true, engineError(err)
 	}
-	one.lastActive = time.Now()
+	conn.lastActive = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one.endpoint.lastAnswerAt = one.lastActive
+	conn.endpoint.lastAnswerAt = conn.lastActive
 	return head, true, nil
 }
 
-// aheadMost bounds the 1xx answers ahead of an answer.
+// maxInterimResponses limits the 1xx responses before a final one.
 const maxInterimResponses = 16
 
-// readHead reads an answer's head, which comes at once as soon as it begins, and drops what comes ahead of it.
-func readResponseHead(one *conn) (*http1.Head, error) {
+// readResponseHead reads the head of a response and skips 1xx responses before it. Once a head has begun to come, the rest has
+// to follow without delay.
+func readResponseHead(conn *engineConn) (*http1.Head, error) {
 	for range maxInterimResponses {
-		if _, err := one.r.Peek(1); err != nil {
+		if _, err := conn.r.Peek(1); err != nil {
 			return nil, err
 		}
-		one.SetReadDeadline(time.Now().Add(maxChunkDuration)) //nolint:errcheck // a connection that is closed fails in reading
-		head, err := http1.ReadResponse(one.r, limits)
-		one.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
+		conn.SetReadDeadline(time.Now().Add(maxChunkDuration)) //nolint:errcheck // reading from a closed connection fails
+		head, err := http1.ReadResponse(conn.r, limits)
+		conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
 		if err != nil || head.Status >= 200 {
 			return head, err
 		}
 	}
-	return nil, fmt.Errorf("%w: more than %d answers of 1xx", http1.ErrMalformed, maxInterimResponses)
+	return nil, fmt.Errorf("%w: more than %d interim responses", http1.ErrMalformed, maxInterimResponses)
 }
 
-// broken has what http1 found as the engine client's errors.
+// engineError wraps errors of http1 and read timeouts in the errors of package engine.
 func engineError(err error) error {
 	if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrTooLarge) {
 		return fmt.Errorf("%w: %w", engine.ErrMalformed, err)
--- a/internal/platform/http1/http1.go
+++ b/internal/platform/http1/http1.go
@@ -1,8 +1,7 @@
-// Package http1 reads HTTP/1.1 messages strictly: what two readers could frame in two ways is an error, and nothing
-// is taken on a sender's word but the bytes that came. It reads from a bufio.Reader and leaves whatever follows a
-// message there. It keeps no state between messages and decides nothing. internal/platform's front, backend and
-// the stand-ins use it: net/http and Hertz accept a Content-Length beside a Transfer-Encoding and can't tell how
-// much of a call was written when a connection breaks.
+// Package http1 parses HTTP/1.1 messages strictly: a message whose framing is ambiguous is an error, and memory is allocated as
+// bytes arrive, not as lengths announce them. It reads from a bufio.Reader and leaves there whatever follows a message. It
+// keeps no state between messages. It is used by internal/platform's front, backend and standin, because net/http and Hertz
+// accept a Content-Length beside a Transfer-Encoding and cannot tell how much of a call was written when a connection breaks.
 package http1
 
 import (
@@ -15,53 +14,54 @@
 	"strings"
 )
 
-// Errors of a message. A reader's own errors come back as they are, io.ErrUnexpectedEOF in the middle of a message.
+// Errors of a message. Errors of the underlying reader are returned unchanged, except that io.EOF in the middle of a message
+// becomes io.ErrUnexpectedEOF.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLarge  = errors.New("message too large")
 )
 
-// Limits bound a message.
+// Limits bounds the size of a message.
 type Limits struct {
-	HeadBytes int // bytes of the first line and the fields
+	HeadBytes int // the first line and the header fields together
 	Fields    int
-	BodyBytes int // bytes
+	BodyBytes int
 }
 
-// Field is one header field; its name is in lower case.
+// Field is a header field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or of a response.
+// Head is the head of a request or a response.
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of a response
 	Fields         []Field
-	Length         int  // of the body, -1 where it is chunked, none is 0
-	NoLength       bool // a response whose body ends with the connection, or a request that tells no length
-	Close          bool // the sender closes the connection after the message
+	Length         int  // of the body; 0 for none, -1 for chunked
+	NoLength       bool // a response whose body ends with the connection, or a request without a length
+	Close          bool // the sender closes the connection after this message
 }
 
-// Get is a field's value, and how often it stands there.
-func (h *Head) Get(name string) (value string, times int) {
+// Get returns the first value of a field and the number of its occurrences. The name must be in lower case.
+func (h *Head) Get(name string) (value string, count int) {
 	for _, f := range h.Fields {
 		if f.Name == name {
-			if times == 0 {
+			if count == 0 {
 				value = f.Value
 			}
-			times++
+			count++
 		}
 	}
-	return value, times
+	return value, count
 }
 
 func malformed(format string, a ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, a...))
 }
 
-// ReadRequest reads a request's head. io.EOF: there was none.
-func ReadRequest(r *bufio.Reader, l Limits) (*Head, error) {
-	left := l.HeadBytes
-	line, err := readLine(r, &left)
+// ReadRequest reads the head of a request. It returns io.EOF if the input ends before the first byte.
+func ReadRequest(r *bufio.Reader, limits Limits) (*Head, error) {
+	remaining := limits.HeadBytes
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, err
 	}
@@ -78,22 +78,22 @@
 		}
 	}
 	h := &Head{Method: parts[0], Target: parts[1]}
-	if err := h.readFields(r, l, &left); err != nil {
+	if err := h.readFields(r, limits, &remaining); err != nil {
 		return nil, err
 	}
 	if h.NoLength {
 		h.Length = 0
 	}
-	if _, times := h.Get("host"); times != 1 {
-		return nil, malformed("%d Host fields", times)
+	if _, count := h.Get("host"); count != 1 {
+		return nil, malformed("%d Host fields", count)
 	}
 	return h, nil
 }
 
-// ReadResponse reads a response's head, which may be a 1xx answer ahead of it.
-func ReadResponse(r *bufio.Reader, l Limits) (*Head, error) {
-	left := l.HeadBytes
-	line, err := readLine(r, &left)
+// ReadResponse reads the head of a response, which may be an interim (1xx) one.
+func ReadResponse(r *bufio.Reader, limits Limits) (*Head, error) {
+	remaining := limits.HeadBytes
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
@@ -105,7 +105,7 @@
 		return nil, malformed("status line %.80q", line)
 	}
 	h := &Head{Status: status}
-	if err := h.readFields(r, l, &left); err != nil {
+	if err := h.readFields(r, limits, &remaining); err != nil {
 		return nil, err
 	}
 	if status < 200 || status == 204 || status == 304 {
@@ -114,18 +114,18 @@
 	return h, nil
 }
 
-// read reads the fields and finds how long the body is.
-func (h *Head) readFields(r *bufio.Reader, l Limits, left *int) error {
+// readFields reads the header fields and determines how the body is framed.
+func (h *Head) readFields(r *bufio.Reader, limits Limits, remaining *int) error {
 	for {
-		line, err := readLine(r, left)
+		line, err := readLine(r, remaining)
 		if err != nil {
 			return unexpectedEOF(err)
 		}
 		if line == "" {
-			return h.setFraming(l)
+			return h.setFraming(limits)
 		}
 		name, value, found := strings.Cut(line, ":")
-		if !found || !isToken(name) { // a folded line begins with a space, which is no token
+		if !found || !isToken(name) { // a folded line begins with a space, which is not a token character
 			return malformed("header line %.80q", line)
 		}
 		value = strings.Trim(value, " \t")
@@ -134,30 +134,30 @@
 				return malformed("header value of %.40q", name)
 			}
 		}
-		if len(h.Fields) >= l.Fields {
-			return fmt.Errorf("%w: more than %d header fields", ErrTooLarge, l.Fields)
+		if len(h.Fields) >= limits.Fields {
+			return fmt.Errorf("%w: more than %d header fields", ErrTooLarge, limits.Fields)
 		}
 		h.Fields = append(h.Fields, Field{strings.ToLower(name), value})
 	}
 }
 
-func (h *Head) setFraming(l Limits) error {
+func (h *Head) setFraming(limits Limits) error {
 	if v, _ := h.Get("connection"); strings.EqualFold(v, "close") {
 		h.Close = true
 	}
-	length, lengths := h.Get("content-length")
-	encoding, encodings := h.Get("transfer-encoding")
+	length, lengthCount := h.Get("content-length")
+	encoding, encodingCount := h.Get("transfer-encoding")
 	switch {
-	case lengths > 0 && encodings > 0:
+	case lengthCount > 0 && encodingCount > 0:
 		return malformed("Content-Length with Transfer-Encoding")
-	case lengths > 1 || encodings > 1:
-		return malformed("a length given twice")
-	case encodings == 1:
+	case lengthCount > 1 || encodingCount > 1:
+		return malformed("duplicate Content-Length or Transfer-Encoding")
+	case encodingCount == 1:
 		if !strings.EqualFold(encoding, "chunked") {
 			return malformed("Transfer-Encoding %.40q", encoding)
 		}
 		h.Length = -1
-	case lengths == 1:
+	case lengthCount == 1:
 		n, ok := parseDigits(length, 10)
 		if !ok && len(length) > 0 && strings.Trim(length, "0123456789") == "" {
 			return fmt.Errorf("%w: Content-Length %.40s", ErrTooLarge, length)
@@ -165,7 +165,7 @@
 		if !ok {
 			return malformed("Content-Length %.40q", length)
 		}
-		if n > l.BodyBytes {
+		if n > limits.BodyBytes {
 			return fmt.Errorf("%w: Content-Length %d", ErrTooLarge, n)
 		}
 		h.Length = n
@@ -175,29 +175,29 @@
 	return nil
 }
 
-// readLine reads up to a CRLF, which it leaves out.
-func readLine(r *bufio.Reader, left *int) (string, error) {
-	var long []byte
+// readLine reads a line and returns it without its CRLF. remaining is the part of a size limit that is left, in bytes.
+func readLine(r *bufio.Reader, remaining *int) (string, error) {
+	var prefix []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if *left -= len(part); *left < 0 {
-			return "", fmt.Errorf("%w: its head", ErrTooLarge)
+		if *remaining -= len(part); *remaining < 0 {
+			return "", fmt.Errorf("%w: head", ErrTooLarge)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, part...)
+			prefix = append(prefix, part...)
 			continue
 		}
 		if err != nil {
-			if len(long)+len(part) > 0 {
+			if len(prefix)+len(part) > 0 {
 				err = unexpectedEOF(err)
 			}
 			return "", err
 		}
-		if long != nil {
-			part = append(long, part...)
+		if prefix != nil {
+			part = append(prefix, part...)
 		}
 		if len(part) < 2 || part[len(part)-2] != '\r' {
-			return "", malformed("a line without CR")
+			return "", malformed("line without CR")
 		}
 		return string(part[:len(part)-2]), nil
 	}
@@ -210,7 +210,7 @@
 	return err
 }
 
-// number reads digits and nothing else, no more than fit a size that any limit could allow.
+// parseDigits parses an unsigned number of at most 9 digits, which covers every size that a limit could allow.
 func parseDigits(s string, base int) (int, bool) {
 	if len(s) == 0 || len(s) > 9 {
 		return 0, false
@@ -235,15 +235,16 @@
 	return s != ""
 }
 
-// bodyAhead is the memory that a body gets before it came, in bytes.
+// bodyStepBytes is the memory that is allocated for a body before its bytes arrive.
 const bodyStepBytes = 8 << 10
 
-// ReadBody reads the body that a head announces. grow is asked before more memory is used, nil for no such question.
-func ReadBody(r *bufio.Reader, h *Head, l Limits, grow func(bytes int) error) ([]byte, error) {
+// ReadBody reads the body that a head announces. grow, unless nil, is called before memory for more bytes is used, and may
+// refuse it with an error.
+func ReadBody(r *bufio.Reader, h *Head, limits Limits, grow func(bytes int) error) ([]byte, error) {
 	var body []byte
-	take := func(n int) error {
-		if len(body)+n > l.BodyBytes {
-			return fmt.Errorf("%w: its body", ErrTooLarge)
+	readData := func(n int) error {
+		if len(body)+n > limits.BodyBytes {
+			return fmt.Errorf("%w: body", ErrTooLarge)
 		}
 		if grow != nil {
 			if err := grow(n); err != nil {
@@ -252,9 +253,9 @@
 		}
 		for n > 0 {
 			step := min(n, max(bodyStepBytes, len(body)))
-			at := len(body)
+			start := len(body)
 			body = append(body, make([]byte, step)...)
-			if _, err := io.ReadFull(r, body[at:]); err != nil {
+			if _, err := io.ReadFull(r, body[start:]); err != nil {
 				return unexpectedEOF(err)
 			}
 			n -= step
@@ -262,18 +263,18 @@
 		return nil
 	}
 	if h.Length >= 0 {
-		err := take(h.Length)
+		err := readData(h.Length)
 		return body, err
 	}
 	for {
-		n, err := readChunkSize(r, l.BodyBytes)
+		n, err := readChunkSize(r, limits.BodyBytes)
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
 			return body, readTrailer(r)
 		}
-		if err := take(n); err != nil {
+		if err := readData(n); err != nil {
 			return nil, err
 		}
 		if err := readChunkEnd(r); err != nil {
@@ -282,10 +283,10 @@
 	}
 }
 
-// ReadChunk appends the data of one chunk to buf, once all of it has come and fits. io.EOF: it was the last one, and
-// the message is whole. No chunk is longer than most.
-func ReadChunk(r *bufio.Reader, buf []byte, most int) ([]byte, error) {
-	n, err := readChunkSize(r, most)
+// ReadChunk appends the data of one chunk to buf once the chunk has come in full. It returns io.EOF after the last chunk, when
+// the message is complete. A chunk must not be longer than maxBytes.
+func ReadChunk(r *bufio.Reader, buf []byte, maxBytes int) ([]byte, error) {
+	n, err := readChunkSize(r, maxBytes)
 	if err != nil {
 		return buf, err
 	}
@@ -295,28 +296,28 @@
 		}
 		return buf, io.EOF
 	}
-	begin := len(buf)
+	chunkStart := len(buf)
 	for n > 0 {
 		step := min(n, bodyStepBytes)
-		at := len(buf)
+		start := len(buf)
 		buf = append(buf, make([]byte, step)...)
-		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return buf[:begin], unexpectedEOF(err)
+		if _, err := io.ReadFull(r, buf[start:]); err != nil {
+			return buf[:chunkStart], unexpectedEOF(err)
 		}
 		n -= step
 	}
 	if err := readChunkEnd(r); err != nil {
-		return buf[:begin], err
+		return buf[:chunkStart], err
 	}
 	return buf, nil
 }
 
-// chunkLine bounds a chunk's first line: its size, and extensions, which mean nothing here.
+// maxChunkLineBytes limits the line with a chunk's size and its extensions, which are ignored.
 const maxChunkLineBytes = 256
 
-func readChunkSize(r *bufio.Reader, most int) (int, error) {
-	left := maxChunkLineBytes
-	line, err := readLine(r, &left)
+func readChunkSize(r *bufio.Reader, maxBytes int) (int, error) {
+	remaining := maxChunkLineBytes
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return 0, unexpectedEOF(err)
 	}
@@ -325,8 +326,8 @@
 	if !ok {
 		return 0, malformed("chunk size %.40q", line)
 	}
-	if n > most {
-		return 0, fmt.Errorf("%w: a chunk of %d bytes", ErrTooLarge, n)
+	if n > maxBytes {
+		return 0, fmt.Errorf("%w: chunk of %d bytes", ErrTooLarge, n)
 	}
 	return n, nil
 }
@@ -337,15 +338,15 @@
 		return unexpectedEOF(err)
 	}
 	if !bytes.Equal(end[:], []byte("\r\n")) {
-		return malformed("a chunk that does not fit its size")
+		return malformed("chunk data does not match its size")
 	}
 	return nil
 }
 
-// trailer reads what follows the last chunk.
+// readTrailer reads the trailer fields after the last chunk.
 func readTrailer(r *bufio.Reader) error {
-	for left := maxChunkLineBytes * 16; ; {
-		line, err := readLine(r, &left)
+	for remaining := maxChunkLineBytes * 16; ; {
+		line, err := readLine(r, &remaining)
 		if err != nil {
 			return unexpectedEOF(err)
 		}
