--- a/internal/platform/standin/discovery.go
+++ b/internal/platform/standin/discovery.go
@@ -14,21 +14,21 @@
 	"cherryhub/internal/platform/discovery"
 )
 
-// Discovery is a stand-in of the platform's list of engines.
+// Discovery is a stand-in for the platform's discovery service, which lists the engines.
 type Discovery struct {
 	mu             sync.Mutex
 	list           discovery.List
-	changes        []discovery.List // changes, in turn
-	changed        chan struct{}
+	changes        []discovery.List // one entry for each update, oldest first
+	changed        chan struct{}    // closed and replaced at each update
 	requestCount   int
-	FixedAnswer    string               // in place of each answer, where not empty
-	drainAnnounced map[string]time.Time // when an answer that has an engine as draining was first written, by engine
-	silent         chan struct{}        // no call is answered until it is closed, nil for none
+	FixedAnswer    string               // sent in place of every answer if not empty
+	drainAnnounced map[string]time.Time // by engine: when the first answer that lists it as draining was sent
+	silent         chan struct{}        // not nil: no request is answered until it is closed
 	server         *http.Server
 	ln             net.Listener
 }
 
-// StartDiscovery starts one.
+// StartDiscovery starts a discovery service on loopback that lists the given engines.
 func StartDiscovery(hosts []discovery.Host) (*Discovery, error) {
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
@@ -38,32 +38,32 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", d.serveHosts)
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	go d.server.Serve(ln) //nolint:errcheck // ends with Close
+	go d.server.Serve(ln) //nolint:errcheck // returns when Close is called
 	return d, nil
 }
 
-// Address is where it listens.
+// Address returns the listening address.
 func (d *Discovery) Address() string { return d.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the service and closes its connections.
 func (d *Discovery) Close() error { return d.server.Close() }
 
-// Asked is how often it was asked.
+// RequestCount returns how many requests the service has received, apart from those that Silence left unanswered from the start.
 func (d *Discovery) RequestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.requestCount
 }
 
-// Break has it answer with this text from now on, or well again for an empty one.
+// SetFixedAnswer makes the service answer every request with the given text, or normally again if it is empty.
 func (d *Discovery) SetFixedAnswer(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.FixedAnswer = text
 }
 
-// Silence has it answer nothing, calls that wait already included, until the function that it returns is called; those
-// calls are never answered.
+// Silence makes the service answer nothing, including requests that are already waiting, until the returned function is called. The
+// requests it affects are never answered.
 func (d *Discovery) Silence() (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// mute waits for the caller to give up where it is silent.
+// waitSilent reports whether the service is silent. If so, it first waits until the client gives up.
 func (d *Discovery) waitSilent(r *http.Request) bool {
 	d.mu.Lock()
 	silent := d.silent
@@ -91,21 +91,21 @@
 	return true
 }
 
-// Told is when a router was first told that an engine drains, the zero time for never.
+// DrainAnnounced returns when a client was first told that an engine is draining, or the zero time if none was.
 func (d *Discovery) DrainAnnounced(engine string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.drainAnnounced[engine]
 }
 
-// Hosts are the engines as they are.
+// Hosts returns the current list of engines.
 func (d *Discovery) Hosts() []discovery.Host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.list.Hosts)
 }
 
-// Change tells of one engine.
+// Update adds an engine to the list or replaces its entry, and notifies the waiting clients.
 func (d *Discovery) Update(h discovery.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,19 +133,19 @@
 	d.requestCount++
 	if d.FixedAnswer != "" {
 		defer d.mu.Unlock()
-		w.Write([]byte(d.FixedAnswer)) //nolint:errcheck // a stand-in
+		w.Write([]byte(d.FixedAnswer)) //nolint:errcheck // the client sees the failure
 		return
 	}
 	answer := d.list
 	if watch {
-		at, _ := strconv.ParseInt(from[0], 10, 64)
-		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-		if at >= d.list.Version {
-			news := d.changed
+		version, _ := strconv.ParseInt(from[0], 10, 64)
+		holdMillis, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+		if version >= d.list.Version {
+			changed := d.changed
 			d.mu.Unlock()
 			select {
-			case <-news:
-			case <-time.After(time.Duration(hold) * time.Millisecond):
+			case <-changed:
+			case <-time.After(time.Duration(holdMillis) * time.Millisecond):
 			case <-r.Context().Done():
 				return
 			}
@@ -156,19 +156,19 @@
 		}
 		answer = discovery.List{Version: d.list.Version, Hosts: []discovery.Host{}}
 		for _, change := range d.changes {
-			if change.Version > at {
+			if change.Version > version {
 				answer.Hosts = append(answer.Hosts, change.Hosts...)
 			}
 		}
 	}
 	text, err := json.Marshal(answer)
 	for _, h := range answer.Hosts {
-		if _, before := d.drainAnnounced[h.Name]; !before && h.Health == "Terminating" {
+		if _, known := d.drainAnnounced[h.Name]; !known && h.Health == "Terminating" {
 			d.drainAnnounced[h.Name] = time.Now()
 		}
 	}
 	d.mu.Unlock()
 	if err == nil {
-		w.Write(text) //nolint:errcheck // a stand-in
+		w.Write(text) //nolint:errcheck // the client sees the failure
 	}
 }
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is stand-ins for the platform: engines and discovery on loopback that speak its protocol, do what
-// a test has them do, and keep a record of what crossed the sockets, against which the rules are checked. They are
-// simulated servers written by this project; no figure taken with them says how fast a real engine is. Tests of
+// Package standin provides stand-ins for the platform's servers: engines and a discovery service on loopback that speak its
+// protocol, inject faults on request and record the calls they receive, so that tests can check the rules against the record. They
+// are simulated servers written by this project; no figure measured with them says how fast a real engine is. The tests of
 // internal/platform use it.
 package standin
 
@@ -19,10 +19,11 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// Kind is what a call to an engine is.
+// Kind is the kind of a call to an engine.
 type Kind string
 
-// The kinds of call.
+// The kinds of call. Reserve asks an engine for a reservation, which it holds for a request whose read is open. Release frees all that
+// is held for a request.
 const (
 	Read    Kind = "read"
 	Write   Kind = "write"
@@ -31,7 +32,7 @@
 	Probe   Kind = "probe"
 )
 
-// Call is one call whose last byte came.
+// Call is a call that an engine has received completely.
 type Call struct {
 	Received      time.Time
 	Engine        string
@@ -41,16 +42,17 @@
 	Body          []byte
 	ConnNumber    int // number of the connection at its engine, from 1
 	Fields        []http1.Field
-	Ended         time.Time // when its connection ended or its answer was written
-	NotRun        bool      // its engine said that it did not run
-	AnswerStarted time.Time // when its answer began to be written, zero for never
-	RemoteAddr    string    // the other end of its connection
-	EngineDown    time.Time // its engine hung, stopped, vanished or was started anew then, as it came or later; zero: it did not
-	lost          bool      // its engine never answers it
+	Ended         time.Time // when its answer was written or its connection ended; zero while it is open
+	NotRun        bool      // the engine answered that it did not run the call
+	AnswerStarted time.Time // when the engine began to write its answer; zero: it did not
+	RemoteAddr    string    // of the connection's other end
+	EngineDown    time.Time // when the engine hung, stopped, vanished or restarted, on arrival of the call or later; zero: it did not
+	lost          bool      // the engine never answers it
 }
 
-// Ran is the span in which the call was at an engine that runs, by the strictest reading: up to its answer or the end of its
-// connection, and no longer than its engine ran. One that came to an engine which did not run has none. The end is zero while it runs.
+// RunSpan returns the time span in which the call was at a running engine, by the strictest interpretation: until its answer or the end
+// of its connection, and no longer than the engine ran. ran is false if the engine was not running when the call arrived. The end is
+// zero while the call runs.
 func (c *Call) RunSpan() (from, to time.Time, ran bool) {
 	to = c.Ended
 	if !c.EngineDown.IsZero() && (to.IsZero() || c.EngineDown.Before(to)) {
@@ -59,58 +61,58 @@
 	return c.Received, to, to.IsZero() || to.After(c.Received)
 }
 
-// Fault is how an engine spoils a call.
+// Fault is a way in which an engine fails a call.
 type Fault string
 
-// The faults. None is a good answer.
+// The faults. None is a normal answer.
 const (
 	None                 Fault = ""
 	ServerError          Fault = "500"
 	Unavailable          Fault = "503 not run"
 	Gone                 Fault = "410 not run"
 	Silent               Fault = "silent"
-	Hung                 Fault = "hung" // as Silent, by an engine that does not run any more as far as this call goes
-	CloseBeforeAnswer    Fault = "cut before the answer"
-	CloseAfterFirstEvent Fault = "cut after the first event"
-	InvalidHead          Fault = "noise for a head"
-	EndlessHead          Fault = "a head without end"
-	BadChunkSize         Fault = "a chunk whose size can't be read"
-	BadChunkLength       Fault = "a chunk that doesn't fit"
-	HugeChunk            Fault = "a chunk of 3 GB"
-	LaterBadChunkSize    Fault = "a later chunk whose size can't be read"
-	MissingFinalEvents   Fault = "a stream that ends without its last events"
-	Stall                Fault = "a stream that stops after its first event"
-	InterimAnswers       Fault = "1xx ahead"
-	BadReport            Fault = "a report that can't be read"
-	SecondAnswer         Fault = "a second answer behind"
+	Hung                 Fault = "hung" // like Silent, and the engine counts as not running for this call
+	CloseBeforeAnswer    Fault = "closed before the answer"
+	CloseAfterFirstEvent Fault = "closed after the first event"
+	InvalidHead          Fault = "invalid head"
+	EndlessHead          Fault = "endless head"
+	BadChunkSize         Fault = "invalid chunk size"
+	BadChunkLength       Fault = "chunk longer than its size"
+	HugeChunk            Fault = "chunk of 3 GB"
+	LaterBadChunkSize    Fault = "invalid size of a later chunk"
+	MissingFinalEvents   Fault = "stream without its final events"
+	Stall                Fault = "stream stalls after its first event"
+	InterimAnswers       Fault = "1xx before the answer"
+	BadReport            Fault = "invalid load report"
+	SecondAnswer         Fault = "second answer after the first"
 )
 
-// World is what the engines of a test share.
+// Fleet is the set of engines of a test, with the held state and the call record that they share.
 type Fleet struct {
 	mu            sync.Mutex
 	calls         []*Call
-	held          map[string]map[string]time.Time // by id, by engine: since when
-	holds         []Hold                          // that have ended
-	EventInterval time.Duration                   // between two events
-	EventCount    int                             // of an answer
-	InjectFault   func(c *Call, nth int) Fault    // nth call of its id and kind, from 0; nil: none
-	ServiceTime   func(c *Call) time.Duration     // what a read or a write takes up to its answer, nil: nothing
-	Strict        bool                            // what is held follows the protocol to the letter, see strict.go
+	held          map[string]map[string]time.Time // by request ID and engine: since when something is held
+	holds         []Hold                          // those that have ended
+	EventInterval time.Duration                   // between two events of an answer
+	EventCount    int                             // of an answer, without the final ones
+	InjectFault   func(c *Call, nth int) Fault    // the fault for the nth call of its ID and kind, from 0; nil: none
+	ServiceTime   func(c *Call) time.Duration     // time before the answer to a read or a write; nil: none
+	Strict        bool                            // held state follows the protocol exactly, see strict.go
 	callCounts    map[string]int
-	prefilled     map[string]bool      // ids whose prompt was read
-	hungUntil     map[string]time.Time // engines that hang, until when
+	prefilled     map[string]bool      // IDs whose prompt was read
+	hungUntil     map[string]time.Time // by engine: until when it hangs
 }
 
-// NewWorld makes a world.
+// NewFleet returns a fleet without engines.
 func NewFleet() *Fleet {
 	return &Fleet{held: map[string]map[string]time.Time{}, callCounts: map[string]int{}, prefilled: map[string]bool{}, hungUntil: map[string]time.Time{}, EventCount: 3}
 }
 
-// Calls are a copy of the record, of one kind or of all.
-func (w *Fleet) Calls(kind Kind) (all []Call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, c := range w.calls {
+// Calls returns a copy of the recorded calls of one kind, or of all kinds if it is empty.
+func (f *Fleet) Calls(kind Kind) (all []Call) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, c := range f.calls {
 		if kind == "" || c.Kind == kind {
 			all = append(all, *c)
 		}
@@ -118,54 +120,54 @@
 	return all
 }
 
-// Held is how many states and places are held.
-func (w *Fleet) HeldCount() (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, at := range w.held {
-		n += len(at)
+// HeldCount returns how many states and reservations are held.
+func (f *Fleet) HeldCount() (n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, engines := range f.held {
+		n += len(engines)
 	}
 	return n
 }
 
-// Hold is a state or a place that was held for an id, until To.
+// Hold is the time for which an engine held a state or a reservation for a request.
 type Hold struct {
 	ID, Engine string
 	From, To   time.Time
 }
 
-// Holds are all that were held, to now where they still are.
-func (w *Fleet) Holds() []Hold {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	all := slices.Clone(w.holds)
-	for id, at := range w.held {
-		for engine, since := range at {
+// Holds returns all holds so far. Those that have not ended last until now.
+func (f *Fleet) Holds() []Hold {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	all := slices.Clone(f.holds)
+	for id, engines := range f.held {
+		for engine, since := range engines {
 			all = append(all, Hold{id, engine, since, time.Now()})
 		}
 	}
 	return all
 }
 
-// hold books that an engine holds something for an id; it is called with the lock, as is letGo.
-func (w *Fleet) addHold(id, engine string) {
-	if w.held[id] == nil {
-		w.held[id] = map[string]time.Time{}
+// addHold records that an engine holds something for a request. The caller holds the lock.
+func (f *Fleet) addHold(id, engine string) {
+	if f.held[id] == nil {
+		f.held[id] = map[string]time.Time{}
 	}
-	if _, already := w.held[id][engine]; !already {
-		w.held[id][engine] = time.Now()
+	if _, held := f.held[id][engine]; !held {
+		f.held[id][engine] = time.Now()
 	}
 }
 
-// letGo books that nothing is held for an id any more.
-func (w *Fleet) endHolds(id string) {
-	for engine, since := range w.held[id] {
-		w.holds = append(w.holds, Hold{id, engine, since, time.Now()})
+// endHolds records that nothing is held for a request any more. The caller holds the lock.
+func (f *Fleet) endHolds(id string) {
+	for engine, since := range f.held[id] {
+		f.holds = append(f.holds, Hold{id, engine, since, time.Now()})
 	}
-	delete(w.held, id)
+	delete(f.held, id)
 }
 
-// Engine is one engine.
+// Engine is a stand-in for an engine.
 type Engine struct {
 	fleet     *Fleet
 	Name      string
@@ -176,23 +178,23 @@
 	connCount int
 }
 
-// Start starts an engine; reads: it is a reader.
-func (w *Fleet) StartEngine(name string, reads bool) (*Engine, error) {
+// StartEngine starts an engine on loopback, a reader or a writer.
+func (f *Fleet) StartEngine(name string, isReader bool) (*Engine, error) {
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
 		return nil, fmt.Errorf("engine %s: %w", name, err)
 	}
-	e := &Engine{fleet: w, Name: name, isReader: reads, ln: ln, conns: map[net.Conn]bool{}}
+	e := &Engine{fleet: f, Name: name, isReader: isReader, ln: ln, conns: map[net.Conn]bool{}}
 	go e.serve()
 	return e, nil
 }
 
-// Address is where it listens.
+// Address returns the listening address.
 func (e *Engine) Address() string { return e.ln.Addr().String() }
 
-// Close ends it and all its connections, as a process that dies.
+// Close stops the engine and closes all its connections, like a process that dies.
 func (e *Engine) Close() {
-	e.ln.Close() //nolint:errcheck // a stand-in
+	e.ln.Close() //nolint:errcheck // best effort
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for conn := range e.conns {
@@ -200,7 +202,7 @@
 	}
 }
 
-// Conns is how many connections are open.
+// ConnCount returns how many connections are open.
 func (e *Engine) ConnCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -220,7 +222,7 @@
 		e.mu.Unlock()
 		go func() {
 			e.serveConn(conn, n)
-			conn.Close() //nolint:errcheck // a stand-in
+			conn.Close() //nolint:errcheck // best effort
 			e.mu.Lock()
 			delete(e.conns, conn)
 			e.mu.Unlock()
@@ -232,7 +234,7 @@
 
 const roomsPath = "/bootstrap/rooms/"
 
-// speak answers calls until the connection ends or is of no further use.
+// serveConn answers calls until the connection ends or cannot be reused.
 func (e *Engine) serveConn(conn net.Conn, n int) {
 	r := bufio.NewReader(conn)
 	for {
@@ -245,10 +247,10 @@
 			return
 		}
 		c := &Call{Received: time.Now(), Engine: e.Name, Target: h.Target, Body: body, ConnNumber: n, Fields: h.Fields, RemoteAddr: conn.RemoteAddr().String()}
-		switch id, room := strings.CutPrefix(h.Target, roomsPath); {
-		case room && h.Method == "POST":
+		switch id, isRoom := strings.CutPrefix(h.Target, roomsPath); {
+		case isRoom && h.Method == "POST":
 			c.Kind, c.ID = Reserve, id
-		case room:
+		case isRoom:
 			c.Kind, c.ID = Release, id
 		case h.Method == "GET":
 			c.Kind = Probe
@@ -259,45 +261,45 @@
 			}
 		}
 		fault := e.record(c)
-		good := e.answer(conn, c, fault)
+		reusable := e.answer(conn, c, fault)
 		e.fleet.mu.Lock()
 		c.Ended = time.Now()
 		e.fleet.mu.Unlock()
-		if !good {
+		if !reusable {
 			return
 		}
 	}
 }
 
-// note books a call and what it does to what is held.
+// record records a call and its effect on held state, and returns the fault to inject.
 func (e *Engine) record(c *Call) Fault {
-	w := e.fleet
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.calls = append(w.calls, c)
+	f := e.fleet
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.calls = append(f.calls, c)
 	key := string(c.Kind) + " " + c.ID
-	nth := w.callCounts[key]
-	w.callCounts[key]++
+	nth := f.callCounts[key]
+	f.callCounts[key]++
 	fault := None
-	if w.InjectFault != nil {
-		fault = w.InjectFault(c, nth)
+	if f.InjectFault != nil {
+		fault = f.InjectFault(c, nth)
 	}
 	switch c.Kind {
 	case Release:
-		if !w.Strict || !w.hasWaitingWrite(c.ID) {
-			w.endHolds(c.ID)
+		if !f.Strict || !f.hasWaitingWrite(c.ID) {
+			f.endHolds(c.ID)
 		}
 	case Reserve:
-		if fault == None && !w.Strict {
-			w.addHold(c.ID, e.Name)
+		if fault == None && !f.Strict {
+			f.addHold(c.ID, e.Name)
 		}
 	case Write:
-		if fault != Unavailable && fault != Gone && !w.Strict {
-			w.endHolds(c.ID)
+		if fault != Unavailable && fault != Gone && !f.Strict {
+			f.endHolds(c.ID)
 		}
 	}
 	c.NotRun = fault == Unavailable || fault == Gone
-	if fault == Hung || c.isAttempt() && c.Received.Before(w.hungUntil[e.Name]) {
+	if fault == Hung || c.isAttempt() && c.Received.Before(f.hungUntil[e.Name]) {
 		c.EngineDown, c.lost = c.Received, true
 	}
 	return fault
@@ -315,20 +317,20 @@
 	loadReport = `{"util":0.5,"queue":1,"x0":0.25}`
 )
 
-// Event is the text of an answer's event, as a client must get it.
+// EventText returns the nth event of an answer, as the client must receive it.
 func EventText(engine, id string, n int) string {
 	return fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{"content":"%s %s %d"},"finish_reason":null}]}`+"\n\n", engine, id, n)
 }
 
-// Last is the text of an answer's last events.
+// FinalEvents are the events that end an answer: finish reason, usage and the end mark.
 const FinalEvents = `data: {"choices":[{"index":0,"delta":{"content":"."},"finish_reason":"stop"}]}` + "\n\n" +
 	`data: {"choices":[],"usage":{"prompt_tokens":512,"completion_tokens":8,"prompt_tokens_details":{"cached_tokens":64}}}` + "\n\n" +
 	"data: [DONE]\n\n"
 
-// answer answers a call and tells whether the connection can be used on.
+// answer answers a call, and reports whether the connection can be reused.
 func (e *Engine) answer(conn net.Conn, c *Call, fault Fault) bool {
-	wait := func() bool { // until the other side closes
-		conn.SetReadDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a stand-in
+	waitClosed := func() bool { // until the other side closes the connection
+		conn.SetReadDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // best effort
 		_, err := conn.Read(make([]byte, 1))
 		var timeout net.Error
 		return err == nil || errors.As(err, &timeout) && timeout.Timeout()
@@ -350,7 +352,7 @@
 	e.fleet.mu.Unlock()
 	switch fault {
 	case Silent, Hung:
-		wait()
+		waitClosed()
 		return false
 	case CloseBeforeAnswer:
 		return false
@@ -362,7 +364,7 @@
 		return writeTo(conn, "HTTP/1.1 410 Gone\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	case InvalidHead:
 		writeTo(conn, "\x00\x17\xfe noise\r\n\r\n")
-		wait()
+		waitClosed()
 		return false
 	case EndlessHead:
 		writeTo(conn, "HTTP/1.1 200 OK\r\n")
@@ -372,9 +374,9 @@
 	case InterimAnswers:
 		writeTo(conn, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n")
 	}
-	text := loadReport
+	load := loadReport
 	if fault == BadReport {
-		text = `{"util":nonsense`
+		load = `{"util":nonsense`
 	}
 	switch c.Kind {
 	case Read:
@@ -382,22 +384,22 @@
 		e.fleet.addHold(c.ID, e.Name)
 		e.fleet.prefilled[c.ID] = true
 		e.fleet.mu.Unlock()
-		good := writeTo(conn, "HTTP/1.1 202 Accepted\r\nX-Load: %s\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":128}", text)
+		reusable := writeTo(conn, "HTTP/1.1 202 Accepted\r\nX-Load: %s\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":128}", load)
 		if fault == SecondAnswer {
 			writeTo(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}
-		return good
+		return reusable
 	case Reserve:
 		return writeTo(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	case Release:
 		return writeTo(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	case Probe:
-		return writeTo(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		return writeTo(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(load), load)
 	}
-	return e.stream(conn, c, fault, text, wait)
+	return e.stream(conn, c, fault, load, waitClosed)
 }
 
-func (e *Engine) stream(conn net.Conn, c *Call, fault Fault, text string, wait func() bool) bool {
+func (e *Engine) stream(conn net.Conn, c *Call, fault Fault, load string, waitClosed func() bool) bool {
 	first := chunk(EventText(e.Name, c.ID, 0))
 	switch fault {
 	case BadChunkSize:
@@ -415,12 +417,12 @@
 	}
 	switch fault {
 	case BadChunkSize, BadChunkLength:
-		wait()
+		waitClosed()
 		return false
 	case CloseAfterFirstEvent:
 		return false
 	case Stall:
-		wait()
+		waitClosed()
 		return false
 	}
 	for n := 1; n < e.fleet.EventCount; n++ {
@@ -432,15 +434,15 @@
 	switch fault {
 	case LaterBadChunkSize:
 		writeTo(conn, "-5\r\nabc\r\n")
-		wait()
+		waitClosed()
 		return false
 	case MissingFinalEvents:
 		writeTo(conn, "0\r\n\r\n")
 		return true
 	}
-	good := writeTo(conn, "%s%s0\r\n\r\n", chunk(FinalEvents), chunk(": X-Load: "+text+"\n\n"))
+	reusable := writeTo(conn, "%s%s0\r\n\r\n", chunk(FinalEvents), chunk(": X-Load: "+load+"\n\n"))
 	if fault == SecondAnswer {
 		writeTo(conn, "%s%s0\r\n\r\n", streamHead, chunk(EventText("nobody", c.ID, 9)))
 	}
-	return good
+	return reusable
 }
--- a/internal/platform/standin/strict.go
+++ b/internal/platform/standin/strict.go
@@ -7,66 +7,66 @@
 	"time"
 )
 
-// A strict world keeps what is held as the protocol has it: a place is granted only while a read is out, a write takes its
-// state with its first event, however long it waited before, and is told where the state is gone. A release lets go of what no
-// write waits for. Where the protocol leaves open whether a place is held, it is.
+// A fleet with Strict set holds state exactly as the protocol says: a reservation is granted only while a read of the request is
+// open. A write takes over its state with its first event, however long it waited before, and is refused if the state has been
+// released. A release frees the state unless a write waits for it. Where the protocol leaves open whether a reservation is held, it is.
 
-// noPlace is the answer to a call for a place that came when no read was out.
-const noOpenRead Fault = "no read is out"
+// noOpenRead is the result of a reservation call for which no read is open.
+const noOpenRead Fault = "no open read"
 
-// placeWait is how long a call for a place waits for the read that it is for.
+// reservationWait is how long a reservation call waits for its read to arrive.
 const reservationWait = 300 * time.Millisecond
 
-// work is what a read or a write takes up to its answer. False: the other side gave it up meanwhile.
+// waitServiceTime waits for the service time of a read or a write. It returns false if the other side gave up the call meanwhile.
 func (e *Engine) waitServiceTime(conn net.Conn, c *Call) bool {
 	if e.fleet.ServiceTime == nil || c.Kind != Read && c.Kind != Write {
 		return true
 	}
-	takes := e.fleet.ServiceTime(c)
-	if takes <= 0 {
+	serviceTime := e.fleet.ServiceTime(c)
+	if serviceTime <= 0 {
 		return true
 	}
-	conn.SetReadDeadline(time.Now().Add(takes)) //nolint:errcheck // a stand-in
+	conn.SetReadDeadline(time.Now().Add(serviceTime)) //nolint:errcheck // the read below fails then
 	_, err := conn.Read(make([]byte, 1))
-	conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
+	conn.SetReadDeadline(time.Time{}) //nolint:errcheck // later reads fail then
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// settle is what becomes of a place or of a write that is about to begin.
-func (w *Fleet) admit(c *Call) Fault {
+// admit decides, before the answer to a reservation or a write, whether the engine runs it, and updates what is held.
+func (f *Fleet) admit(c *Call) Fault {
 	switch c.Kind {
 	case Reserve:
-		return w.admitReservation(c)
+		return f.admitReservation(c)
 	case Write:
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if w.prefilled[c.ID] && len(w.held[c.ID]) == 0 {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		if f.prefilled[c.ID] && len(f.held[c.ID]) == 0 {
 			c.NotRun = true
 			return Gone
 		}
-		w.endHolds(c.ID)
+		f.endHolds(c.ID)
 	}
 	return None
 }
 
-func (w *Fleet) admitReservation(c *Call) Fault {
-	w.mu.Lock()
-	w.addHold(c.ID, c.Engine)
-	w.mu.Unlock()
+func (f *Fleet) admitReservation(c *Call) Fault {
+	f.mu.Lock()
+	f.addHold(c.ID, c.Engine)
+	f.mu.Unlock()
 	for until := time.Now().Add(reservationWait); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
-		w.mu.Lock()
-		out := w.hasOpenRead(c.ID)
-		w.mu.Unlock()
-		if out {
+		f.mu.Lock()
+		open := f.hasOpenRead(c.ID)
+		f.mu.Unlock()
+		if open {
 			return None
 		}
 	}
 	return noOpenRead
 }
 
-// readOut tells whether a read of an id is out; it is called with the lock.
-func (w *Fleet) hasOpenRead(id string) bool {
-	for _, c := range w.calls {
+// hasOpenRead reports whether a read of a request is open. The caller holds the lock.
+func (f *Fleet) hasOpenRead(id string) bool {
+	for _, c := range f.calls {
 		if c.ID == id && c.Kind == Read && c.Ended.IsZero() {
 			return true
 		}
@@ -74,31 +74,31 @@
 	return false
 }
 
-// isAttempt tells whether a call is a read or a write.
+// isAttempt reports whether a call is a read or a write.
 func (c *Call) isAttempt() bool { return c.Kind == Read || c.Kind == Write }
 
-// isLost tells whether a call's engine never answers it.
-func (w *Fleet) isLost(c *Call) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// isLost reports whether the engine never answers the call.
+func (f *Fleet) isLost(c *Call) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	return c.lost
 }
 
-// Hang has an engine lose the reads and writes that it has, and all that come until a time: it takes them and never answers.
-// Everything else it answers. A time that is past: it was started anew.
-func (w *Fleet) Hang(engine string, until time.Time) { w.loseCalls(engine, until, true) }
+// Hang makes an engine accept and never answer the reads and writes that it has now and all that arrive until the given time. It answers
+// all other calls. A time in the past models a restart: only the calls that it has now are lost.
+func (f *Fleet) Hang(engine string, until time.Time) { f.markEngineDown(engine, until, true) }
 
-// Stop books that an engine's machine stops or vanishes: the writes that it has do not run from now on, as far as anybody can tell. A read
-// that has arrived counts, answered or not.
-func (w *Fleet) MarkStopped(engine string) { w.loseCalls(engine, time.Time{}, false) }
+// MarkStopped records that an engine's machine stops or vanishes: the writes that it has count as not running from now on. A read that
+// has arrived counts as running, answered or not.
+func (f *Fleet) MarkStopped(engine string) { f.markEngineDown(engine, time.Time{}, false) }
 
-func (w *Fleet) loseCalls(engine string, until time.Time, lost bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *Fleet) markEngineDown(engine string, until time.Time, lost bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if lost {
-		w.hungUntil[engine] = until
+		f.hungUntil[engine] = until
 	}
-	for _, c := range w.calls {
+	for _, c := range f.calls {
 		if c.Engine != engine || !c.isAttempt() || !c.Ended.IsZero() || !c.AnswerStarted.IsZero() || !lost && c.Kind == Read {
 			continue
 		}
@@ -109,9 +109,9 @@
 	}
 }
 
-// writeWaits tells whether a write of an id is at an engine that runs, and has not begun; it is called with the lock.
-func (w *Fleet) hasWaitingWrite(id string) bool {
-	for _, c := range w.calls {
+// hasWaitingWrite reports whether a write of a request waits for its answer at a running engine. The caller holds the lock.
+func (f *Fleet) hasWaitingWrite(id string) bool {
+	for _, c := range f.calls {
 		if c.ID == id && c.Kind == Write && !c.NotRun && c.AnswerStarted.IsZero() && c.Ended.IsZero() && c.EngineDown.IsZero() {
 			return true
 		}
