--- a/internal/platform/faultproxy/faultproxy.go
+++ b/internal/platform/faultproxy/faultproxy.go
@@ -1,6 +1,7 @@
-// Package faultproxy is a TCP relay on loopback that spoils connections on purpose: it swallows bytes without an error,
-// holds them back, delays answers and resets connections. Tests and the soak put one before each stand-in engine; a router
-// never uses it.
+// Package faultproxy is a TCP relay on loopback that injects connection faults: it drops bytes without an error, pauses and delays
+// traffic, and resets connections. Tests and the soak test put one in front of each stand-in engine; a router never uses it.
+//
+// A silent connection stays open on both sides, but all bytes that arrive on it from then on are dropped.
 package faultproxy
 
 import (
@@ -13,29 +14,29 @@
 	"cherryhub/internal/loopback"
 )
 
-// Trigger says when a fault of one connection begins.
+// Trigger says when a fault of a connection begins.
 type Trigger uint8
 
-// The triggers. A fault with Never does not come.
+// The triggers. A fault with Never does not occur.
 const (
 	Never Trigger = iota
 	AtStart
-	AfterBytes  // of what the router sends
-	AfterAnswer // once the first bytes of an answer have passed
-	OnAnswer    // as the bytes of an answer come, once so many have passed
+	AfterBytes  // once the router has sent Plan.Bytes bytes
+	AfterAnswer // once the first bytes of an answer have been passed on
+	OnAnswer    // when bytes of an answer arrive after Plan.Answers pieces have been passed on
 )
 
-// Plan is what happens to one connection.
+// Plan lists the faults of one connection.
 type Plan struct {
-	Silence    Trigger       // from then on no byte passes in either direction, and no error is seen
-	Reset      Trigger       // then the connection is reset
+	Silence    Trigger       // the connection becomes silent
+	Reset      Trigger       // the connection is reset
 	Bytes      int           // for AfterBytes
-	Answers    int           // for AtAnswer
-	StartDelay time.Duration // for so long after it came up nothing passes
-	SendDelay  time.Duration // what the router sends passes so much later
+	Answers    int           // for OnAnswer
+	StartDelay time.Duration // nothing is passed on for this time after the connection is accepted
+	SendDelay  time.Duration // delay of all that the router sends
 }
 
-// Direction is one way through a proxy.
+// Direction is a direction through a proxy.
 type Direction uint8
 
 // The directions.
@@ -45,7 +46,7 @@
 	numDirections
 )
 
-// Proxy relays connections to one address.
+// Proxy relays connections to an address.
 type Proxy struct {
 	ln          net.Listener
 	target      string
@@ -53,129 +54,128 @@
 	answerDelay func() time.Duration
 
 	mu        sync.Mutex
-	changed   *sync.Cond // gates, bytes that wait, ends
+	changed   *sync.Cond // signals changes of paused, starting, buffered, readEnded and closed
 	paused    [numDirections]bool
 	conns     map[*proxyConn]bool
-	trigger   sendTrigger // that has connections swallow what is sent
-	vanished  bool        // nothing passes, on any connection
+	trigger   sendTrigger // makes connections silent at a large piece
+	vanished  bool        // all connections are silent, new ones too
 	records   map[string]*ConnRecord
 	connCount int
 	closed    bool
 }
 
-// Passage is what one connection carried to the router's side.
+// ConnRecord records what a connection carried to the router.
 type ConnRecord struct {
-	AnswerTimes []time.Time // when bytes of answers were passed on
-	Closed      time.Time   // when the router closed it, or it was reset; zero: it is open
+	AnswerTimes []time.Time // when pieces of answers were passed on
+	Closed      time.Time   // when the router closed the connection or it was reset; zero while it is open
 }
 
-// passagesMost bounds what is remembered; later connections go without.
+// maxConnRecords bounds the records of a proxy. Later connections have none.
 const maxConnRecords = 1 << 16
 
-// Passage is that of the connection which the engine knows by this address, of its other end; nil where it is unknown.
+// ConnRecord returns the record of the connection that the engine sees under this remote address, or nil if there is none.
 func (p *Proxy) ConnRecord(peer string) *ConnRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.records[peer]
-	if one == nil {
+	rec := p.records[peer]
+	if rec == nil {
 		return nil
 	}
-	return &ConnRecord{slices.Clone(one.AnswerTimes), one.Closed}
+	return &ConnRecord{slices.Clone(rec.AnswerTimes), rec.Closed}
 }
 
-// Start starts a proxy before an address. plan gives the plan of its nth connection, from 0; wait is how long each piece of
-// an answer is held back. Either may be nil.
-func Start(to string, plan func(n int) Plan, wait func() time.Duration) (*Proxy, error) {
+// Start starts a proxy in front of an address. plan returns the plan of the nth connection, from 0, and answerDelay the delay of the next
+// piece of an answer. Either may be nil.
+func Start(target string, plan func(n int) Plan, answerDelay func() time.Duration) (*Proxy, error) {
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
 		return nil, fmt.Errorf("fault proxy: %w", err)
 	}
-	p := &Proxy{ln: ln, target: to, plan: plan, answerDelay: wait, conns: map[*proxyConn]bool{}, records: map[string]*ConnRecord{}}
+	p := &Proxy{ln: ln, target: target, plan: plan, answerDelay: answerDelay, conns: map[*proxyConn]bool{}, records: map[string]*ConnRecord{}}
 	p.changed = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the listening address.
 func (p *Proxy) Address() string { return p.ln.Addr().String() }
 
-// Count is how many connections there were.
+// ConnCount returns how many connections have been relayed.
 func (p *Proxy) ConnCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connCount
 }
 
-// Close ends it and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
-	p.ln.Close() //nolint:errcheck // nobody comes any more
+	p.ln.Close() //nolint:errcheck // no further connections are expected
 	p.mu.Lock()
 	p.closed = true
-	for l := range p.conns {
-		l.close()
+	for c := range p.conns {
+		c.close()
 	}
 	p.changed.Broadcast()
 	p.mu.Unlock()
 }
 
-// Hold lets no bytes pass in a direction, on connections that are open and new ones alike, until Pass. They are kept and
-// pass then.
+// Pause stops traffic in a direction, on open and on new connections, until Resume. What arrives meanwhile is buffered and passed on
+// then.
 func (p *Proxy) Pause(d Direction) { p.setPaused(d, true) }
 
-// Pass ends Hold.
+// Resume ends Pause.
 func (p *Proxy) Resume(d Direction) { p.setPaused(d, false) }
 
-func (p *Proxy) setPaused(d Direction, shut bool) {
+func (p *Proxy) setPaused(d Direction, paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.paused[d] = shut
+	p.paused[d] = paused
 	p.changed.Broadcast()
 }
 
-// SilenceOpen has all connections that are open now swallow what is sent from now on, and tells how many they are. New
-// ones work.
+// SilenceOpen makes all connections that are open now silent and returns how many they are. New connections work.
 func (p *Proxy) SilenceOpen() (n int) { return p.SilenceIdle(0) }
 
-// SilenceIdle is SilenceOpen for those connections that have carried nothing for so long.
+// SilenceIdle is SilenceOpen for the connections that have carried nothing for the given time.
 func (p *Proxy) SilenceIdle(idle time.Duration) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.silenceIdleLocked(idle)
 }
 
-// silence is SilenceIdle; it is called with the lock.
+// silenceIdleLocked is SilenceIdle for callers that hold the lock.
 func (p *Proxy) silenceIdleLocked(idle time.Duration) (n int) {
-	for l := range p.conns {
-		if time.Since(l.lastActive) >= idle {
-			l.silent = true
+	for c := range p.conns {
+		if time.Since(c.lastActive) >= idle {
+			c.silent = true
 			n++
 		}
 	}
 	return n
 }
 
-// piece is the next one of so many bytes or more that a router sends; 0 for none.
+// sendTrigger makes connections silent when a router next sends a piece of this size or more. Zero bytes: it is not set.
 type sendTrigger struct {
 	bytes    int
-	connOnly bool // its own connection swallows what is sent, and no other
+	connOnly bool // only the connection that carries the piece becomes silent
 }
 
-// SilenceOpenAt is SilenceOpen in the moment in which a router sends the next piece of so many bytes or more: that piece is the
-// first that is swallowed.
+// SilenceOpenOnSend is SilenceOpen at the moment when a router next sends a piece of at least this many bytes. That piece is the first
+// to be dropped.
 func (p *Proxy) SilenceOpenOnSend(bytes int) { p.setSendTrigger(sendTrigger{bytes: bytes}) }
 
-// SwallowPiece is SilenceOpenAt for the connection alone on which the piece is sent.
+// SilenceConnOnSend is SilenceOpenOnSend for only the connection that carries the piece.
 func (p *Proxy) SilenceConnOnSend(bytes int) {
 	p.setSendTrigger(sendTrigger{bytes: bytes, connOnly: true})
 }
 
-func (p *Proxy) setSendTrigger(large sendTrigger) {
+func (p *Proxy) setSendTrigger(trigger sendTrigger) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trigger = large
+	p.trigger = trigger
 }
 
-// Vanish is SilenceOpen, and has new connections come up and swallow all, until Return.
+// Vanish makes all connections silent, including those that are opened before Restore is called.
 func (p *Proxy) Vanish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,14 +183,14 @@
 	p.silenceIdleLocked(0)
 }
 
-// Return ends Vanish: the connections that are silent are reset, and new ones work.
+// Restore ends Vanish: silent connections are reset, and new ones work.
 func (p *Proxy) Restore() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vanished = false
-	for l := range p.conns {
-		if l.silent {
-			l.reset()
+	for c := range p.conns {
+		if c.silent {
+			c.reset()
 		}
 	}
 }
@@ -199,8 +199,8 @@
 func (p *Proxy) ResetOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.conns {
-		l.reset()
+	for c := range p.conns {
+		c.reset()
 	}
 }
 
@@ -214,192 +214,192 @@
 	}
 }
 
-// link is one connection through a proxy. The proxy's lock guards it.
+// proxyConn is a connection through a proxy. The proxy's lock guards it.
 type proxyConn struct {
 	proxy          *Proxy
 	plan           Plan
 	router, engine net.Conn
 	silent         bool
-	starting       bool      // it has come up, and nothing passes yet
-	sentBytes      int       // bytes to the engine
-	lastActive     time.Time // when bytes came from either side last
+	starting       bool      // the connection is accepted, but its start delay is not over
+	sentBytes      int       // bytes that the router has sent
+	lastActive     time.Time // when either side last sent bytes
 	record         *ConnRecord
 	buffered       [numDirections][]byte
-	readEnded      [numDirections]bool // no more comes from that side
+	readEnded      [numDirections]bool // the sender of that direction has closed
 }
 
 func (p *Proxy) relay(router net.Conn) {
 	engine, err := net.Dial("tcp", p.target)
 	if err != nil {
-		router.Close() //nolint:errcheck // as the engine would
+		router.Close() //nolint:errcheck // the engine refused the connection
 		return
 	}
-	l := &proxyConn{proxy: p, router: router, engine: engine, lastActive: time.Now(), record: &ConnRecord{}}
+	c := &proxyConn{proxy: p, router: router, engine: engine, lastActive: time.Now(), record: &ConnRecord{}}
 	p.mu.Lock()
 	if len(p.records) < maxConnRecords {
-		p.records[engine.LocalAddr().String()] = l.record
+		p.records[engine.LocalAddr().String()] = c.record
 	}
 	if p.plan != nil {
-		l.plan = p.plan(p.connCount)
+		c.plan = p.plan(p.connCount)
 	}
 	p.connCount++
-	l.silent = l.plan.Silence == AtStart || p.vanished
-	if l.starting = l.plan.StartDelay > 0; l.starting {
-		time.AfterFunc(l.plan.StartDelay, l.endStartDelay)
+	c.silent = c.plan.Silence == AtStart || p.vanished
+	if c.starting = c.plan.StartDelay > 0; c.starting {
+		time.AfterFunc(c.plan.StartDelay, c.endStartDelay)
 	}
-	p.conns[l] = true
+	p.conns[c] = true
 	if p.closed {
-		l.close()
+		c.close()
 	}
-	if l.plan.Reset == AtStart {
-		l.reset()
+	if c.plan.Reset == AtStart {
+		c.reset()
 	}
 	p.mu.Unlock()
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	for d, from := range [numDirections]net.Conn{router, engine} {
-		both.Go(func() { l.read(Direction(d), from) })
-		both.Go(func() { l.write(Direction(d)) })
+		wg.Go(func() { c.read(Direction(d), from) })
+		wg.Go(func() { c.write(Direction(d)) })
 	}
-	both.Wait()
+	wg.Wait()
 	p.mu.Lock()
-	delete(p.conns, l)
-	l.close()
+	delete(p.conns, c)
+	c.close()
 	p.mu.Unlock()
 }
 
-// arrive ends a connection's lateness.
-func (l *proxyConn) endStartDelay() {
-	l.proxy.mu.Lock()
-	defer l.proxy.mu.Unlock()
-	l.starting = false
-	l.proxy.changed.Broadcast()
+// endStartDelay ends the connection's start delay.
+func (c *proxyConn) endStartDelay() {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	c.starting = false
+	c.proxy.changed.Broadcast()
 }
 
 const bufferBytes = 32 << 10
 
-// read takes what one side sends.
-func (l *proxyConn) read(d Direction, from net.Conn) {
+// read reads what the sender of a direction sends.
+func (c *proxyConn) read(d Direction, from net.Conn) {
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
 		switch {
 		case n == 0:
-		case d == ToRouter && l.proxy.answerDelay != nil:
-			time.Sleep(l.proxy.answerDelay())
+		case d == ToRouter && c.proxy.answerDelay != nil:
+			time.Sleep(c.proxy.answerDelay())
 		case d == ToEngine:
-			time.Sleep(l.plan.SendDelay)
+			time.Sleep(c.plan.SendDelay)
 		}
-		l.proxy.mu.Lock()
-		l.lastActive = time.Now()
-		if large := l.proxy.trigger; d == ToEngine && large.bytes > 0 && n >= large.bytes {
-			l.proxy.trigger = sendTrigger{}
-			if l.silent = true; !large.connOnly {
-				l.proxy.silenceIdleLocked(0)
+		c.proxy.mu.Lock()
+		c.lastActive = time.Now()
+		if trigger := c.proxy.trigger; d == ToEngine && trigger.bytes > 0 && n >= trigger.bytes {
+			c.proxy.trigger = sendTrigger{}
+			if c.silent = true; !trigger.connOnly {
+				c.proxy.silenceIdleLocked(0)
 			}
 		}
-		l.enqueue(d, buf[:n])
+		c.enqueue(d, buf[:n])
 		if err != nil {
-			l.readEnded[d] = true
-			if d == ToEngine && l.record.Closed.IsZero() {
-				l.record.Closed = time.Now()
+			c.readEnded[d] = true
+			if d == ToEngine && c.record.Closed.IsZero() {
+				c.record.Closed = time.Now()
 			}
 		}
-		l.proxy.changed.Broadcast()
-		l.proxy.mu.Unlock()
+		c.proxy.changed.Broadcast()
+		c.proxy.mu.Unlock()
 		if err != nil {
 			return
 		}
 	}
 }
 
-// take has bytes wait for their way, and begins the faults that they trigger. It is called with the lock.
-func (l *proxyConn) enqueue(d Direction, bytes []byte) {
-	if d == ToRouter && l.plan.Silence == OnAnswer && len(l.record.AnswerTimes) >= l.plan.Answers {
-		l.silent = true
+// enqueue buffers bytes for a direction, and begins the faults that they trigger. The caller holds the lock.
+func (c *proxyConn) enqueue(d Direction, bytes []byte) {
+	if d == ToRouter && c.plan.Silence == OnAnswer && len(c.record.AnswerTimes) >= c.plan.Answers {
+		c.silent = true
 	}
-	if l.silent || len(bytes) == 0 {
+	if c.silent || len(bytes) == 0 {
 		return
 	}
-	after := len(bytes)
+	keep := len(bytes)
 	if d == ToEngine {
-		l.sentBytes += len(bytes)
-		if over := l.sentBytes - l.plan.Bytes; over >= 0 && (l.plan.Silence == AfterBytes || l.plan.Reset == AfterBytes) {
-			after = max(0, len(bytes)-over)
-			l.silent = l.plan.Silence == AfterBytes
+		c.sentBytes += len(bytes)
+		if excess := c.sentBytes - c.plan.Bytes; excess >= 0 && (c.plan.Silence == AfterBytes || c.plan.Reset == AfterBytes) {
+			keep = max(0, len(bytes)-excess)
+			c.silent = c.plan.Silence == AfterBytes
 		}
 	}
-	l.buffered[d] = append(l.buffered[d], bytes[:after]...)
-	if d == ToEngine && after < len(bytes) && l.plan.Reset == AfterBytes {
-		l.reset()
+	c.buffered[d] = append(c.buffered[d], bytes[:keep]...)
+	if d == ToEngine && keep < len(bytes) && c.plan.Reset == AfterBytes {
+		c.reset()
 	}
 }
 
-// write passes on what waits, while the way is open.
-func (l *proxyConn) write(d Direction) {
-	to := l.engine
+// write passes on the buffered bytes of a direction while it is not paused.
+func (c *proxyConn) write(d Direction) {
+	to := c.engine
 	if d == ToRouter {
-		to = l.router
+		to = c.router
 	}
 	for {
-		bytes, last := l.dequeue(d)
+		bytes, last := c.dequeue(d)
 		if len(bytes) > 0 {
 			if _, err := to.Write(bytes); err != nil {
 				last = true
 			}
 		}
 		if d == ToRouter && len(bytes) > 0 {
-			l.answerPassed()
+			c.answerPassed()
 		}
 		if last {
-			l.proxy.mu.Lock()
-			l.close()
-			l.proxy.mu.Unlock()
+			c.proxy.mu.Lock()
+			c.close()
+			c.proxy.mu.Unlock()
 			return
 		}
 	}
 }
 
-// next waits for bytes that may pass; last: nothing comes after them.
-func (l *proxyConn) dequeue(d Direction) (bytes []byte, last bool) {
-	l.proxy.mu.Lock()
-	defer l.proxy.mu.Unlock()
+// dequeue waits for bytes that may be passed on. last reports that the direction has ended and there are none.
+func (c *proxyConn) dequeue(d Direction) (bytes []byte, last bool) {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
 	for {
-		open := !l.proxy.paused[d] && !l.starting || l.proxy.closed
+		open := !c.proxy.paused[d] && !c.starting || c.proxy.closed
 		switch {
-		case len(l.buffered[d]) > 0 && open:
-			bytes, l.buffered[d] = l.buffered[d], nil
-			if d == ToRouter && l.plan.Silence == AfterAnswer {
-				l.silent = true // before the router has them: its next call may come at once
+		case len(c.buffered[d]) > 0 && open:
+			bytes, c.buffered[d] = c.buffered[d], nil
+			if d == ToRouter && c.plan.Silence == AfterAnswer {
+				c.silent = true // set before the router has the bytes, as it may send its next call at once
 			}
 			return bytes, false
-		case l.readEnded[d] && (open || d == ToEngine && len(l.buffered[d]) == 0):
+		case c.readEnded[d] && (open || d == ToEngine && len(c.buffered[d]) == 0):
 			return nil, true
 		}
-		l.proxy.changed.Wait()
+		c.proxy.changed.Wait()
 	}
 }
 
-// answered books bytes of an answer that have passed, and begins the reset that follows the first.
-func (l *proxyConn) answerPassed() {
-	l.proxy.mu.Lock()
-	defer l.proxy.mu.Unlock()
-	l.record.AnswerTimes = append(l.record.AnswerTimes, time.Now())
-	if l.plan.Reset == AfterAnswer {
-		l.reset()
+// answerPassed records that bytes of an answer were passed on, and resets the connection if its plan says so.
+func (c *proxyConn) answerPassed() {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	c.record.AnswerTimes = append(c.record.AnswerTimes, time.Now())
+	if c.plan.Reset == AfterAnswer {
+		c.reset()
 	}
 }
 
-// end closes both sides; it is called with the lock, as is reset.
-func (l *proxyConn) close() {
-	l.router.Close() //nolint:errcheck // it may be closed
-	l.engine.Close() //nolint:errcheck // as above
+// close closes both sides. The caller holds the lock, as for reset.
+func (c *proxyConn) close() {
+	c.router.Close() //nolint:errcheck // it may be closed already
+	c.engine.Close() //nolint:errcheck // as above
 }
 
-func (l *proxyConn) reset() {
-	for _, side := range [...]net.Conn{l.router, l.engine} {
-		if tcp, is := side.(*net.TCPConn); is {
-			tcp.SetLinger(0) //nolint:errcheck // closed below
+func (c *proxyConn) reset() {
+	for _, side := range [...]net.Conn{c.router, c.engine} {
+		if tcp, ok := side.(*net.TCPConn); ok {
+			tcp.SetLinger(0) //nolint:errcheck // the connection is closed without a reset then
 		}
 	}
-	l.close()
+	c.close()
 }
--- a/internal/platform/faultproxy/faultproxy_test.go
+++ b/internal/platform/faultproxy/faultproxy_test.go
@@ -14,7 +14,7 @@
 	"cherryhub/internal/loopback"
 )
 
-// echo answers each line with itself and tells what lines came.
+// echo starts a server that echoes each line, and returns its address and the lines it receives.
 func echo(t *testing.T) (address string, lines chan string) {
 	ln, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 				in := bufio.NewScanner(conn)
 				for in.Scan() {
 					lines <- in.Text()
-					io.WriteString(conn, in.Text()+"\n") //nolint:errcheck // a test
+					io.WriteString(conn, in.Text()+"\n") //nolint:errcheck // a failure shows in the answers
 				}
 			}()
 		}
@@ -39,12 +39,12 @@
 	return ln.Addr().String(), lines
 }
 
-// ask writes a line and reads one back; empty: nothing came, "reset": an error.
+// ask writes a line and returns the one that comes back: empty if none does within 100 ms, "reset" after an error.
 func ask(conn net.Conn, line string) string {
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "reset"
 	}
-	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) //nolint:errcheck // a test
+	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) //nolint:errcheck // a failure shows in the answers
 	buf := make([]byte, 64)
 	n, err := conn.Read(buf)
 	switch {
@@ -56,33 +56,34 @@
 	return "reset"
 }
 
-// TestPlans: each plan spoils its connection when it says, without an error where it swallows, and the next is whole.
+// TestPlans checks that each plan's fault begins at its trigger, that a silent connection shows no error, and that the next connection
+// works.
 func TestPlans(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		plan   Plan
-		first  string // what two lines on the spoilt connection come to
+		first  string // the answers to two lines on the first connection
 		second string
 	}{
 		"none":                  {Plan{}, "one", "two"},
-		"silent at once":        {Plan{Silence: AtStart}, "", ""},
+		"silent from the start": {Plan{Silence: AtStart}, "", ""},
 		"silent after bytes":    {Plan{Silence: AfterBytes, Bytes: 6}, "one", ""},
 		"silent after answer":   {Plan{Silence: AfterAnswer}, "one", ""},
-		"an answer lost":        {Plan{Silence: OnAnswer, Answers: 1}, "one", ""},
-		"the first answer lost": {Plan{Silence: OnAnswer}, "", ""},
+		"second answer lost":    {Plan{Silence: OnAnswer, Answers: 1}, "one", ""},
+		"first answer lost":     {Plan{Silence: OnAnswer}, "", ""},
 		"reset in the middle":   {Plan{Reset: AfterBytes, Bytes: 2}, "reset", "reset"},
 		"reset after an answer": {Plan{Reset: AfterAnswer}, "one", "reset"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			to, _ := echo(t)
-			p, err := Start(to, func(n int) Plan {
+			target, _ := echo(t)
+			p, err := Start(target, func(n int) Plan {
 				if n == 0 {
-					return one.plan
+					return test.plan
 				}
 				return Plan{}
 			}, nil)
 			require.NoError(t, err)
 			defer p.Close()
-			for n, want := range [][2]string{{one.first, one.second}, {"one", "two"}} {
+			for n, want := range [][2]string{{test.first, test.second}, {"one", "two"}} {
 				conn, err := net.Dial("tcp", p.Address())
 				require.NoError(t, err, n)
 				require.Equal(t, want[0], ask(conn, "one"), n)
@@ -94,10 +95,10 @@
 	}
 }
 
-// TestGates: what is held passes later; silenced connections stay so; new ones work.
-func TestGates(t *testing.T) {
-	to, lines := echo(t)
-	p, err := Start(to, nil, nil)
+// TestPauseAndSilence checks that paused traffic is passed on later, that silent connections stay silent, and that new ones work.
+func TestPauseAndSilence(t *testing.T) {
+	target, lines := echo(t)
+	p, err := Start(target, nil, nil)
 	require.NoError(t, err)
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
@@ -109,7 +110,7 @@
 	require.Empty(t, lines)
 	p.Resume(ToEngine)
 	require.Equal(t, "two", <-lines)
-	require.Equal(t, "two\nthree", ask2(conn))
+	require.Equal(t, "two\nthree", askAfterPending(conn))
 	require.Equal(t, 1, p.SilenceOpen())
 	require.Empty(t, ask(conn, "four"))
 	other, err := net.Dial("tcp", p.Address())
@@ -121,20 +122,20 @@
 	require.Empty(t, ask(other, "short"))
 	last, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Equal(t, "another long line", ask(last, "another long line"), "it comes once")
+	require.Equal(t, "another long line", ask(last, "another long line"), "the trigger fires once")
 	p.SilenceConnOnSend(len("a long line"))
-	beside, err := net.Dial("tcp", p.Address())
+	third, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Empty(t, ask(beside, "a long line"))
-	require.Equal(t, "short", ask(last, "short"), "the others work")
+	require.Empty(t, ask(third, "a long line"))
+	require.Equal(t, "short", ask(last, "short"), "other connections work")
 	p.ResetOpen()
 	require.Equal(t, "reset", ask(last, "six"))
 }
 
-// TestLate: a connection that comes up late passes nothing until then, and all after it.
-func TestLate(t *testing.T) {
-	to, lines := echo(t)
-	p, err := Start(to, func(int) Plan { return Plan{StartDelay: 150 * time.Millisecond} }, nil)
+// TestStartDelay checks that a connection passes nothing on during its start delay, and everything afterwards.
+func TestStartDelay(t *testing.T) {
+	target, lines := echo(t)
+	p, err := Start(target, func(int) Plan { return Plan{StartDelay: 150 * time.Millisecond} }, nil)
 	require.NoError(t, err)
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
@@ -144,11 +145,11 @@
 	require.Equal(t, "one", <-lines)
 }
 
-// TestBehind: what a router sends passes so much later, and the answer at once.
-func TestBehind(t *testing.T) {
-	const behind = 50 * time.Millisecond
-	to, lines := echo(t)
-	p, err := Start(to, func(int) Plan { return Plan{SendDelay: behind} }, nil)
+// TestSendDelay checks that what a router sends is delayed, and that the answers are not.
+func TestSendDelay(t *testing.T) {
+	const delay = 50 * time.Millisecond
+	target, lines := echo(t)
+	p, err := Start(target, func(int) Plan { return Plan{SendDelay: delay} }, nil)
 	require.NoError(t, err)
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
@@ -157,14 +158,14 @@
 		sent := time.Now()
 		require.Equal(t, line, ask(conn, line))
 		require.Equal(t, line, <-lines)
-		require.GreaterOrEqual(t, time.Since(sent), behind)
+		require.GreaterOrEqual(t, time.Since(sent), delay)
 	}
 }
 
-// TestVanish: nothing passes while an engine's machine is gone; at its return the silent connections are reset.
+// TestVanish checks that nothing passes between Vanish and Restore, and that Restore resets the silent connections.
 func TestVanish(t *testing.T) {
-	to, lines := echo(t)
-	p, err := Start(to, nil, nil)
+	target, lines := echo(t)
+	p, err := Start(target, nil, nil)
 	require.NoError(t, err)
 	defer p.Close()
 	before, err := net.Dial("tcp", p.Address())
@@ -182,13 +183,13 @@
 	after, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
 	require.Equal(t, "six", ask(after, "six"))
-	require.Equal(t, "six", <-lines, "nothing of before has come")
+	require.Equal(t, "six", <-lines, "no earlier line has arrived")
 }
 
-// ask2 asks once more, with the answer of before still on its way.
-func ask2(conn net.Conn) string {
+// askAfterPending sends one more line while the answer to an earlier one is still to be read, and returns both answers.
+func askAfterPending(conn net.Conn) string {
 	time.Sleep(20 * time.Millisecond)
-	io.WriteString(conn, "three\n") //nolint:errcheck // a test
+	io.WriteString(conn, "three\n") //nolint:errcheck // a failure shows in the answers
 	time.Sleep(50 * time.Millisecond)
 	return ask(conn, "")[:len("two\nthree")]
 }
