--- a/internal/platform/soak/badclient.go
+++ b/internal/platform/soak/badclient.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	misbehaveOneIn = 3 // one in so many requests of a class of such clients
-	stallOneIn     = 8 // fewer, as each holds its client up for seconds
+	misbehaveOneIn = 3 // one in this many requests of clients that misbehave
+	stallOneIn     = 8 // rarer, as a stall blocks its client for seconds
 	maxPipelined   = 4 // requests that are sent at once
 	stallTimeout   = 3 * time.Second
 )
 
-// reset has a client reset its connection: a new one that says nothing, one with a part of a request, or one with a whole request
-// whose answer it does not await. A part is no request: it is not noted as sent.
-func (c *client) resetConnection(one *ClientRequest, tokens int) {
+// resetConnection resets the client's connection: before it has sent anything, after a part of a request, or after a complete request and
+// before its answer. A part of a request is not recorded as sent.
+func (c *client) resetConnection(req *ClientRequest, tokens int) {
 	switch c.random.IntN(3) {
 	case 0:
 		c.disconnect()
@@ -24,64 +24,64 @@
 			return
 		}
 	case 1:
-		text := requestText(one, tokens)
-		one.Err = c.write(text[:c.random.IntN(len(text))])
+		text := requestText(req, tokens)
+		req.Err = c.write(text[:c.random.IntN(len(text))])
 	default:
-		if one.Err = c.write(requestText(one, tokens)); one.Err == nil {
-			one.Sent = time.Now()
+		if req.Err = c.write(requestText(req, tokens)); req.Err == nil {
+			req.Sent = time.Now()
 			time.Sleep(c.leaveDelay())
-			one.Left = time.Now()
+			req.Left = time.Now()
 		}
 	}
-	if plain, isTCP := c.conn.(*net.TCPConn); isTCP {
-		plain.SetLinger(0) //nolint:errcheck // it is closed without a reset then
+	if tcp, isTCP := c.conn.(*net.TCPConn); isTCP {
+		tcp.SetLinger(0) //nolint:errcheck // the connection is closed without a reset then
 	}
 	c.disconnect()
 }
 
-// stall has a client stop in the middle of a request, and notes how long it waited for an error or the connection's end.
-func (c *client) stall(one *ClientRequest, tokens int) {
-	text := requestText(one, tokens)
-	if one.Err = c.write(text[:1+c.random.IntN(len(text)-1)]); one.Err != nil {
+// stall stops in the middle of a request, and records how long the client waited for an error response or the connection's end.
+func (c *client) stall(req *ClientRequest, tokens int) {
+	text := requestText(req, tokens)
+	if req.Err = c.write(text[:1+c.random.IntN(len(text)-1)]); req.Err != nil {
 		c.disconnect()
 		return
 	}
-	one.Sent = time.Now()
-	c.conn.SetReadDeadline(one.Sent.Add(stallTimeout + answerGrace)) //nolint:errcheck // shows in reading
-	c.in.Peek(1)                                                     //nolint:errcheck // either is an end of the wait
-	one.Left = time.Now()
-	one.StallWait = one.Left.Sub(one.Sent)
+	req.Sent = time.Now()
+	c.conn.SetReadDeadline(req.Sent.Add(stallTimeout + answerGrace)) //nolint:errcheck // reads fail then
+	c.in.Peek(1)                                                     //nolint:errcheck // both a byte and an error end the wait
+	req.Left = time.Now()
+	req.StallWait = req.Left.Sub(req.Sent)
 	c.disconnect()
 }
 
-// pipeline has a client send several requests at once, and read their answers one after another. Those that a closed connection left
-// without an answer it sends again.
-func (c *client) pipeline(n int) (all []*ClientRequest) {
+// pipeline sends several requests at once and reads their answers one after another. Requests that a closed connection left without an
+// answer are sent again.
+func (c *client) pipeline(turn int) (reqs []*ClientRequest) {
 	var text strings.Builder
-	var sizes []int
+	var tokenCounts []int
 	for part := range 2 + c.random.IntN(maxPipelined-1) {
-		one, tokens := c.newRequest(n, part)
-		all, sizes = append(all, one), append(sizes, tokens)
-		text.WriteString(requestText(one, tokens))
+		req, tokens := c.newRequest(turn, part)
+		reqs, tokenCounts = append(reqs, req), append(tokenCounts, tokens)
+		text.WriteString(requestText(req, tokens))
 	}
-	c.conn.SetDeadline(time.Now().Add(c.run.scenario.ClientTimeout + answerGrace)) //nolint:errcheck // shows in reading
+	c.conn.SetDeadline(time.Now().Add(c.run.scenario.ClientTimeout + answerGrace)) //nolint:errcheck // reads fail then
 	if err := c.write(text.String()); err != nil {
 		c.disconnect()
 		return nil
 	}
-	for i, one := range all {
-		one.Sent = time.Now() // its turn comes with the end of the one before
-		goes := c.conn != nil
-		if goes {
-			c.conn.SetDeadline(one.Sent.Add(one.Timeout + answerGrace)) //nolint:errcheck // shows in reading
-			c.receive(one, 0, i == len(all)-1)
+	for i, req := range reqs {
+		req.Sent = time.Now() // the router takes it once the request before has ended
+		open := c.conn != nil
+		if open {
+			c.conn.SetDeadline(req.Sent.Add(req.Timeout + answerGrace)) //nolint:errcheck // reads fail then
+			c.receive(req, 0, i == len(reqs)-1)
 		} else {
-			one.Err = io.EOF
+			req.Err = io.EOF
 		}
-		c.sendAgain(one, sizes[i])
-		if !goes && !one.Resent {
-			one.Sent = time.Time{} // no router has it
+		c.sendAgain(req, tokenCounts[i])
+		if !open && !req.Resent {
+			req.Sent = time.Time{} // it reached no router
 		}
 	}
-	return all
+	return reqs
 }
--- a/internal/platform/soak/check.go
+++ b/internal/platform/soak/check.go
@@ -9,7 +9,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// Rule is one of those that a play is held to.
+// Rule is a rule that the routers must keep in a scenario.
 type Rule string
 
 // The rules.
@@ -24,70 +24,71 @@
 	RuleCrash   Rule = "no crash"
 )
 
-// The limits of the rules, with their slack.
+// The limits of the rules, including tolerances.
 const (
 	maxHeld         = holdingLimit + 300*time.Millisecond + timingTolerance
 	answerTolerance = 500 * time.Millisecond
 	drainTolerance  = time.Second + timingTolerance
 	leaveTolerance  = 100*time.Millisecond + timingTolerance
 	timingTolerance = 50 * time.Millisecond
-	loadTolerance   = 100 * time.Millisecond // of this machine, which plays routers, engines and clients at once
+	loadTolerance   = 100 * time.Millisecond // routers, engines and clients share one machine
 	maxMemoryBytes  = 192 << 20
 	maxThreads      = 64
 )
 
-// Break is one broken rule.
+// Violation is a rule violation.
 type Violation struct {
 	Rule   Rule
-	ID     string // of the request, empty where none is meant
+	ID     string // of the request; empty: it concerns a router
 	Detail string
 	At     time.Time
 }
 
-// Judge holds a record to the rules, and tells the longest time for which something was held while nothing was out.
-func CheckRules(r *Record) (breaks []Violation, longest time.Duration) {
-	j := &checker{Record: r, calls: map[string][]standin.Call{}, requests: map[string]*ClientRequest{}}
+// CheckRules checks a record against the rules. It returns the violations by time, and the longest time for which something was held while
+// no attempt was running.
+func CheckRules(r *Record) (violations []Violation, longestHeld time.Duration) {
+	ch := &checker{Record: r, calls: map[string][]standin.Call{}, requests: map[string]*ClientRequest{}}
 	for _, c := range r.Calls {
-		j.calls[c.ID] = append(j.calls[c.ID], c)
+		ch.calls[c.ID] = append(ch.calls[c.ID], c)
 	}
 	for i := range r.Requests {
-		one := &r.Requests[i]
-		j.requests[one.ID] = one
-		j.checkAnswer(one)
-		j.checkClientLeft(one)
-		j.checkStalled(one)
-		j.checkSingleEffect(one)
-	}
-	j.checkDrain()
+		req := &r.Requests[i]
+		ch.requests[req.ID] = req
+		ch.checkAnswer(req)
+		ch.checkClientLeft(req)
+		ch.checkStalled(req)
+		ch.checkSingleEffect(req)
+	}
+	ch.checkDrain()
 	for _, h := range r.Holds {
-		j.checkHold(h)
+		ch.checkHold(h)
 	}
 	for i := range r.Processes {
-		j.checkProcess(&r.Processes[i])
+		ch.checkProcess(&r.Processes[i])
 	}
-	slices.SortFunc(j.violations, func(a, b Violation) int { return a.At.Compare(b.At) })
-	return j.violations, j.longestHeld
+	slices.SortFunc(ch.violations, func(a, b Violation) int { return a.At.Compare(b.At) })
+	return ch.violations, ch.longestHeld
 }
 
 type checker struct {
 	*Record
-	calls      map[string][]standin.Call // by request
+	calls      map[string][]standin.Call // by request ID
 	requests   map[string]*ClientRequest
 	violations []Violation
 
-	longestHeld time.Duration // that something was held while nothing was out
+	longestHeld time.Duration // for which something was held while no attempt was running
 }
 
-func (j *checker) addViolation(rule Rule, id string, at time.Time, format string, a ...any) {
-	j.violations = append(j.violations, Violation{rule, id, fmt.Sprintf(format, a...), at})
+func (ch *checker) addViolation(rule Rule, id string, at time.Time, format string, a ...any) {
+	ch.violations = append(ch.violations, Violation{rule, id, fmt.Sprintf(format, a...), at})
 }
 
-// isAttempt tells whether a call is one at a request, and no place, release or probe.
+// isAttempt reports whether a call is a read or a write, rather than a reservation, release or probe.
 func isAttempt(c *standin.Call) bool { return c.Kind == standin.Read || c.Kind == standin.Write }
 
-// attempts are a request's, which arrived at a running engine.
-func (j *checker) attempts(id string) (all []standin.Call) {
-	for _, c := range j.calls[id] {
+// attempts returns the attempts of a request that arrived at an engine.
+func (ch *checker) attempts(id string) (all []standin.Call) {
+	for _, c := range ch.calls[id] {
 		if isAttempt(&c) {
 			all = append(all, c)
 		}
@@ -95,147 +96,148 @@
 	return all
 }
 
-// life is the process that had a request, nil for none.
-func (j *checker) processAt(router int, at time.Time) *ProcessRecord {
-	for i := range j.Processes {
-		l := &j.Processes[i]
-		if l.Router == router && !at.Before(l.Started) && (l.Ended.IsZero() || !at.After(l.Ended)) {
-			return l
+// processAt returns the router's process at a time, or nil if there was none.
+func (ch *checker) processAt(router int, at time.Time) *ProcessRecord {
+	for i := range ch.Processes {
+		proc := &ch.Processes[i]
+		if proc.Router == router && !at.Before(proc.Started) && (proc.Ended.IsZero() || !at.After(proc.Ended)) {
+			return proc
 		}
 	}
 	return nil
 }
 
-// answer: each request that a router took has one final answer in time. What was not taken has no attempt: its connection
-// ended, or was never accepted.
-func (j *checker) checkAnswer(one *ClientRequest) {
-	if !one.Left.IsZero() {
+// checkAnswer checks that a request that a router accepted got one final answer in time. A request that was not accepted, as its connection
+// ended or was never accepted, must have no attempt.
+func (ch *checker) checkAnswer(req *ClientRequest) {
+	if !req.Left.IsZero() {
 		return
 	}
-	life := j.processAt(one.Router, one.Sent)
-	killed := life != nil && !life.Killed.IsZero() && life.Terminated.IsZero()
-	switch late := one.FirstByte.Sub(one.Sent) - one.Timeout; {
-	case one.Answers > 1:
-		j.addViolation(RuleAnswer, one.ID, one.FirstByte, "%d answers", one.Answers)
-	case one.Answers == 0 && len(j.attempts(one.ID)) > 0 && !killed:
-		j.addViolation(RuleAnswer, one.ID, one.Sent, "no answer, though it was sent on: %v", one.Err)
-	case one.Answers == 0 && !killed && life != nil && life.Terminated.IsZero() && !j.Scenario.limitsDescriptors():
-		j.addViolation(RuleAnswer, one.ID, one.Sent, "no answer, from a router that was not told to end: %v", one.Err)
-	case one.Answers == 1 && late > answerTolerance+loadTolerance:
-		j.addViolation(RuleAnswer, one.ID, one.FirstByte, "answered %v after its deadline", late)
+	proc := ch.processAt(req.Router, req.Sent)
+	killed := proc != nil && !proc.Killed.IsZero() && proc.Terminated.IsZero()
+	switch late := req.FirstByte.Sub(req.Sent) - req.Timeout; {
+	case req.Answers > 1:
+		ch.addViolation(RuleAnswer, req.ID, req.FirstByte, "%d answers", req.Answers)
+	case req.Answers == 0 && len(ch.attempts(req.ID)) > 0 && !killed:
+		ch.addViolation(RuleAnswer, req.ID, req.Sent, "no answer, although it was sent to an engine: %v", req.Err)
+	case req.Answers == 0 && !killed && proc != nil && proc.Terminated.IsZero() && !ch.Scenario.limitsDescriptors():
+		ch.addViolation(RuleAnswer, req.ID, req.Sent, "no answer from a router that had not received SIGTERM: %v", req.Err)
+	case req.Answers == 1 && late > answerTolerance+loadTolerance:
+		ch.addViolation(RuleAnswer, req.ID, req.FirstByte, "answered %v after its timeout", late)
 	}
 }
 
-// left: no attempt begins after the client closed its connection.
-func (j *checker) checkClientLeft(one *ClientRequest) {
-	if one.Left.IsZero() || j.Scenario.delaysCalls() {
+// checkClientLeft checks that no attempt begins after the client closed its connection.
+func (ch *checker) checkClientLeft(req *ClientRequest) {
+	if req.Left.IsZero() || ch.Scenario.delaysCalls() {
 		return
 	}
-	for _, c := range j.attempts(one.ID) {
-		if after := c.Received.Sub(one.Left); after > leaveTolerance+loadTolerance {
-			j.addViolation(RuleLeft, one.ID, c.Received, "%s at %s begins %v after its client left", c.Kind, c.Engine, after)
+	for _, c := range ch.attempts(req.ID) {
+		if delay := c.Received.Sub(req.Left); delay > leaveTolerance+loadTolerance {
+			ch.addViolation(RuleLeft, req.ID, c.Received, "%s at %s began %v after the client closed its connection", c.Kind, c.Engine, delay)
 		}
 	}
 }
 
-// stalled: a client that stops in the middle of its request gets an error or the connection's end in time, and nothing of it is sent
-// on.
-func (j *checker) checkStalled(one *ClientRequest) {
-	if one.StallWait == 0 {
+// checkStalled checks that a client that stops in the middle of its request gets an error response or the connection's end in time, and
+// that nothing of the request is sent to an engine.
+func (ch *checker) checkStalled(req *ClientRequest) {
+	if req.StallWait == 0 {
 		return
 	}
-	if attempts := j.attempts(one.ID); len(attempts) > 0 {
-		j.addViolation(RuleStalled, one.ID, attempts[0].Received, "sent to %s, though it was not whole", attempts[0].Engine)
+	if attempts := ch.attempts(req.ID); len(attempts) > 0 {
+		ch.addViolation(RuleStalled, req.ID, attempts[0].Received, "sent to %s before the request was complete", attempts[0].Engine)
 	}
-	if one.StallWait > stallTimeout+timingTolerance+loadTolerance && !j.Scenario.limitsDescriptors() {
-		j.addViolation(RuleStalled, one.ID, one.Sent, "neither an error nor an end for %v", one.StallWait.Round(time.Millisecond))
+	if req.StallWait > stallTimeout+timingTolerance+loadTolerance && !ch.Scenario.limitsDescriptors() {
+		ch.addViolation(RuleStalled, req.ID, req.Sent, "neither an error response nor a closed connection for %v", req.StallWait.Round(time.Millisecond))
 	}
 }
 
-// effect: a request that must not be repeated is written once, unless the engine said that it did not run.
-func (j *checker) checkSingleEffect(one *ClientRequest) {
-	if one.Class != classSingleShot {
+// checkSingleEffect checks that a non-idempotent request is written at most once, unless the engine answered that it did not run it, and
+// that it is not refused after it was written.
+func (ch *checker) checkSingleEffect(req *ClientRequest) {
+	if req.Class != classSingleShot {
 		return
 	}
 	var ran []string
-	for _, c := range j.attempts(one.ID) {
+	for _, c := range ch.attempts(req.ID) {
 		if c.Kind == standin.Write && !c.NotRun {
 			ran = append(ran, c.Engine)
 		}
 	}
 	if len(ran) > 1 {
-		j.addViolation(RuleEffect, one.ID, one.Sent, "written at %s", strings.Join(ran, " and "))
+		ch.addViolation(RuleEffect, req.ID, req.Sent, "written at %s", strings.Join(ran, " and "))
 	}
-	if len(ran) > 0 && (one.Status == 429 || one.Status == 503) {
-		j.addViolation(RuleEffect, one.ID, one.FirstByte, "refused with %d after it was written at %s", one.Status, ran[0])
+	if len(ran) > 0 && (req.Status == 429 || req.Status == 503) {
+		ch.addViolation(RuleEffect, req.ID, req.FirstByte, "refused with %d after it was written at %s", req.Status, ran[0])
 	}
 }
 
-// drain: nothing new is sent to an engine past the grace after the routers were told.
-func (j *checker) checkDrain() {
-	if j.Scenario.delaysCalls() {
+// checkDrain checks that no read, write or reservation is sent to a draining engine once the tolerance after the announcement is over.
+func (ch *checker) checkDrain() {
+	if ch.Scenario.delaysCalls() {
 		return
 	}
-	for _, c := range j.Calls {
-		one := j.requests[c.ID]
-		if one == nil || !isAttempt(&c) && c.Kind != standin.Reserve {
+	for _, c := range ch.Calls {
+		req := ch.requests[c.ID]
+		if req == nil || !isAttempt(&c) && c.Kind != standin.Reserve {
 			continue
 		}
-		if told, drains := j.DrainAnnounced[RouterEngine{one.Router, c.Engine}]; drains {
-			if after := c.Received.Sub(told); after > drainTolerance+loadTolerance {
-				j.addViolation(RuleDrain, c.ID, c.Received, "%s at %s, %v after it was told to drain", c.Kind, c.Engine, after)
+		if announced, draining := ch.DrainAnnounced[RouterEngine{req.Router, c.Engine}]; draining {
+			if delay := c.Received.Sub(announced); delay > drainTolerance+loadTolerance {
+				ch.addViolation(RuleDrain, c.ID, c.Received, "%s at %s, %v after its drain was announced", c.Kind, c.Engine, delay)
 			}
 		}
 	}
 }
 
-// held: no state or place is held past its limit in one stretch in which no attempt is at an engine that runs, by the strictest
-// reading (standin.Call.Ran). What the router's process left behind when it ended is not counted.
-func (j *checker) checkHold(h standin.Hold) {
-	to := h.To
-	if one := j.requests[h.ID]; one != nil {
-		if life := j.processAt(one.Router, one.Sent); life != nil && !life.Ended.IsZero() && life.Ended.Before(to) {
-			to = life.Ended
+// checkHold checks that no state or reservation is held past the limit while no attempt is at a running engine, by the strictest
+// interpretation (standin.Call.RunSpan). Time after the end of the router's process does not count.
+func (ch *checker) checkHold(h standin.Hold) {
+	holdEnd := h.To
+	if req := ch.requests[h.ID]; req != nil {
+		if proc := ch.processAt(req.Router, req.Sent); proc != nil && !proc.Ended.IsZero() && proc.Ended.Before(holdEnd) {
+			holdEnd = proc.Ended
 		}
 	}
-	attempts := j.attempts(h.ID)
+	attempts := ch.attempts(h.ID)
 	slices.SortFunc(attempts, func(a, b standin.Call) int { return a.Received.Compare(b.Received) })
-	free := h.From // nothing is out since then
+	idleSince := h.From // no attempt has been running since
 	longest, since := time.Duration(0), h.From
 	for _, c := range attempts {
-		from, over, ran := c.RunSpan()
-		if !ran {
+		start, end, ok := c.RunSpan()
+		if !ok {
 			continue
 		}
-		if span := from.Sub(free); span > longest && from.Before(to) {
-			longest, since = span, free
+		if span := start.Sub(idleSince); span > longest && start.Before(holdEnd) {
+			longest, since = span, idleSince
 		}
-		if over.IsZero() {
-			over = to
+		if end.IsZero() {
+			end = holdEnd
 		}
-		if over.After(free) {
-			free = over
+		if end.After(idleSince) {
+			idleSince = end
 		}
 	}
-	if span := to.Sub(free); span > longest {
-		longest, since = span, free
+	if span := holdEnd.Sub(idleSince); span > longest {
+		longest, since = span, idleSince
 	}
-	j.longestHeld = max(j.longestHeld, longest)
+	ch.longestHeld = max(ch.longestHeld, longest)
 	if longest > maxHeld+loadTolerance {
-		j.addViolation(RuleHeld, h.ID, since, "held at %s for %v while nothing was out, from %v of the play on", h.Engine,
-			longest.Round(time.Millisecond), since.Sub(j.Started).Round(time.Millisecond))
+		ch.addViolation(RuleHeld, h.ID, since, "held at %s for %v while no attempt was running, from %v after the start", h.Engine,
+			longest.Round(time.Millisecond), since.Sub(ch.Started).Round(time.Millisecond))
 	}
 }
 
-// process: a router's process does not end by itself but after SIGTERM, and keeps its limits.
-func (j *checker) checkProcess(l *ProcessRecord) {
-	if !l.Ended.IsZero() && l.Terminated.IsZero() && l.Killed.IsZero() {
-		j.addViolation(RuleCrash, "", l.Ended, "router %d ended by itself: %v", l.Router, l.Err)
+// checkProcess checks that a router's process exits only after a signal, without an error after SIGTERM, and keeps its resource limits.
+func (ch *checker) checkProcess(proc *ProcessRecord) {
+	if !proc.Ended.IsZero() && proc.Terminated.IsZero() && proc.Killed.IsZero() {
+		ch.addViolation(RuleCrash, "", proc.Ended, "router %d exited without SIGTERM or SIGKILL: %v", proc.Router, proc.Err)
 	}
-	if l.Err != nil && l.Killed.IsZero() && !l.Terminated.IsZero() {
-		j.addViolation(RuleCrash, "", l.Ended, "router %d ended badly after SIGTERM: %v", l.Router, l.Err)
+	if proc.Err != nil && proc.Killed.IsZero() && !proc.Terminated.IsZero() {
+		ch.addViolation(RuleCrash, "", proc.Ended, "router %d failed after SIGTERM: %v", proc.Router, proc.Err)
 	}
-	if u := l.Usage; u.Descriptors > maxSockets || u.MemoryBytes > maxMemoryBytes || u.Threads > maxThreads {
-		j.addViolation(RuleUsage, "", l.Ended, "router %d: %d descriptors, %d MB, %d threads", l.Router, u.Descriptors, u.MemoryBytes>>20, u.Threads)
+	if u := proc.Usage; u.Descriptors > maxSockets || u.MemoryBytes > maxMemoryBytes || u.Threads > maxThreads {
+		ch.addViolation(RuleUsage, "", proc.Ended, "router %d: %d descriptors, %d MB, %d threads", proc.Router, u.Descriptors, u.MemoryBytes>>20, u.Threads)
 	}
 }
--- a/internal/platform/soak/client.go
+++ b/internal/platform/soak/client.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// The classes of requests.
+// The request classes.
 const (
-	classChat       = "chat" // may be repeated
-	classSingleShot = "once" // must not
+	classChat       = "chat" // idempotent
+	classSingleShot = "once" // not idempotent
 )
 
-// client sends one request after another on connections that it keeps as long as they stay open.
+// client sends one request after another, on a connection that it reuses while it stays open.
 type client struct {
 	run    *scenarioRun
 	router int
@@ -29,82 +29,82 @@
 }
 
 const (
-	longPromptTokens  = 3000 // tokens: is read first
-	shortPromptTokens = 30   // is read where it is written
+	longPromptTokens  = 3000 // is prefilled by a reader before it is written
+	shortPromptTokens = 30   // is prefilled by its writer
 	maxThinkTime      = 60 * time.Millisecond
 	connectTimeout    = 300 * time.Millisecond
-	answerGrace       = 2 * time.Second // past its deadline a client waits so long for an answer
-	meanSlowPieces    = 5               // of a slow client's request, in the mean
+	answerGrace       = 2 * time.Second // how long a client waits for an answer past its timeout
+	meanSlowPieces    = 5               // mean number of pieces of a slow client's request
 	maxSlowPause      = 80 * time.Millisecond
 )
 
-// run sends requests until the play's clients stop.
+// loop sends requests until the clients of its router are stopped.
 func (c *client) loop() {
 	defer c.disconnect()
-	for n := 0; !c.run.clientsStopped(c.router); n++ {
+	for turn := 0; !c.run.clientsStopped(c.router); turn++ {
 		time.Sleep(time.Duration(c.random.Int64N(int64(maxThinkTime))))
 		if c.conn == nil && !c.connect() {
 			time.Sleep(maxThinkTime)
 			continue
 		}
-		for _, one := range c.sendNext(n) {
-			if !one.Sent.IsZero() {
-				c.run.addRequest(one)
+		for _, req := range c.sendNext(turn) {
+			if !req.Sent.IsZero() {
+				c.run.addRequest(req)
 			}
 		}
 	}
 }
 
-// turn makes a client's next request, or several at once, and gives what came of them.
-func (c *client) sendNext(n int) []*ClientRequest {
-	one, tokens := c.newRequest(n, 0)
+// sendNext sends the next request, or several at once, and returns their records.
+func (c *client) sendNext(turn int) []*ClientRequest {
+	req, tokens := c.newRequest(turn, 0)
 	switch s := c.run.scenario; {
 	case s.Has(ClientsReset) && c.random.IntN(misbehaveOneIn) == 0:
-		c.resetConnection(one, tokens)
+		c.resetConnection(req, tokens)
 	case s.Has(ClientsStall) && c.random.IntN(stallOneIn) == 0:
-		c.stall(one, tokens)
+		c.stall(req, tokens)
 	case s.Has(ClientsPipeline) && c.random.IntN(misbehaveOneIn) == 0:
-		return c.pipeline(n)
+		return c.pipeline(turn)
 	default:
-		leaves := time.Duration(0)
+		leaveAfter := time.Duration(0)
 		if s.Has(ClientsLeave) && c.random.IntN(misbehaveOneIn) == 0 {
-			leaves = c.leaveDelay()
+			leaveAfter = c.leaveDelay()
 		}
-		c.send(one, tokens, leaves)
-		c.sendAgain(one, tokens)
+		c.send(req, tokens, leaveAfter)
+		c.sendAgain(req, tokens)
 	}
-	return []*ClientRequest{one}
+	return []*ClientRequest{req}
 }
 
-// draw draws a request, the part'th of a turn.
-func (c *client) newRequest(n, part int) (one *ClientRequest, tokens int) {
-	one = &ClientRequest{ID: fmt.Sprintf("%s-%d-%d", c.name, n, part), Router: c.router, Class: classChat, Timeout: c.run.scenario.ClientTimeout}
+// newRequest draws a request. turn counts the client's turns, part the requests of one turn.
+func (c *client) newRequest(turn, part int) (req *ClientRequest, tokens int) {
+	req = &ClientRequest{ID: fmt.Sprintf("%s-%d-%d", c.name, turn, part), Router: c.router, Class: classChat, Timeout: c.run.scenario.ClientTimeout}
 	if c.random.IntN(5) == 0 {
-		one.Class = classSingleShot
+		req.Class = classSingleShot
 	}
 	if c.random.IntN(4) == 0 {
-		one.Timeout /= 2
+		req.Timeout /= 2
 	}
 	tokens = longPromptTokens
 	if c.random.IntN(4) == 0 {
 		tokens = shortPromptTokens
 	}
-	return one, tokens
+	return req, tokens
 }
 
-// patience is how long a client waits that leaves.
+// leaveDelay returns how long a client that leaves waits before it does.
 func (c *client) leaveDelay() time.Duration {
 	return time.Duration(1+c.random.IntN(150)) * time.Millisecond
 }
 
-// sendAgain makes a request once more, on a new connection, whose connection ended before its answer: the router closed between
+// sendAgain sends a request once more on a new connection if its connection ended before an answer: the router may have closed it between
 // two requests.
-func (c *client) sendAgain(one *ClientRequest, tokens int) {
-	if one.Answers > 0 || !one.Left.IsZero() || !errors.Is(one.Err, io.EOF) || c.run.clientsStopped(c.router) || !c.connect() {
+func (c *client) sendAgain(req *ClientRequest, tokens int) {
+	if req.Answers > 0 || !req.Left.IsZero() || !errors.Is(req.Err, io.EOF) || c.run.clientsStopped(c.router) || !c.connect() {
 		return
 	}
-	one.Resent, one.Err = true, nil
-	c.send(one, tokens, 0)
+	req.Resent, req.Err = true, nil
+	c.send(req, tokens, 0)
 }
 
 func (c *client) connect() bool {
@@ -118,55 +118,55 @@
 
 func (c *client) disconnect() {
 	if c.conn != nil {
-		c.conn.Close() //nolint:errcheck // done with it
+		c.conn.Close() //nolint:errcheck // the connection is no longer used
 		c.conn = nil
 	}
 }
 
-// send makes one request and notes what comes of it.
-func (c *client) send(one *ClientRequest, tokens int, leaves time.Duration) {
-	c.conn.SetDeadline(time.Now().Add(one.Timeout + answerGrace)) //nolint:errcheck // shows in reading
-	if one.Err = c.write(requestText(one, tokens)); one.Err != nil {
+// send sends a request and records its outcome.
+func (c *client) send(req *ClientRequest, tokens int, leaveAfter time.Duration) {
+	c.conn.SetDeadline(time.Now().Add(req.Timeout + answerGrace)) //nolint:errcheck // reads fail then
+	if req.Err = c.write(requestText(req, tokens)); req.Err != nil {
 		c.disconnect()
 		return
 	}
-	one.Sent = time.Now()
-	c.receive(one, leaves, true)
+	req.Sent = time.Now()
+	c.receive(req, leaveAfter, true)
 }
 
-// receive waits for the answer to a request that was sent and notes what comes of it. leaves: the client does so after that time, 0
-// for not; last: no other request was sent behind it.
-func (c *client) receive(one *ClientRequest, leaves time.Duration, last bool) {
-	if leaves > 0 {
-		c.conn.SetReadDeadline(one.Sent.Add(leaves)) //nolint:errcheck // as above
+// receive waits for the answer to a request that was sent and records its outcome. If leaveAfter is not 0, the client closes the connection
+// after that time. last says that no other request was sent after this one.
+func (c *client) receive(req *ClientRequest, leaveAfter time.Duration, last bool) {
+	if leaveAfter > 0 {
+		c.conn.SetReadDeadline(req.Sent.Add(leaveAfter)) //nolint:errcheck // reads fail then
 	}
-	if _, one.Err = c.in.Peek(1); one.Err != nil {
-		if leaves > 0 && time.Since(one.Sent) >= leaves {
-			one.Left = time.Now()
+	if _, req.Err = c.in.Peek(1); req.Err != nil {
+		if leaveAfter > 0 && time.Since(req.Sent) >= leaveAfter {
+			req.Left = time.Now()
 		}
 		c.disconnect()
 		return
 	}
-	c.conn.SetReadDeadline(time.Now().Add(answerGrace * 2)) //nolint:errcheck // as above
-	one.FirstByte = time.Now()
+	c.conn.SetReadDeadline(time.Now().Add(answerGrace * 2)) //nolint:errcheck // reads fail then
+	req.FirstByte = time.Now()
 	resp, err := http.ReadResponse(c.in, nil)
-	if one.Err = err; err != nil {
+	if req.Err = err; err != nil {
 		c.disconnect()
 		return
 	}
-	one.Answers, one.Status = 1, resp.StatusCode
-	_, one.Err = io.Copy(io.Discard, resp.Body)
-	resp.Body.Close() //nolint:errcheck // read whole
-	one.Complete = one.Err == nil
+	req.Answers, req.Status = 1, resp.StatusCode
+	_, req.Err = io.Copy(io.Discard, resp.Body)
+	resp.Body.Close() //nolint:errcheck // the body has been read
+	req.Complete = req.Err == nil
 	if last && c.in.Buffered() > 0 {
-		one.Answers++ // something after the final answer
+		req.Answers++ // more bytes follow the final answer
 	}
-	if !one.Complete || resp.Close {
+	if !req.Complete || resp.Close {
 		c.disconnect()
 	}
 }
 
-// write sends a request, in pieces where clients are slow.
+// write sends the text of a request, in several pieces if clients are slow.
 func (c *client) write(text string) error {
 	for c.run.scenario.Has(SlowClients) && len(text) > 1 && c.random.IntN(meanSlowPieces) > 0 {
 		n := 1 + c.random.IntN(len(text)-1)
@@ -180,10 +180,10 @@
 	return err
 }
 
-// requestText is a request with a prompt of about so many tokens.
-func requestText(one *ClientRequest, tokens int) string {
+// requestText returns an HTTP request with a prompt of about this many tokens.
+func requestText(req *ClientRequest, tokens int) string {
 	body := `{"model":"chat","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"` + strings.Repeat("word", tokens) + `"}]}`
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: acme\r\n"+
 		"X-Key: k-%s\r\nX-Deadline: %dm\r\nX-Extras: prompt_len=%d,max_out=20\r\nContent-Length: %d\r\n\r\n%s",
-		one.ID, one.Class, one.ID, one.Timeout.Milliseconds(), len(body)/4, len(body), body)
+		req.ID, req.Class, req.ID, req.Timeout.Milliseconds(), len(body)/4, len(body), body)
 }
--- a/internal/platform/soak/inject.go
+++ b/internal/platform/soak/inject.go
@@ -8,151 +8,151 @@
 	"cherryhub/internal/platform/faultproxy"
 )
 
-// cause has a fault come, and waits until it is over where it ends by itself.
-func (p *scenarioRun) inject(ctx context.Context, e Event) {
+// inject starts an event's fault. If the fault ends by itself, inject waits until then.
+func (sr *scenarioRun) inject(ctx context.Context, e Event) {
 	switch e.Fault {
 	case OpenSilent:
-		p.proxies[e.Engine].SilenceOpen()
+		sr.proxies[e.Engine].SilenceOpen()
 	case IdleSilent:
-		p.proxies[e.Engine].SilenceIdle(idleTime)
+		sr.proxies[e.Engine].SilenceIdle(idleTime)
 	case AllSilent:
-		for _, proxy := range p.proxies {
+		for _, proxy := range sr.proxies {
 			proxy.SilenceOpen()
 		}
 	case SendSilent:
-		p.proxies[e.Engine].SilenceOpenOnSend(longCallBytes)
+		sr.proxies[e.Engine].SilenceOpenOnSend(longCallBytes)
 	case EngineVanishes:
-		p.fleet.MarkStopped(engines[e.Engine].name)
-		p.proxies[e.Engine].Vanish()
+		sr.fleet.MarkStopped(engines[e.Engine].name)
+		sr.proxies[e.Engine].Vanish()
 		sleep(ctx, e.Duration)
-		p.proxies[e.Engine].Restore()
+		sr.proxies[e.Engine].Restore()
 	case HangsAtCall:
-		p.mu.Lock()
-		p.hangsAtCall[engines[e.Engine].name] = e.Duration
-		p.mu.Unlock()
+		sr.mu.Lock()
+		sr.hangsAtCall[engines[e.Engine].name] = e.Duration
+		sr.mu.Unlock()
 	case EngineRestarts:
-		p.restartEngine(e)
+		sr.restartEngine(e)
 	case FewDescriptors:
-		end := p.currentProcess(e.Router).freezeDescriptors()
+		restore := sr.currentProcess(e.Router).freezeDescriptors()
 		sleep(ctx, e.Duration)
-		end()
+		restore()
 	case EngineStopped:
-		p.fleet.MarkStopped(engines[e.Engine].name)
-		p.pauseTraffic(ctx, e, p.proxies[e.Engine:e.Engine+1], faultproxy.ToEngine, faultproxy.ToRouter)
+		sr.fleet.MarkStopped(engines[e.Engine].name)
+		sr.pauseTraffic(ctx, e, sr.proxies[e.Engine:e.Engine+1], faultproxy.ToEngine, faultproxy.ToRouter)
 	case ZoneOneWay:
-		p.zoneCut.Lock() // one zone after another: with both cut a router can reach nobody, and nothing could be let go
-		defer p.zoneCut.Unlock()
-		p.pauseTraffic(ctx, e, p.zoneProxies(e.Engine), [...]faultproxy.Direction{faultproxy.ToEngine, faultproxy.ToRouter}[e.Variant])
+		sr.zoneCut.Lock() // one zone at a time: with both cut off no router could send a release
+		defer sr.zoneCut.Unlock()
+		sr.pauseTraffic(ctx, e, sr.zoneProxies(e.Engine), [...]faultproxy.Direction{faultproxy.ToEngine, faultproxy.ToRouter}[e.Variant])
 	case EngineHung:
-		p.fleet.Hang(engines[e.Engine].name, time.Now().Add(e.Duration))
+		sr.fleet.Hang(engines[e.Engine].name, time.Now().Add(e.Duration))
 	case Resets:
-		p.proxies[e.Engine].ResetOpen()
+		sr.proxies[e.Engine].ResetOpen()
 	case DiscoveryMute:
-		end := p.routers[e.Router].discovery.Silence()
+		resume := sr.routers[e.Router].discovery.Silence()
 		sleep(ctx, e.Duration)
-		end()
+		resume()
 	case EnginesDrain:
-		p.announceDrain(drainable[e.Variant])
+		sr.announceDrain(drainable[e.Variant])
 	case LogStalls:
-		end := p.currentProcess(e.Router).log.stall()
+		resume := sr.currentProcess(e.Router).log.stall()
 		sleep(ctx, e.Duration)
-		end()
+		resume()
 	case LogCut:
-		p.currentProcess(e.Router).log.closeReader()
+		sr.currentProcess(e.Router).log.closeReader()
 	case RouterPauses:
-		one := p.currentProcess(e.Router)
-		one.signal(syscall.SIGSTOP)
+		proc := sr.currentProcess(e.Router)
+		proc.signal(syscall.SIGSTOP)
 		time.Sleep(pauseDuration)
-		one.signal(syscall.SIGCONT)
+		proc.signal(syscall.SIGCONT)
 	case RoutersReload:
-		p.reload(e)
+		sr.reload(e)
 	case RoutersRestart:
-		p.restart(ctx, e.Router, p.terminate)
+		sr.restart(ctx, e.Router, sr.terminate)
 	case RouterKilled:
-		p.restart(ctx, e.Router, (*process).kill)
-	case AnswerSilent, BytesSilent, StartSilent, AnswerLost, LateConns, LateAnswers, LateBytes: // by plan, by wait
-	case ClientsLeave, ClientsCrowd, SlowClients, ClientsReset, ClientsStall, ClientsPipeline: // by clients
+		sr.restart(ctx, e.Router, (*process).kill)
+	case AnswerSilent, BytesSilent, StartSilent, AnswerLost, LateConns, LateAnswers, LateBytes: // injected by plan and answerDelay
+	case ClientsLeave, ClientsCrowd, SlowClients, ClientsReset, ClientsStall, ClientsPipeline: // injected by the clients and openIdleClients
 	}
 }
 
-// restartEngine has an engine lose the calls that it has. Its connections are reset, or stay open and carry nothing.
-func (p *scenarioRun) restartEngine(e Event) {
-	p.fleet.Hang(engines[e.Engine].name, time.Now())
+// restartEngine makes an engine lose its running calls. Its connections are reset or become silent, depending on the variant.
+func (sr *scenarioRun) restartEngine(e Event) {
+	sr.fleet.Hang(engines[e.Engine].name, time.Now())
 	if e.Variant == 0 {
-		p.proxies[e.Engine].ResetOpen()
+		sr.proxies[e.Engine].ResetOpen()
 		return
 	}
-	p.proxies[e.Engine].SilenceOpen()
+	sr.proxies[e.Engine].SilenceOpen()
 }
 
-// hold holds back what passes in some directions, for the event's length.
-func (p *scenarioRun) pauseTraffic(ctx context.Context, e Event, of []*faultproxy.Proxy, ways ...faultproxy.Direction) {
-	for _, proxy := range of {
-		for _, way := range ways {
-			proxy.Pause(way)
+// pauseTraffic pauses traffic in the given directions for the duration of the event.
+func (sr *scenarioRun) pauseTraffic(ctx context.Context, e Event, proxies []*faultproxy.Proxy, directions ...faultproxy.Direction) {
+	for _, proxy := range proxies {
+		for _, direction := range directions {
+			proxy.Pause(direction)
 		}
 	}
 	sleep(ctx, e.Duration)
-	for _, proxy := range of {
-		for _, way := range ways {
-			proxy.Resume(way)
+	for _, proxy := range proxies {
+		for _, direction := range directions {
+			proxy.Resume(direction)
 		}
 	}
 }
 
-// zoneOf are the proxies of an engine's zone.
-func (p *scenarioRun) zoneProxies(engine int) (zone []*faultproxy.Proxy) {
-	for n, kind := range engines {
-		if kind.zone == engines[engine].zone {
-			zone = append(zone, p.proxies[n])
+// zoneProxies returns the proxies of all engines in an engine's zone.
+func (sr *scenarioRun) zoneProxies(engine int) (zone []*faultproxy.Proxy) {
+	for n, spec := range engines {
+		if spec.zone == engines[engine].zone {
+			zone = append(zone, sr.proxies[n])
 		}
 	}
 	return zone
 }
 
-// drain tells all routers that an engine drains; it stays so.
-func (p *scenarioRun) announceDrain(engine int) {
-	h := engines[engine].host(p.proxies[engine].Address())
+// announceDrain lists an engine as draining to all routers, for the rest of the run.
+func (sr *scenarioRun) announceDrain(engine int) {
+	h := engines[engine].host(sr.proxies[engine].Address())
 	h.Health = "Terminating"
-	for _, r := range p.routers {
+	for _, r := range sr.routers {
 		r.discovery.Update(h)
 	}
 }
 
-// current is a router's process.
-func (p *scenarioRun) currentProcess(n int) *process {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.routers[n].process
+// currentProcess returns a router's current process.
+func (sr *scenarioRun) currentProcess(n int) *process {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	return sr.routers[n].process
 }
 
-// reload sends SIGHUP, in one form with SIGTERM right behind.
-func (p *scenarioRun) reload(e Event) {
-	r := p.routers[e.Router]
+// reload sends SIGHUP, in one variant followed at once by SIGTERM and a restart.
+func (sr *scenarioRun) reload(e Event) {
+	r := sr.routers[e.Router]
 	if e.Variant == 0 {
-		p.currentProcess(e.Router).signal(syscall.SIGHUP)
+		sr.currentProcess(e.Router).signal(syscall.SIGHUP)
 		return
 	}
 	r.processLock.Lock()
 	defer r.processLock.Unlock()
-	p.currentProcess(e.Router).signal(syscall.SIGHUP)
-	p.restartLocked(context.Background(), e.Router, p.terminate)
+	sr.currentProcess(e.Router).signal(syscall.SIGHUP)
+	sr.restartLocked(context.Background(), e.Router, sr.terminate)
 }
 
-// restart ends a router's process in some way and starts another.
-func (p *scenarioRun) restart(ctx context.Context, n int, end func(*process)) {
-	r := p.routers[n]
+// restart ends a router's process with the given function and starts a new one.
+func (sr *scenarioRun) restart(ctx context.Context, n int, end func(*process)) {
+	r := sr.routers[n]
 	r.processLock.Lock()
 	defer r.processLock.Unlock()
-	p.restartLocked(ctx, n, end)
+	sr.restartLocked(ctx, n, end)
 }
 
-// restartHeld is restart by one that has the router to itself.
-func (p *scenarioRun) restartLocked(ctx context.Context, n int, end func(*process)) {
-	end(p.currentProcess(n))
+// restartLocked is restart for callers that hold the router's processLock.
+func (sr *scenarioRun) restartLocked(ctx context.Context, n int, end func(*process)) {
+	end(sr.currentProcess(n))
 	time.Sleep(restartDelay)
-	if err := p.launch(n); err != nil {
-		return // its clients see nobody
+	if err := sr.launch(n); err != nil {
+		return // its clients cannot connect
 	}
-	p.awaitReady(ctx, n) //nolint:errcheck // as above
+	sr.awaitReady(ctx, n) //nolint:errcheck // its clients cannot connect then
 }
--- a/internal/platform/soak/logpipe.go
+++ b/internal/platform/soak/logpipe.go
@@ -9,21 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// logPipe takes a router's log to a file, as a log collector does: through a pipe that it may stop reading, or close.
+// logPipe copies a router's log to a file through a pipe, like a log collector that may stop reading or close the pipe.
 type logPipe struct {
 	read *os.File
 	file *os.File
-	done chan struct{} // is closed once the file has all
+	done chan struct{} // closed once the whole log is in the file
 
 	mu      sync.Mutex
 	resumed *sync.Cond
-	stalls  int // calls of stall that are not over
+	stalls  int // calls of stall that have not been resumed
 }
 
-// logPipeSize is the least that the system allows, so that a reader that stands still is soon felt.
+// logPipeBytes is the smallest size that the system allows, so that the pipe fills soon after reading stops.
 const logPipeBytes = 4 << 10
 
-// newLogPipe makes a pipe to a file; the process gets its other end, which the caller closes.
+// newLogPipe creates a pipe to a file. write is the end for the process; the caller closes it.
 func newLogPipe(name string) (l *logPipe, write *os.File, err error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -43,10 +43,10 @@
 	return l, write, nil
 }
 
-// copy copies until the pipe's end.
+// copy copies from the pipe to the file until the pipe is closed.
 func (l *logPipe) copy() {
 	defer close(l.done)
-	defer l.file.Close() //nolint:errcheck // read by name later
+	defer l.file.Close() //nolint:errcheck // a truncated log shows when it is read
 	defer l.read.Close() //nolint:errcheck // it may be closed already
 	buf := make([]byte, logPipeBytes)
 	for {
@@ -56,15 +56,15 @@
 		}
 		l.mu.Unlock()
 		n, err := l.read.Read(buf)
-		l.file.Write(buf[:n]) //nolint:errcheck // a log that is cut short shows in reading
+		l.file.Write(buf[:n]) //nolint:errcheck // a truncated log shows when it is read
 		if err != nil {
 			return
 		}
 	}
 }
 
-// stall stops reading until the function that it returns is called.
-func (l *logPipe) stall() (end func()) {
+// stall stops reading until the returned function is called.
+func (l *logPipe) stall() (resume func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stalls++
@@ -76,7 +76,7 @@
 	})
 }
 
-// cut closes the reading end: further writes of the process fail.
+// closeReader closes the read end, so that further writes of the process fail.
 func (l *logPipe) closeReader() {
 	l.read.Close() //nolint:errcheck // it may be closed already
 }
--- a/internal/platform/soak/process.go
+++ b/internal/platform/soak/process.go
@@ -15,23 +15,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a router as a process of its own.
+// process is a process of a router.
 type process struct {
 	cmd  *exec.Cmd
 	log  *logPipe
-	done chan struct{} // is closed once it has ended
+	done chan struct{} // closed once the process has ended
 
 	mu  sync.Mutex
 	rec ProcessRecord
 }
 
-// startProcess starts a router with a configuration file.
+// startProcess starts a router with a configuration file. Its log goes to logFile.
 func startProcess(program []string, router int, config, logFile string) (*process, error) {
 	log, write, err := newLogPipe(logFile)
 	if err != nil {
 		return nil, fmt.Errorf("soak: router %d: %w", router, err)
 	}
-	defer write.Close()                                                                               //nolint:errcheck // the process has its own
+	defer write.Close()                                                                               //nolint:errcheck // the process has its own copy
 	p := &process{cmd: exec.Command(program[0], program[1:]...), log: log, done: make(chan struct{})} //nolint:gosec // our own program
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "CHERRYHUB_LOG=debug")
 	p.cmd.Stderr = write
@@ -49,7 +49,7 @@
 	return p, nil
 }
 
-// signal sends a signal, and books those that end a process.
+// signal sends a signal, and records the first SIGTERM and a SIGKILL.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	now := time.Now()
@@ -63,8 +63,8 @@
 	p.cmd.Process.Signal(s) //nolint:errcheck // it may have ended
 }
 
-// freezeDescriptors lets the process open no further descriptor, until the function that it returns is called.
-func (p *process) freezeDescriptors() (end func()) {
+// freezeDescriptors keeps the process from opening further descriptors until the returned function is called.
+func (p *process) freezeDescriptors() (restore func()) {
 	pid := p.cmd.Process.Pid
 	var before unix.Rlimit
 	u, err := usageOf(pid)
@@ -72,17 +72,17 @@
 		return func() {} // it has ended
 	}
 	frozen := unix.Rlimit{Cur: uint64(u.Descriptors), Max: before.Max}
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &frozen, nil)                   //nolint:errcheck // as above
-	return func() { unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil) } //nolint:errcheck // as above
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &frozen, nil)                   //nolint:errcheck // it may have ended
+	return func() { unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil) } //nolint:errcheck // it may have ended
 }
 
-// kill ends the process by SIGKILL.
+// kill ends the process with SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// ended tells whether the process has ended.
+// ended reports whether the process has ended.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -92,7 +92,7 @@
 	}
 }
 
-// watch books the process's usage.
+// sampleUsage records the process's resource usage if it exceeds earlier samples.
 func (p *process) sampleUsage() {
 	u, err := usageOf(p.cmd.Process.Pid)
 	if err != nil {
@@ -100,8 +100,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	most := &p.rec.Usage
-	most.Descriptors, most.MemoryBytes, most.Threads = max(most.Descriptors, u.Descriptors), max(most.MemoryBytes, u.MemoryBytes), max(most.Threads, u.Threads)
+	peak := &p.rec.Usage
+	peak.Descriptors, peak.MemoryBytes, peak.Threads = max(peak.Descriptors, u.Descriptors), max(peak.MemoryBytes, u.MemoryBytes), max(peak.Threads, u.Threads)
 }
 
 func (p *process) record() ProcessRecord {
@@ -110,7 +110,7 @@
 	return p.rec
 }
 
-// usageOf reads a process's usage from the system.
+// usageOf reads a process's resource usage from /proc.
 func usageOf(pid int) (u Usage, err error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	files, err := os.ReadDir(filepath.Join(dir, "fd"))
@@ -128,7 +128,7 @@
 		if len(fields) == 0 {
 			continue
 		}
-		n, _ := strconv.ParseInt(fields[0], 10, 64) //nolint:errcheck // other lines hold no numbers
+		n, _ := strconv.ParseInt(fields[0], 10, 64) //nolint:errcheck // lines without a number are not used
 		switch name {
 		case "VmRSS":
 			u.MemoryBytes = n << 10
--- a/internal/platform/soak/records.go
+++ b/internal/platform/soak/records.go
@@ -6,42 +6,42 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// Seen is one request as its client saw it.
+// ClientRequest is the record that a client keeps of a request.
 type ClientRequest struct {
 	ID        string
 	Router    int
 	Class     string
-	Sent      time.Time // its last byte was written
+	Sent      time.Time // when its last byte was written
 	Timeout   time.Duration
 	Answers   int
 	Status    int
-	FirstByte time.Time // the answer's first byte
-	Left      time.Time // the client closed its connection before the answer; zero: it did not
+	FirstByte time.Time // when the first byte of the answer arrived
+	Left      time.Time // when the client closed its connection before the answer; zero: it did not
 	Complete  bool
-	Resent    bool // sent once more on a new connection, as the first was closed between two requests
+	Resent    bool // sent again on a new connection, as the first one was closed before an answer
 	Err       error
-	StallWait time.Duration // of one that stopped in the middle of its request: how long it waited for an error or the end; else 0
+	StallWait time.Duration // how long a client that stopped in the middle of the request waited for an answer or the end; 0: it did not stop
 }
 
-// Life is one process of a router.
+// ProcessRecord is the record of one process of a router.
 type ProcessRecord struct {
 	Router     int
 	Started    time.Time
-	Terminated time.Time // SIGTERM was sent; zero: it was not
-	Killed     time.Time // SIGKILL was sent; zero: it was not
+	Terminated time.Time // when SIGTERM was sent; zero: it was not
+	Killed     time.Time // when SIGKILL was sent; zero: it was not
 	Ended      time.Time
-	Err        error // of a process that ended by itself
-	Usage      Usage // the largest that was seen
+	Err        error // from waiting for the process; nil: it exited with status 0
+	Usage      Usage // the highest values sampled
 }
 
-// Usage is what a process holds.
+// Usage is the resource usage of a process.
 type Usage struct {
 	Descriptors int
-	MemoryBytes int64 // bytes
+	MemoryBytes int64
 	Threads     int
 }
 
-// Record is all that a play left behind, from stand-ins, clients and processes. No word of a router is in it.
+// Record is what stand-ins, clients and processes recorded in the run of a scenario. Nothing in it is reported by a router.
 type Record struct {
 	Scenario       *Scenario
 	Started        time.Time
@@ -49,10 +49,10 @@
 	Holds          []standin.Hold
 	Requests       []ClientRequest
 	Processes      []ProcessRecord
-	DrainAnnounced map[RouterEngine]time.Time // when a router was first told that an engine drains
+	DrainAnnounced map[RouterEngine]time.Time // when a router was first told that an engine is draining
 }
 
-// Notice is a router's news of an engine.
+// RouterEngine identifies an engine as seen by a router.
 type RouterEngine struct {
 	Router int
 	Engine string
--- a/internal/platform/soak/run.go
+++ b/internal/platform/soak/run.go
@@ -19,7 +19,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// engineKind is one engine of the site.
+// engineSpec describes an engine of the simulated site.
 type engineSpec struct {
 	name, zone string
 	isReader   bool
@@ -31,40 +31,40 @@
 	zoneThere = "there"
 )
 
-// engines are the site's. Those that drain are the last of their role.
+// engines are the engines of the site. The last reader and the last writer may drain, see drainable.
 var engines = []engineSpec{
 	{"reader-0", zoneHere, true}, {"reader-1", zoneThere, true}, {"reader-2", zoneHere, true},
 	{"writer-0", zoneHere, false}, {"writer-1", zoneThere, false}, {"writer-2", zoneHere, false}, {"writer-3", zoneThere, false},
 }
 
-// drainable are the engines that may drain: without them each role is still there in each zone.
+// drainable are the indices of the engines that may drain: without them each zone still has a reader and a writer.
 var drainable = [...]int{2, 6}
 
-// The site's figures.
+// The parameters of the site.
 const (
 	holdingLimit         = 500 * time.Millisecond
 	maxSockets           = 256
-	clientsPerRouter     = 6 // of one router
+	clientsPerRouter     = 6 // for each router
 	idleClientsPerRouter = 150
 	maxReadTime          = 80 * time.Millisecond
 	maxWriteTime         = 60 * time.Millisecond
-	maxQueueTime         = 1500 * time.Millisecond // what a write waits at a busy engine
-	busyOneIn            = 6                       // one write of so many comes to a busy engine
-	maxHangDelay         = 10 * time.Millisecond   // behind a call
-	maxAnswersBeforeLoss = 4                       // that pass on a connection before one is lost
+	maxQueueTime         = 1500 * time.Millisecond // of a write at a busy engine
+	busyOneIn            = 6                       // one in this many writes arrives at a busy engine
+	maxHangDelay         = 10 * time.Millisecond   // after the call arrived
+	maxAnswersBeforeLoss = 4                       // pieces of answers that pass on a connection before one is lost
 	maxDelay             = 500 * time.Millisecond
 	maxConnDelay         = time.Second
-	longCallBytes        = 4000 // bytes that a call with a long prompt has at least, and no other
+	longCallBytes        = 4000 // only calls with a long prompt have this many bytes
 	idleTime             = 50 * time.Millisecond
 	pauseDuration        = 150 * time.Millisecond
 	restartDelay         = 300 * time.Millisecond
 	killGrace            = 700 * time.Millisecond
 	readyTimeout         = 10 * time.Second
-	settleTime           = 1500 * time.Millisecond // for what is held when all clients have their answers
+	settleTime           = 1500 * time.Millisecond // for releases after all clients have their answers
 	signalInterval       = 400 * time.Millisecond
 )
 
-// settings are the site's, for a router's configuration.
+// configTemplate is a router's configuration, filled in by startRouter.
 const configTemplate = `{"name":"r%d","listen":%q,"discovery":%q,"seed":"%016x",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"seq":0,"whole":true,"hosts":[]},
 "settings":{"balancers":%d,"my-zone":%d,"zones":["here","there"],"kinds":["reads","writes"],"granularity-ns":2000000,
@@ -75,17 +75,17 @@
 "rules":{"cold-from":0.3,"warm-up-ns":1000000000,"tip-multiple":2.5,"fall-ns":2000000000},
 "telemetry":{"columns":["util","queue","x0"]},"tenants":[{"name":"acme","allowance-per-s":1000}]}}`
 
-// router is one of the site's, through all its processes.
+// router is a router of the site, across all its processes.
 type router struct {
 	listen      string
 	configFile  string
 	logFile     string
 	discovery   *standin.Discovery
 	process     *process
-	processLock sync.Mutex // one after another starts and ends it
+	processLock sync.Mutex // held while the process is ended and started
 }
 
-// play is one scenario as it runs.
+// scenarioRun is a run of one scenario.
 type scenarioRun struct {
 	program  []string
 	dir      string
@@ -96,150 +96,150 @@
 	routers  []*router
 	started  time.Time
 
-	zoneCut sync.Mutex // is held while a zone is cut off
+	zoneCut sync.Mutex // held while a zone is cut off
 
-	mu                sync.Mutex
-	random            *rand.Rand // of engines and proxies; the lock guards it
-	requests          []ClientRequest
-	processes         []*process
-	stopped           []bool                   // a router's clients stop
-	hangsAtCall       map[string]time.Duration // engines that are to hang for so long once they have taken a call
-	unusedDiscoveries []*standin.Discovery
+	mu          sync.Mutex
+	random      *rand.Rand // for engines and proxies
+	requests    []ClientRequest
+	processes   []*process
+	stopped     []bool                   // by router: its clients are to stop
+	hangsAtCall map[string]time.Duration // by engine: how long it will hang after its next call
+	discoveries []*standin.Discovery
 }
 
-// Play plays a scenario with routers that are processes of the program, started by EDGE_CONFIG, and gives its record.
+// RunScenario runs a scenario and returns its record. Each router is a process of the program, configured by EDGE_CONFIG.
 func RunScenario(ctx context.Context, program []string, dir string, s *Scenario) (*Record, error) {
-	p := &scenarioRun{program: program, dir: dir, scenario: s, fleet: standin.NewFleet(), stopped: make([]bool, s.Routers),
+	sr := &scenarioRun{program: program, dir: dir, scenario: s, fleet: standin.NewFleet(), stopped: make([]bool, s.Routers),
 		random: rand.New(rand.NewPCG(s.Seed, 2)), hangsAtCall: map[string]time.Duration{}} //nolint:gosec // not for secrets
-	defer p.close()
-	if err := p.start(ctx); err != nil {
+	defer sr.close()
+	if err := sr.start(ctx); err != nil {
 		return nil, err
 	}
-	p.started = time.Now()
+	sr.started = time.Now()
 	var clients, faults sync.WaitGroup
 	for r := range s.Routers {
 		for n := range clientsPerRouter {
-			c := &client{run: p, router: r, name: fmt.Sprintf("s%d-r%d-c%d", s.Seed, r, n), random: rand.New(rand.NewPCG(s.Seed, uint64(100*r+n)))} //nolint:gosec // as above
+			c := &client{run: sr, router: r, name: fmt.Sprintf("s%d-r%d-c%d", s.Seed, r, n), random: rand.New(rand.NewPCG(s.Seed, uint64(100*r+n)))} //nolint:gosec // not for secrets
 			clients.Go(c.loop)
 		}
 	}
 	if s.Has(ClientsCrowd) {
-		p.openIdleClients()
+		sr.openIdleClients()
 	}
 	for _, e := range s.Events {
 		faults.Go(func() {
 			if sleep(ctx, e.At) {
-				p.inject(ctx, e)
+				sr.inject(ctx, e)
 			}
 		})
 	}
-	faults.Go(func() { p.sampleUsage(ctx) })
+	faults.Go(func() { sr.sampleUsage(ctx) })
 	sleep(ctx, runDuration)
 	faults.Wait()
-	p.stopAll()
+	sr.stopAll()
 	clients.Wait()
-	return p.record(), ctx.Err()
+	return sr.record(), ctx.Err()
 }
 
-// sleep waits, and tells whether it did so to the end.
-func sleep(ctx context.Context, length time.Duration) bool {
+// sleep waits for a time, and returns false if the context ended before.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// chance draws below a number.
-func (p *scenarioRun) randomBelow(below int64) int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.random.Int64N(below)
+// randomBelow returns a random number in [0, n).
+func (sr *scenarioRun) randomBelow(n int64) int64 {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	return sr.random.Int64N(n)
 }
 
-// start starts engines, proxies, discoveries and routers.
-func (p *scenarioRun) start(ctx context.Context) error {
-	p.fleet.Strict, p.fleet.EventInterval, p.fleet.ServiceTime, p.fleet.InjectFault = true, 5*time.Millisecond, p.serviceTime, p.injectFault
+// start starts engines, proxies, discovery services and routers.
+func (sr *scenarioRun) start(ctx context.Context) error {
+	sr.fleet.Strict, sr.fleet.EventInterval, sr.fleet.ServiceTime, sr.fleet.InjectFault = true, 5*time.Millisecond, sr.serviceTime, sr.injectFault
 	var hosts []discovery.Host
-	for _, kind := range engines {
-		e, err := p.fleet.StartEngine(kind.name, kind.isReader)
+	for _, spec := range engines {
+		e, err := sr.fleet.StartEngine(spec.name, spec.isReader)
 		if err != nil {
 			return err
 		}
-		p.closers = append(p.closers, e.Close)
-		proxy, err := faultproxy.Start(e.Address(), func(int) faultproxy.Plan { return p.plan() }, p.answerDelay())
+		sr.closers = append(sr.closers, e.Close)
+		proxy, err := faultproxy.Start(e.Address(), func(int) faultproxy.Plan { return sr.plan() }, sr.answerDelay())
 		if err != nil {
 			return err
 		}
-		p.proxies = append(p.proxies, proxy)
-		p.closers = append(p.closers, proxy.Close)
-		hosts = append(hosts, kind.host(proxy.Address()))
+		sr.proxies = append(sr.proxies, proxy)
+		sr.closers = append(sr.closers, proxy.Close)
+		hosts = append(hosts, spec.host(proxy.Address()))
 	}
-	for n := range p.scenario.Routers {
-		if err := p.startRouter(ctx, n, hosts); err != nil {
+	for n := range sr.scenario.Routers {
+		if err := sr.startRouter(ctx, n, hosts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *engineSpec) host(address string) discovery.Host {
-	h := discovery.Host{Name: k.name, Address: address, Zone: k.zone, MachineKind: "writes", Cell: 1, Health: "Ready", Share: 1}
-	if k.isReader {
+func (s *engineSpec) host(address string) discovery.Host {
+	h := discovery.Host{Name: s.name, Address: address, Zone: s.zone, MachineKind: "writes", Cell: 1, Health: "Ready", Share: 1}
+	if s.isReader {
 		h.MachineKind = "reads"
 	}
 	return h
 }
 
-func (p *scenarioRun) startRouter(ctx context.Context, n int, hosts []discovery.Host) error {
+func (sr *scenarioRun) startRouter(ctx context.Context, n int, hosts []discovery.Host) error {
 	list, err := standin.StartDiscovery(append([]discovery.Host(nil), hosts...))
 	if err != nil {
 		return err
 	}
-	p.closers = append(p.closers, func() { list.Close() }) //nolint:errcheck // a stand-in
+	sr.closers = append(sr.closers, func() { list.Close() }) //nolint:errcheck // the run is over
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
 		return fmt.Errorf("soak: router %d: %w", n, err)
 	}
 	listen := ln.Addr().String()
-	ln.Close() //nolint:errcheck // the router listens there
-	r := &router{listen: listen, discovery: list, configFile: filepath.Join(p.dir, fmt.Sprintf("r%d.json", n)), logFile: filepath.Join(p.dir, fmt.Sprintf("r%d.log", n))}
-	p.routers = append(p.routers, r)
-	deadline := p.scenario.ClientTimeout.Nanoseconds()
-	text := fmt.Sprintf(configTemplate, n, listen, list.Address(), p.scenario.Seed+uint64(n), maxSockets, p.scenario.Routers, n%2, holdingLimit.Nanoseconds(), deadline, deadline)
+	ln.Close() //nolint:errcheck // if it fails, the router cannot listen and the start fails
+	r := &router{listen: listen, discovery: list, configFile: filepath.Join(sr.dir, fmt.Sprintf("r%d.json", n)), logFile: filepath.Join(sr.dir, fmt.Sprintf("r%d.log", n))}
+	sr.routers = append(sr.routers, r)
+	timeoutNanos := sr.scenario.ClientTimeout.Nanoseconds()
+	text := fmt.Sprintf(configTemplate, n, listen, list.Address(), sr.scenario.Seed+uint64(n), maxSockets, sr.scenario.Routers, n%2, holdingLimit.Nanoseconds(), timeoutNanos, timeoutNanos)
 	if !json.Valid([]byte(text)) {
-		return fmt.Errorf("soak: router %d: the configuration is no JSON", n)
+		return fmt.Errorf("soak: router %d: configuration is not valid JSON", n)
 	}
 	if err := os.WriteFile(r.configFile, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("soak: router %d: %w", n, err)
 	}
-	if err := p.launch(n); err != nil {
+	if err := sr.launch(n); err != nil {
 		return err
 	}
-	return p.awaitReady(ctx, n)
+	return sr.awaitReady(ctx, n)
 }
 
-// launch starts a router's process.
-func (p *scenarioRun) launch(n int) error {
-	r := p.routers[n]
-	one, err := startProcess(p.program, n, r.configFile, r.logFile)
+// launch starts a process of a router.
+func (sr *scenarioRun) launch(n int) error {
+	r := sr.routers[n]
+	proc, err := startProcess(sr.program, n, r.configFile, r.logFile)
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	r.process = one
-	p.processes = append(p.processes, one)
-	p.mu.Unlock()
+	sr.mu.Lock()
+	r.process = proc
+	sr.processes = append(sr.processes, proc)
+	sr.mu.Unlock()
 	return nil
 }
 
-// awaitReady waits until a router takes calls.
-func (p *scenarioRun) awaitReady(ctx context.Context, n int) error {
-	r := p.routers[n]
+// awaitReady waits until a router is ready for requests.
+func (sr *scenarioRun) awaitReady(ctx context.Context, n int) error {
+	r := sr.routers[n]
 	for until := time.Now().Add(readyTimeout); time.Now().Before(until); {
 		if r.process.ended() {
-			return fmt.Errorf("soak: router %d ended at its start, see %s: %w", n, r.logFile, r.process.record().Err)
+			return fmt.Errorf("soak: router %d exited during startup, see %s: %w", n, r.logFile, r.process.record().Err)
 		}
 		if isReady(r.listen) {
 			return nil
@@ -256,187 +256,187 @@
 	if err != nil {
 		return false
 	}
-	defer conn.Close()                               //nolint:errcheck // done with it
-	conn.SetDeadline(time.Now().Add(connectTimeout)) //nolint:errcheck // shows in reading
+	defer conn.Close()                               //nolint:errcheck // the connection is no longer used
+	conn.SetDeadline(time.Now().Add(connectTimeout)) //nolint:errcheck // the read fails then
 	if _, err := conn.Write([]byte("GET /up HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")); err != nil {
 		return false
 	}
 	buf := make([]byte, 16)
-	k, _ := conn.Read(buf) //nolint:errcheck // no bytes are no answer
-	return strings.HasPrefix(string(buf[:k]), "HTTP/1.1 200")
+	n, _ := conn.Read(buf) //nolint:errcheck // without bytes it is not ready
+	return strings.HasPrefix(string(buf[:n]), "HTTP/1.1 200")
 }
 
-// plan is what becomes of the next connection to an engine.
-func (p *scenarioRun) plan() (plan faultproxy.Plan) {
-	s := p.scenario
-	spoils := func(f Fault) bool { return s.Has(f) && p.randomBelow(4) == 0 }
+// plan draws the faults of the next connection to an engine.
+func (sr *scenarioRun) plan() (plan faultproxy.Plan) {
+	s := sr.scenario
+	drawn := func(f Fault) bool { return s.Has(f) && sr.randomBelow(4) == 0 }
 	switch {
-	case spoils(StartSilent):
+	case drawn(StartSilent):
 		plan.Silence = faultproxy.AtStart
-	case spoils(AnswerSilent):
+	case drawn(AnswerSilent):
 		plan.Silence = faultproxy.AfterAnswer
-	case spoils(BytesSilent):
-		plan.Silence, plan.Bytes = faultproxy.AfterBytes, int(p.randomBelow(60_000))
-	case spoils(AnswerLost):
-		plan.Silence, plan.Answers = faultproxy.OnAnswer, int(p.randomBelow(maxAnswersBeforeLoss))
-	case spoils(LateBytes):
-		plan.SendDelay = time.Duration(p.randomBelow(int64(maxDelay)))
-	case spoils(LateConns):
-		plan.StartDelay = time.Duration(p.randomBelow(int64(maxConnDelay)))
-	case spoils(Resets):
+	case drawn(BytesSilent):
+		plan.Silence, plan.Bytes = faultproxy.AfterBytes, int(sr.randomBelow(60_000))
+	case drawn(AnswerLost):
+		plan.Silence, plan.Answers = faultproxy.OnAnswer, int(sr.randomBelow(maxAnswersBeforeLoss))
+	case drawn(LateBytes):
+		plan.SendDelay = time.Duration(sr.randomBelow(int64(maxDelay)))
+	case drawn(LateConns):
+		plan.StartDelay = time.Duration(sr.randomBelow(int64(maxConnDelay)))
+	case drawn(Resets):
 		plan.Reset = faultproxy.AfterBytes
-		if plan.Bytes = int(p.randomBelow(60_000)); plan.Bytes%2 == 0 {
+		if plan.Bytes = int(sr.randomBelow(60_000)); plan.Bytes%2 == 0 {
 			plan.Reset = faultproxy.AfterAnswer
 		}
 	}
 	return plan
 }
 
-// wait is how long pieces of answers are held back, nil for not at all.
-func (p *scenarioRun) answerDelay() func() time.Duration {
-	if !p.scenario.Has(LateAnswers) {
+// answerDelay returns a function that draws the delay of a piece of an answer, or nil if the scenario does not delay answers.
+func (sr *scenarioRun) answerDelay() func() time.Duration {
+	if !sr.scenario.Has(LateAnswers) {
 		return nil
 	}
 	return func() time.Duration {
-		if p.randomBelow(3) > 0 {
+		if sr.randomBelow(3) > 0 {
 			return 0
 		}
-		return time.Duration(p.randomBelow(int64(maxDelay)))
+		return time.Duration(sr.randomBelow(int64(maxDelay)))
 	}
 }
 
-// work is how long an engine takes up to its answer.
-func (p *scenarioRun) serviceTime(c *standin.Call) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// serviceTime draws how long an engine takes until its answer.
+func (sr *scenarioRun) serviceTime(c *standin.Call) time.Duration {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
 	switch {
 	case c.Kind == standin.Read:
-		return time.Duration(p.random.Int64N(int64(maxReadTime)))
-	case p.random.IntN(busyOneIn) == 0:
-		return time.Duration(p.random.Int64N(int64(maxQueueTime)))
+		return time.Duration(sr.random.Int64N(int64(maxReadTime)))
+	case sr.random.IntN(busyOneIn) == 0:
+		return time.Duration(sr.random.Int64N(int64(maxQueueTime)))
 	}
-	return time.Duration(p.random.Int64N(int64(maxWriteTime)))
+	return time.Duration(sr.random.Int64N(int64(maxWriteTime)))
 }
 
-// spoil has an engine hang once it has taken a call, where it is to.
-func (p *scenarioRun) injectFault(c *standin.Call, _ int) standin.Fault {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if length := p.hangsAtCall[c.Engine]; isAttempt(c) && length > 0 {
-		delete(p.hangsAtCall, c.Engine)
-		time.AfterFunc(time.Duration(p.random.Int64N(int64(maxHangDelay))), func() { p.fleet.Hang(c.Engine, time.Now().Add(length)) })
+// injectFault makes an engine hang shortly after an attempt arrived if a HangsAtCall event has asked for it.
+func (sr *scenarioRun) injectFault(c *standin.Call, _ int) standin.Fault {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	if duration := sr.hangsAtCall[c.Engine]; isAttempt(c) && duration > 0 {
+		delete(sr.hangsAtCall, c.Engine)
+		time.AfterFunc(time.Duration(sr.random.Int64N(int64(maxHangDelay))), func() { sr.fleet.Hang(c.Engine, time.Now().Add(duration)) })
 	}
 	return standin.None
 }
 
-// saw books a request.
-func (p *scenarioRun) addRequest(one *ClientRequest) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.requests = append(p.requests, *one)
+// addRequest records a request.
+func (sr *scenarioRun) addRequest(req *ClientRequest) {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.requests = append(sr.requests, *req)
 }
 
-// clientsOver tells whether a router's clients are to stop.
-func (p *scenarioRun) clientsStopped(n int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.stopped[n]
+// clientsStopped reports whether a router's clients are to stop.
+func (sr *scenarioRun) clientsStopped(n int) bool {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	return sr.stopped[n]
 }
 
-// crowd opens connections that say nothing, at each router, up to the play's end.
-func (p *scenarioRun) openIdleClients() {
-	for _, r := range p.routers {
+// openIdleClients opens connections to each router that send nothing and stay open until the end of the run.
+func (sr *scenarioRun) openIdleClients() {
+	for _, r := range sr.routers {
 		for range idleClientsPerRouter {
 			if conn, err := net.DialTimeout("tcp", r.listen, connectTimeout); err == nil {
-				p.closers = append(p.closers, func() { conn.Close() }) //nolint:errcheck // done with it
+				sr.closers = append(sr.closers, func() { conn.Close() }) //nolint:errcheck // the connection is no longer used
 			}
 		}
 	}
 }
 
-// watch books what the routers' processes hold.
-func (p *scenarioRun) sampleUsage(ctx context.Context) {
-	for time.Since(p.started) < runDuration && sleep(ctx, 200*time.Millisecond) {
-		p.mu.Lock()
-		lives := append([]*process(nil), p.processes...)
-		p.mu.Unlock()
-		for _, one := range lives {
-			one.sampleUsage()
+// sampleUsage samples the resource usage of the routers' processes.
+func (sr *scenarioRun) sampleUsage(ctx context.Context) {
+	for time.Since(sr.started) < runDuration && sleep(ctx, 200*time.Millisecond) {
+		sr.mu.Lock()
+		procs := append([]*process(nil), sr.processes...)
+		sr.mu.Unlock()
+		for _, proc := range procs {
+			proc.sampleUsage()
 		}
 	}
 }
 
-// stopAll ends the routers one after another. Their clients send on until each process ends, at the latest by SIGKILL at
-// its earliest.
-func (p *scenarioRun) stopAll() {
-	var all sync.WaitGroup
-	for n := range p.routers {
-		all.Go(func() { p.stopRouter(n) })
+// stopAll ends the routers one after another. The clients of a router go on sending until its process has ended, at the latest by SIGKILL
+// after the shutdown time.
+func (sr *scenarioRun) stopAll() {
+	var wg sync.WaitGroup
+	for n := range sr.routers {
+		wg.Go(func() { sr.stopRouter(n) })
 		time.Sleep(signalInterval)
 	}
-	all.Wait()
+	wg.Wait()
 	time.Sleep(settleTime)
 }
 
-// stopRouter sends SIGTERM to a router and, where it has not ended by then, SIGKILL at its earliest.
-func (p *scenarioRun) stopRouter(n int) {
-	r := p.routers[n]
+// stopRouter ends a router's process with SIGTERM, or SIGKILL after the shutdown time, and then stops its clients.
+func (sr *scenarioRun) stopRouter(n int) {
+	r := sr.routers[n]
 	r.processLock.Lock()
 	defer r.processLock.Unlock()
-	p.terminate(r.process)
-	p.mu.Lock()
-	p.stopped[n] = true
-	p.mu.Unlock()
+	sr.terminate(r.process)
+	sr.mu.Lock()
+	sr.stopped[n] = true
+	sr.mu.Unlock()
 }
 
-// terminate ends a process by SIGTERM and SIGKILL.
-func (p *scenarioRun) terminate(one *process) {
-	one.signal(syscall.SIGTERM)
+// terminate sends SIGTERM to a process, and SIGKILL if it has not ended within the client timeout plus killGrace.
+func (sr *scenarioRun) terminate(proc *process) {
+	proc.signal(syscall.SIGTERM)
 	select {
-	case <-one.done:
-	case <-time.After(p.scenario.ClientTimeout + killGrace):
-		one.kill()
+	case <-proc.done:
+	case <-time.After(sr.scenario.ClientTimeout + killGrace):
+		proc.kill()
 	}
 }
 
-// close ends all that the play started.
-func (p *scenarioRun) close() {
-	p.mu.Lock()
-	lives := p.processes
-	p.mu.Unlock()
-	for _, one := range lives {
-		if !one.ended() {
-			one.kill()
+// close ends everything that the run has started.
+func (sr *scenarioRun) close() {
+	sr.mu.Lock()
+	procs := sr.processes
+	sr.mu.Unlock()
+	for _, proc := range procs {
+		if !proc.ended() {
+			proc.kill()
 		}
-		<-one.log.done
+		<-proc.log.done
 	}
-	for _, end := range p.closers {
-		end()
+	for _, closeFn := range sr.closers {
+		closeFn()
 	}
 }
 
-// calls are all calls that arrived. One is over once its engine has ended it, or the router has closed its connection. A read
-// counts, answered or not: it is over only once its answer has come through to the router.
-func (p *scenarioRun) calls() []standin.Call {
+// calls returns all calls that arrived at engines. A call ends when its engine ends it or when the router closes its connection. A read
+// that was answered ends only when its answer has passed the proxy to the router.
+func (sr *scenarioRun) calls() []standin.Call {
 	proxies := map[string]*faultproxy.Proxy{}
-	for n, kind := range engines {
-		proxies[kind.name] = p.proxies[n]
+	for n, spec := range engines {
+		proxies[spec.name] = sr.proxies[n]
 	}
-	all := p.fleet.Calls("")
+	all := sr.fleet.Calls("")
 	for i := range all {
 		c := &all[i]
-		passage := proxies[c.Engine].ConnRecord(c.RemoteAddr)
+		conn := proxies[c.Engine].ConnRecord(c.RemoteAddr)
 		switch {
-		case passage == nil:
+		case conn == nil:
 			continue
 		case c.Kind != standin.Read || c.AnswerStarted.IsZero():
-			if !passage.Closed.IsZero() && (c.Ended.IsZero() || passage.Closed.Before(c.Ended)) {
-				c.Ended = passage.Closed
+			if !conn.Closed.IsZero() && (c.Ended.IsZero() || conn.Closed.Before(c.Ended)) {
+				c.Ended = conn.Closed
 			}
 			continue
 		}
-		c.Ended = passage.Closed
-		for _, at := range passage.AnswerTimes {
+		c.Ended = conn.Closed
+		for _, at := range conn.AnswerTimes {
 			if !at.Before(c.AnswerStarted) {
 				c.Ended = at
 				break
@@ -446,20 +446,20 @@
 	return all
 }
 
-// record is what the play left behind.
-func (p *scenarioRun) record() *Record {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := &Record{Scenario: p.scenario, Started: p.started, Calls: p.calls(), Holds: p.fleet.Holds(), Requests: p.requests, DrainAnnounced: map[RouterEngine]time.Time{}}
-	for _, one := range p.processes {
-		r.Processes = append(r.Processes, one.record())
-	}
-	for n, one := range p.routers {
-		for _, kind := range engines {
-			if at := one.discovery.DrainAnnounced(kind.name); !at.IsZero() {
-				r.DrainAnnounced[RouterEngine{n, kind.name}] = at
+// record returns the record of the run.
+func (sr *scenarioRun) record() *Record {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	rec := &Record{Scenario: sr.scenario, Started: sr.started, Calls: sr.calls(), Holds: sr.fleet.Holds(), Requests: sr.requests, DrainAnnounced: map[RouterEngine]time.Time{}}
+	for _, proc := range sr.processes {
+		rec.Processes = append(rec.Processes, proc.record())
+	}
+	for n, r := range sr.routers {
+		for _, spec := range engines {
+			if at := r.discovery.DrainAnnounced(spec.name); !at.IsZero() {
+				rec.DrainAnnounced[RouterEngine{n, spec.name}] = at
 			}
 		}
 	}
-	return r
+	return rec
 }
--- a/internal/platform/soak/soak.go
+++ b/internal/platform/soak/soak.go
@@ -1,8 +1,9 @@
-// Package soak plays seeded faults before real router processes and judges them by what stand-in engines and clients saw.
+// Package soak runs router processes under seeded faults and checks rules against what stand-in engines and clients recorded.
 //
-// A seed draws a scenario: one class of fault in turn with one or two others, the number of routers, the deadlines and the
-// times. Routers are processes of our own program; each engine is a stand-in behind a fault proxy. The verdict uses no word of
-// a router. All servers are simulated: nothing here says how fast a real engine is. cmd/cherryhub soak calls it.
+// A seed determines a scenario: a main class of faults, one or two other classes, the number of routers, the client timeouts and the
+// times of the faults. Routers are processes of our own program; each engine is a stand-in behind a fault proxy. The checks use nothing
+// that a router reports about itself. All servers are simulated: nothing here says how fast a real engine is. The command cherryhub soak
+// runs it.
 package soak
 
 import (
@@ -18,31 +19,31 @@
 	"time"
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	Program   []string // starts a router by EDGE_CONFIG
-	FirstSeed uint64   // the first seed
+	Program   []string // command that starts a router configured by EDGE_CONFIG
+	FirstSeed uint64
 	Seeds     int
-	Faults    []Fault // beside the first, in place of those that seeds draw; empty: as drawn
-	Parallel  int     // scenarios at once
-	Dir       string  // for logs; empty: a temporary one, removed at the end
+	Faults    []Fault // replace those that the seeds select; empty: none are replaced
+	Parallel  int     // scenarios that run at once
+	Dir       string  // for logs; empty: a temporary directory that is removed at the end
 }
 
-// The bounds of a run.
+// The limits of a run.
 const (
 	MaxSeeds    = 1000
 	MaxParallel = 8
 )
 
-// Errors of options.
+// Errors of Options.Validate.
 var (
 	ErrUnknownFault = errors.New("unknown fault")
-	ErrSeedCount    = fmt.Errorf("seeds: wanted from 1 to %d", MaxSeeds)
-	ErrParallel     = fmt.Errorf("scenarios at once: wanted from 1 to %d, each of which has up to %d routers", MaxParallel, maxRouters)
-	ErrProgram      = errors.New("the router's program can't be run")
+	ErrSeedCount    = fmt.Errorf("number of seeds must be from 1 to %d", MaxSeeds)
+	ErrParallel     = fmt.Errorf("number of parallel scenarios must be from 1 to %d (each has up to %d routers)", MaxParallel, maxRouters)
+	ErrProgram      = errors.New("router program is not executable")
 )
 
-// Check tells what is wrong with the options.
+// Validate returns an error if an option is invalid.
 func (o *Options) Validate() error {
 	if o.Seeds < 1 || o.Seeds > MaxSeeds {
 		return fmt.Errorf("%w, not %d", ErrSeedCount, o.Seeds)
@@ -52,11 +53,11 @@
 	}
 	for _, f := range o.Faults {
 		if !slices.Contains(Faults, f) {
-			return fmt.Errorf("%w %q: wanted some of %v", ErrUnknownFault, f, Faults)
+			return fmt.Errorf("%w %q: must be one of %v", ErrUnknownFault, f, Faults)
 		}
 	}
 	if len(o.Program) == 0 {
-		return fmt.Errorf("%w: no program", ErrProgram)
+		return fmt.Errorf("%w: no program is given", ErrProgram)
 	}
 	if info, err := os.Stat(o.Program[0]); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
 		return fmt.Errorf("%w: %s", ErrProgram, o.Program[0])
@@ -64,43 +65,43 @@
 	return nil
 }
 
-// Verdict is what a scenario came to.
+// Result is the outcome of a scenario.
 type Result struct {
 	Scenario *Scenario
 	Requests int
 	Served   int
 	Attempts int
 
-	LongestHeld time.Duration // while nothing was out
+	LongestHeld time.Duration // of something held while no attempt was running
 	Violations  []Violation
-	Timeline    string // of the worst broken request
-	Err         error  // it could not be played
+	Timeline    string // of the first violation's request
+	Err         error  // the scenario could not be run
 }
 
-// Run plays scenarios and hands on each verdict as it comes, in any order.
-func Run(ctx context.Context, o Options, verdict func(*Result)) error {
+// Run runs scenarios and calls onResult with each result, one at a time and in any order.
+func Run(ctx context.Context, o Options, onResult func(*Result)) error {
 	if err := o.Validate(); err != nil {
 		return err
 	}
 	dir := o.Dir
 	if dir == "" {
-		made, err := os.MkdirTemp("", "cherryhub-soak-")
+		tempDir, err := os.MkdirTemp("", "cherryhub-soak-")
 		if err != nil {
 			return fmt.Errorf("soak: %w", err)
 		}
-		defer os.RemoveAll(made)
-		dir = made
+		defer os.RemoveAll(tempDir)
+		dir = tempDir
 	}
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
-	var one sync.Mutex // verdicts come one at a time
+	var workers sync.WaitGroup
+	var resultLock sync.Mutex // serializes calls of onResult
 	for range o.Parallel {
-		players.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				v := runSeed(ctx, &o, dir, seed)
-				one.Lock()
-				verdict(v)
-				one.Unlock()
+				res := runSeed(ctx, &o, dir, seed)
+				resultLock.Lock()
+				onResult(res)
+				resultLock.Unlock()
 			}
 		})
 	}
@@ -111,82 +112,82 @@
 		}
 	}
 	close(seeds)
-	players.Wait()
+	workers.Wait()
 	return ctx.Err()
 }
 
-// playSeed plays and judges one scenario.
+// runSeed runs the scenario of a seed and checks its record.
 func runSeed(ctx context.Context, o *Options, dir string, seed uint64) *Result {
 	s := NewScenario(seed, o.Faults...)
-	v := &Result{Scenario: s}
-	own := filepath.Join(dir, fmt.Sprintf("seed-%d", seed))
-	if v.Err = errors.Join(os.RemoveAll(own), os.MkdirAll(own, 0o700)); v.Err != nil {
-		return v
-	}
-	r, err := RunScenario(ctx, o.Program, own, s)
-	if v.Err = err; err != nil {
-		return v
-	}
-	v.Requests = len(r.Requests)
-	for i := range r.Requests {
-		if r.Requests[i].Complete && r.Requests[i].Status == 200 {
-			v.Served++
+	res := &Result{Scenario: s}
+	seedDir := filepath.Join(dir, fmt.Sprintf("seed-%d", seed))
+	if res.Err = errors.Join(os.RemoveAll(seedDir), os.MkdirAll(seedDir, 0o700)); res.Err != nil {
+		return res
+	}
+	rec, err := RunScenario(ctx, o.Program, seedDir, s)
+	if res.Err = err; err != nil {
+		return res
+	}
+	res.Requests = len(rec.Requests)
+	for i := range rec.Requests {
+		if rec.Requests[i].Complete && rec.Requests[i].Status == 200 {
+			res.Served++
 		}
 	}
-	for i := range r.Calls {
-		if isAttempt(&r.Calls[i]) {
-			v.Attempts++
+	for i := range rec.Calls {
+		if isAttempt(&rec.Calls[i]) {
+			res.Attempts++
 		}
 	}
-	if v.Violations, v.LongestHeld = CheckRules(r); len(v.Violations) > 0 {
-		v.Timeline = timeline(r, &v.Violations[0], own)
+	if res.Violations, res.LongestHeld = CheckRules(rec); len(res.Violations) > 0 {
+		res.Timeline = timeline(rec, &res.Violations[0], seedDir)
 	}
-	return v
+	return res
 }
 
-// timelineMost bounds the log lines of a timeline.
+// maxTimelineLines limits the lines of each router's log in a timeline.
 const maxTimelineLines = 60
 
-// timeline tells all that is known of the request of a break.
-func timeline(r *Record, b *Violation, dir string) string {
+// timeline describes the events of a run and everything recorded about the request of a violation.
+func timeline(rec *Record, v *Violation, dir string) string {
 	var out strings.Builder
-	at := func(t time.Time) string {
+	seconds := func(t time.Time) string {
 		if t.IsZero() {
 			return "-"
 		}
-		return fmt.Sprintf("%.3f", t.Sub(r.Started).Seconds())
+		return fmt.Sprintf("%.3f", t.Sub(rec.Started).Seconds())
 	}
-	for _, e := range r.Scenario.Events {
-		fmt.Fprintf(&out, "  event %.3f %s engine %s router %d for %.3f way %d\n", e.At.Seconds(), e.Fault, engines[e.Engine].name, e.Router, e.Duration.Seconds(), e.Variant)
+	for _, e := range rec.Scenario.Events {
+		fmt.Fprintf(&out, "  event %.3f %s engine %s router %d for %.3f variant %d\n", e.At.Seconds(), e.Fault, engines[e.Engine].name, e.Router, e.Duration.Seconds(), e.Variant)
 	}
-	for _, l := range r.Processes {
-		fmt.Fprintf(&out, "  router %d started %s SIGTERM %s SIGKILL %s ended %s\n", l.Router, at(l.Started), at(l.Terminated), at(l.Killed), at(l.Ended))
+	for _, proc := range rec.Processes {
+		fmt.Fprintf(&out, "  router %d started %s SIGTERM %s SIGKILL %s ended %s\n", proc.Router, seconds(proc.Started), seconds(proc.Terminated), seconds(proc.Killed), seconds(proc.Ended))
 	}
-	for _, one := range r.Requests {
-		if one.ID == b.ID {
-			fmt.Fprintf(&out, "  client of router %d: %s sent %s, would wait %v, first byte %s, left %s, status %d, whole %v, again %v, err %v\n",
-				one.Router, one.Class, at(one.Sent), one.Timeout, at(one.FirstByte), at(one.Left), one.Status, one.Complete, one.Resent, one.Err)
+	for _, req := range rec.Requests {
+		if req.ID == v.ID {
+			fmt.Fprintf(&out, "  client of router %d: %s sent %s, timeout %v, first byte %s, left %s, status %d, complete %v, resent %v, err %v\n",
+				req.Router, req.Class, seconds(req.Sent), req.Timeout, seconds(req.FirstByte), seconds(req.Left), req.Status, req.Complete, req.Resent, req.Err)
 		}
 	}
-	for _, c := range r.Calls {
-		if c.ID == b.ID {
-			fmt.Fprintf(&out, "  %s at %s, connection %d: arrived %s, over %s, not run %v\n", c.Kind, c.Engine, c.ConnNumber, at(c.Received), at(c.Ended), c.NotRun)
+	for _, c := range rec.Calls {
+		if c.ID == v.ID {
+			fmt.Fprintf(&out, "  %s at %s, connection %d: received %s, ended %s, not run %v\n", c.Kind, c.Engine, c.ConnNumber, seconds(c.Received), seconds(c.Ended), c.NotRun)
 		}
 	}
-	for _, h := range r.Holds {
-		if h.ID == b.ID {
-			fmt.Fprintf(&out, "  held at %s from %s to %s\n", h.Engine, at(h.From), at(h.To))
+	for _, h := range rec.Holds {
+		if h.ID == v.ID {
+			fmt.Fprintf(&out, "  held at %s from %s to %s\n", h.Engine, seconds(h.From), seconds(h.To))
 		}
 	}
-	for n := range r.Scenario.Routers {
-		for _, line := range logLines(filepath.Join(dir, fmt.Sprintf("r%d.log", n)), b.ID) {
+	for n := range rec.Scenario.Routers {
+		for _, line := range logLines(filepath.Join(dir, fmt.Sprintf("r%d.log", n)), v.ID) {
 			fmt.Fprintf(&out, "  r%d %s\n", n, line)
 		}
 	}
 	return out.String()
 }
 
-// logLines are the lines of a router's log that name a request, as words of their own.
+// logLines returns the lines of a router's log with an attribute whose value is the request ID.
 func logLines(file, id string) (lines []string) {
 	f, err := os.Open(file)
 	if err != nil || id == "" {
--- a/internal/platform/soak/summary.go
+++ b/internal/platform/soak/summary.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// Summary is what a run came to.
+// Summary sums up the results of a run.
 type Summary struct {
 	Seeds              int          `json:"seeds"`
-	ViolatingSeeds     int          `json:"broken_seeds"`   // with a broken rule
-	FailedSeeds        int          `json:"unplayed_seeds"` // that could not be played
+	ViolatingSeeds     int          `json:"broken_seeds"`   // with violations
+	FailedSeeds        int          `json:"unplayed_seeds"` // whose scenario could not be run
 	Violations         map[Rule]int `json:"breaks"`         // by rule
-	LongestHeldSeconds float64      `json:"held_longest_s"` // in seconds, while no attempt was out
+	LongestHeldSeconds float64      `json:"held_longest_s"` // of something held while no attempt was running
 	Requests           int          `json:"requests"`
 	Served             int          `json:"served"`
 }
 
-// Add books a verdict.
-func (s *Summary) Add(v *Result) {
+// Add adds a result.
+func (s *Summary) Add(r *Result) {
 	s.Seeds++
-	if v.Err != nil {
+	if r.Err != nil {
 		s.FailedSeeds++
 	}
-	if len(v.Violations) > 0 {
+	if len(r.Violations) > 0 {
 		s.ViolatingSeeds++
 	}
 	if s.Violations == nil {
 		s.Violations = map[Rule]int{}
 	}
-	for _, b := range v.Violations {
-		s.Violations[b.Rule]++
+	for _, v := range r.Violations {
+		s.Violations[v.Rule]++
 	}
-	s.LongestHeldSeconds = max(s.LongestHeldSeconds, v.LongestHeld.Seconds())
-	s.Requests += v.Requests
-	s.Served += v.Served
+	s.LongestHeldSeconds = max(s.LongestHeldSeconds, r.LongestHeld.Seconds())
+	s.Requests += r.Requests
+	s.Served += r.Served
 }
 
-// Good tells whether every seed was played and kept all rules.
+// Passed reports whether every seed's scenario was run without a violation.
 func (s *Summary) Passed() bool { return s.ViolatingSeeds == 0 && s.FailedSeeds == 0 }
 
-// String is the summary in a line.
+// String returns the summary in one line.
 func (s *Summary) String() string {
-	share := 0.0
+	servedFraction := 0.0
 	if s.Requests > 0 {
-		share = float64(s.Served) / float64(s.Requests)
+		servedFraction = float64(s.Served) / float64(s.Requests)
 	}
-	return fmt.Sprintf("%d seeds, %d with a broken rule, %d not played; breaks %v; held for %v at most while nothing was out; %.3f of %d requests served",
-		s.Seeds, s.ViolatingSeeds, s.FailedSeeds, s.Violations, time.Duration(s.LongestHeldSeconds*float64(time.Second)).Round(time.Millisecond), share, s.Requests)
+	return fmt.Sprintf("%d seeds, %d with violations, %d not run; violations %v; held for at most %v while no attempt was running; %.3f of %d requests served",
+		s.Seeds, s.ViolatingSeeds, s.FailedSeeds, s.Violations, time.Duration(s.LongestHeldSeconds*float64(time.Second)).Round(time.Millisecond), servedFraction, s.Requests)
 }
