--- a/internal/platform/faultproxy/faultproxy.go
+++ b/internal/platform/faultproxy/faultproxy.go
@@ -74,10 +74,10 @@
 const maxConnRecords = 1 << 16
 
 // ConnRecord returns the record of the connection that the engine sees under this remote address, or nil if there is none.
-func (p *Proxy) ConnRecord(peer string) *ConnRecord {
+func (p *Proxy) ConnRecord(remoteAddr string) *ConnRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	rec := p.records[peer]
+	rec := p.records[remoteAddr]
 	if rec == nil {
 		return nil
 	}
--- a/internal/platform/soak/inject.go
+++ b/internal/platform/soak/inject.go
@@ -14,7 +14,7 @@
 	case OpenSilent:
 		sr.proxies[e.Engine].SilenceOpen()
 	case IdleSilent:
-		sr.proxies[e.Engine].SilenceIdle(idleTime)
+		sr.proxies[e.Engine].SilenceIdle(minIdleTime)
 	case AllSilent:
 		for _, proxy := range sr.proxies {
 			proxy.SilenceOpen()
--- a/internal/platform/soak/run.go
+++ b/internal/platform/soak/run.go
@@ -55,7 +55,7 @@
 	maxDelay             = 500 * time.Millisecond
 	maxConnDelay         = time.Second
 	longCallBytes        = 4000 // only calls with a long prompt have this many bytes
-	idleTime             = 50 * time.Millisecond
+	minIdleTime          = 50 * time.Millisecond
 	pauseDuration        = 150 * time.Millisecond
 	restartDelay         = 300 * time.Millisecond
 	killGrace            = 700 * time.Millisecond
@@ -193,21 +193,21 @@
 }
 
 func (sr *scenarioRun) startRouter(ctx context.Context, n int, hosts []discovery.Host) error {
-	list, err := standin.StartDiscovery(append([]discovery.Host(nil), hosts...))
+	disc, err := standin.StartDiscovery(append([]discovery.Host(nil), hosts...))
 	if err != nil {
 		return err
 	}
-	sr.closers = append(sr.closers, func() { list.Close() }) //nolint:errcheck // the run is over
+	sr.closers = append(sr.closers, func() { disc.Close() }) //nolint:errcheck // the run is over
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
 		return fmt.Errorf("soak: router %d: %w", n, err)
 	}
 	listen := ln.Addr().String()
 	ln.Close() //nolint:errcheck // if it fails, the router cannot listen and the start fails
-	r := &router{listen: listen, discovery: list, configFile: filepath.Join(sr.dir, fmt.Sprintf("r%d.json", n)), logFile: filepath.Join(sr.dir, fmt.Sprintf("r%d.log", n))}
+	r := &router{listen: listen, discovery: disc, configFile: filepath.Join(sr.dir, fmt.Sprintf("r%d.json", n)), logFile: filepath.Join(sr.dir, fmt.Sprintf("r%d.log", n))}
 	sr.routers = append(sr.routers, r)
 	timeoutNanos := sr.scenario.ClientTimeout.Nanoseconds()
-	text := fmt.Sprintf(configTemplate, n, listen, list.Address(), sr.scenario.Seed+uint64(n), maxSockets, sr.scenario.Routers, n%2, holdingLimit.Nanoseconds(), timeoutNanos, timeoutNanos)
+	text := fmt.Sprintf(configTemplate, n, listen, disc.Address(), sr.scenario.Seed+uint64(n), maxSockets, sr.scenario.Routers, n%2, holdingLimit.Nanoseconds(), timeoutNanos, timeoutNanos)
 	if !json.Valid([]byte(text)) {
 		return fmt.Errorf("soak: router %d: configuration is not valid JSON", n)
 	}
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -218,10 +218,10 @@
 		e.mu.Lock()
 		e.conns[conn] = true
 		e.connCount++
-		n := e.connCount
+		connNumber := e.connCount
 		e.mu.Unlock()
 		go func() {
-			e.serveConn(conn, n)
+			e.serveConn(conn, connNumber)
 			conn.Close() //nolint:errcheck // best effort
 			e.mu.Lock()
 			delete(e.conns, conn)
@@ -235,7 +235,7 @@
 const roomsPath = "/bootstrap/rooms/"
 
 // serveConn answers calls until the connection ends or cannot be reused.
-func (e *Engine) serveConn(conn net.Conn, n int) {
+func (e *Engine) serveConn(conn net.Conn, connNumber int) {
 	r := bufio.NewReader(conn)
 	for {
 		h, err := http1.ReadRequest(r, limits)
@@ -246,7 +246,7 @@
 		if err != nil {
 			return
 		}
-		c := &Call{Received: time.Now(), Engine: e.Name, Target: h.Target, Body: body, ConnNumber: n, Fields: h.Fields, RemoteAddr: conn.RemoteAddr().String()}
+		c := &Call{Received: time.Now(), Engine: e.Name, Target: h.Target, Body: body, ConnNumber: connNumber, Fields: h.Fields, RemoteAddr: conn.RemoteAddr().String()}
 		switch id, isRoom := strings.CutPrefix(h.Target, roomsPath); {
 		case isRoom && h.Method == "POST":
 			c.Kind, c.ID = Reserve, id
