--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -41,11 +41,11 @@
 }
 
 // phases are the words for an engine's phase.
-var phases = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
+var phaseByHealth = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
 
 // Phase is an entry's, and whether its word is known.
 func (h *Host) Phase() (decide.Phase, bool) {
-	p, known := phases[h.Health]
+	p, known := phaseByHealth[h.Health]
 	return p, known
 }
 
@@ -58,31 +58,31 @@
 	if l.Version < 0 || l.Hosts == nil {
 		return nil, fmt.Errorf("list: no seq or no hosts")
 	}
-	good := l.Hosts[:0]
+	valid := l.Hosts[:0]
 	for _, h := range l.Hosts {
 		p, known := h.Phase()
 		if h.Name == "" || !known || p != decide.Gone && h.Address == "" {
 			log.Warn("entry of the list left out", "host", h.Name, "health", h.Health, "dial", h.Address)
 			continue
 		}
-		good = append(good, h)
+		valid = append(valid, h)
 	}
-	l.Hosts = good
+	l.Hosts = valid
 	return l, nil
 }
 
 // A watch is held so briefly because what discovery would have told counts as told two seconds after the hold is over,
 // whether it arrived or not.
-const hold = 2 * time.Second
+const watchHold = 2 * time.Second
 
 // listMost bounds an answer, in bytes: 3,200 engines take some 200 each, more where the list is indented.
-const listMost = 2 << 20
+const maxListBytes = 2 << 20
 
 // Follower follows the list.
 type Follower struct {
-	tell      func(*List)
+	onList    func(*List)
 	log       *slog.Logger
-	http      *http.Client
+	client    *http.Client
 	transport *http.Transport
 
 	mu      sync.Mutex
@@ -91,10 +91,10 @@
 }
 
 // New makes a follower; tell is called with each answer.
-func New(address string, tell func(*List), log *slog.Logger) *Follower {
-	t := &http.Transport{MaxConnsPerHost: 3, MaxIdleConns: 1, ResponseHeaderTimeout: hold + patienceMost, MaxResponseHeaderBytes: 8 << 10,
+func New(address string, onList func(*List), log *slog.Logger) *Follower {
+	t := &http.Transport{MaxConnsPerHost: 3, MaxIdleConns: 1, ResponseHeaderTimeout: watchHold + maxExtraTimeout, MaxResponseHeaderBytes: 8 << 10,
 		DisableCompression: true, ReadBufferSize: 4 << 10, WriteBufferSize: 1 << 10, Proxy: nil}
-	return &Follower{address: address, tell: tell, log: log, transport: t, http: &http.Client{Transport: t,
+	return &Follower{address: address, onList: onList, log: log, transport: t, client: &http.Client{Transport: t,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
@@ -113,134 +113,134 @@
 
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	var at string
+	var address string
 	version := int64(-1)
-	p := newPatience()
+	p := newRetryPolicy()
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		if f.address != at { // the new one may count in its own way, and answer at its own pace
-			at, version, p = f.address, -1, newPatience()
+		if f.address != address { // the new one may count in its own way, and answer at its own pace
+			address, version, p = f.address, -1, newRetryPolicy()
 			f.transport.CloseIdleConnections()
 		}
-		call, cancel := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		f.cancel = cancel
 		f.mu.Unlock()
-		a := f.attempt(call, question{at, version}, &p)
+		res := f.fetch(callCtx, query{address, version}, &p)
 		cancel()
 		f.mu.Lock()
-		moved := f.address != at
+		addressChanged := f.address != address
 		f.mu.Unlock()
-		if moved || ctx.Err() != nil {
+		if addressChanged || ctx.Err() != nil {
 			continue
 		}
-		if a.err == nil && version < 0 && !a.list.Snapshot {
-			a.err = errNotWhole
+		if res.err == nil && version < 0 && !res.list.Snapshot {
+			res.err = errNotSnapshot
 		}
-		if a.err != nil {
-			pause := p.failed(rand.Float64())
-			f.log.Warn("discovery", "address", at, "err", a.err, "pause", pause)
+		if res.err != nil {
+			delay := p.failed(rand.Float64())
+			f.log.Warn("discovery", "address", address, "err", res.err, "pause", delay)
 			f.transport.CloseIdleConnections()
-			f.rest(ctx, at, pause)
+			f.delay(ctx, address, delay)
 			continue
 		}
-		p.answered(a.late)
-		version = a.list.Version
-		if a.list.Snapshot || len(a.list.Hosts) > 0 {
-			f.tell(a.list)
+		p.answered(res.lateness)
+		version = res.list.Version
+		if res.list.Snapshot || len(res.list.Hosts) > 0 {
+			f.onList(res.list)
 		}
 	}
 }
 
 // question is what is asked: for the whole list, or for what is newer than a version, where it is not below 0.
-type question struct {
+type query struct {
 	address string
 	version int64
 }
 
 // answer is how a call ended.
-type answer struct {
-	list *List
-	err  error
-	late time.Duration // it came so long after the time that it was asked to be held
+type result struct {
+	list     *List
+	err      error
+	lateness time.Duration // it came so long after the time that it was asked to be held
 }
 
 // attempt asks once; after a failure by several calls, of which the first answer counts: one that waits for a slow
 // discovery, and beside it short ones for one that returns from silence, which answers none of the calls from before.
-func (f *Follower) attempt(ctx context.Context, q question, p *patience) answer {
+func (f *Follower) fetch(ctx context.Context, q query, p *retryPolicy) result {
 	if !p.failing {
-		held := time.Duration(0)
+		hold := time.Duration(0)
 		if q.version >= 0 {
-			held = hold
+			hold = watchHold
 		}
-		return f.call(ctx, q, held, p.late)
+		return f.fetchOnce(ctx, q, hold, p.extraTimeout)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	long := make(chan answer, 1)
-	go func() { long <- f.call(ctx, q, 0, patienceMost) }()
-	short := make(chan answer, patienceMost/patienceLeast+1)
-	again := time.NewTimer(patienceLeast)
-	defer again.Stop()
+	slow := make(chan result, 1)
+	go func() { slow <- f.fetchOnce(ctx, q, 0, maxExtraTimeout) }()
+	quick := make(chan result, maxExtraTimeout/minExtraTimeout+1)
+	retry := time.NewTimer(minExtraTimeout)
+	defer retry.Stop()
 	for {
 		select {
-		case a := <-long:
-			return a
-		case a := <-short:
-			if a.err == nil {
-				return a
+		case res := <-slow:
+			return res
+		case res := <-quick:
+			if res.err == nil {
+				return res
 			}
-		case <-again.C:
-			go func() { short <- f.call(ctx, q, 0, patienceLeast) }()
-			again.Reset(patienceLeast)
+		case <-retry.C:
+			go func() { quick <- f.fetchOnce(ctx, q, 0, minExtraTimeout) }()
+			retry.Reset(minExtraTimeout)
 		}
 	}
 }
 
 // call makes one call, which may take so long beyond the time that it asks to be held.
-func (f *Follower) call(ctx context.Context, q question, held, late time.Duration) answer {
-	ctx, cancel := context.WithTimeout(ctx, held+late)
+func (f *Follower) fetchOnce(ctx context.Context, q query, hold, extra time.Duration) result {
+	ctx, cancel := context.WithTimeout(ctx, hold+extra)
 	defer cancel()
-	began := time.Now()
-	l, err := f.ask(ctx, q, held)
-	return answer{l, err, time.Since(began) - held}
+	start := time.Now()
+	l, err := f.get(ctx, q, hold)
+	return result{l, err, time.Since(start) - hold}
 }
 
-var errNotWhole = errors.New("list: changes where the whole list was asked for")
+var errNotSnapshot = errors.New("list: changes where the whole list was asked for")
 
 // rest pauses after a failure, no longer than the address stays.
-func (f *Follower) rest(ctx context.Context, at string, pause time.Duration) {
+func (f *Follower) delay(ctx context.Context, address string, delay time.Duration) {
 	f.mu.Lock()
-	if f.address != at {
+	if f.address != address {
 		f.mu.Unlock()
 		return
 	}
-	rest, cancel := context.WithTimeout(ctx, pause)
+	delayCtx, cancel := context.WithTimeout(ctx, delay)
 	f.cancel = cancel
 	f.mu.Unlock()
-	<-rest.Done()
+	<-delayCtx.Done()
 	cancel()
 }
 
 // ask asks, and lets discovery hold its answer until there is one that is new.
-func (f *Follower) ask(ctx context.Context, q question, held time.Duration) (*List, error) {
+func (f *Follower) get(ctx context.Context, q query, hold time.Duration) (*List, error) {
 	u := url.URL{Scheme: "http", Host: q.address, Path: "/discovery/hosts"}
 	if q.version >= 0 {
-		u.RawQuery = "from=" + strconv.FormatInt(q.version, 10) + "&hold_ms=" + strconv.FormatInt(held.Milliseconds(), 10)
+		u.RawQuery = "from=" + strconv.FormatInt(q.version, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	resp, err := f.http.Do(req)
+	resp, err := f.client.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, listMost+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	if resp.StatusCode != http.StatusOK || len(text) > listMost {
+	if resp.StatusCode != http.StatusOK || len(text) > maxListBytes {
 		return nil, fmt.Errorf("list: status %d, %d bytes", resp.StatusCode, len(text))
 	}
 	return ParseList(text, f.log)
--- a/internal/platform/front/conntable.go
+++ b/internal/platform/front/conntable.go
@@ -12,61 +12,61 @@
 // two calls that did; of each kind the one that is so for longest. It guards against floods of silent connections, of
 // calls that nobody needs and against clients that hold theirs for good; it harms a client whose first call is slower
 // than the flood, which connects again.
-type room struct {
-	most   int
-	all    map[uint64]*place
-	silent *list.List // that brought no call yet, oldest first
-	spent  *list.List // between two calls, none of which was taken, oldest first
-	idle   *list.List // between two calls, oldest first
+type connTable struct {
+	maxConns     int
+	entries      map[uint64]*connEntry
+	noRequestYet *list.List // that brought no call yet, oldest first
+	idleUnproven *list.List // between two calls, none of which was taken, oldest first
+	idleProven   *list.List // between two calls, oldest first
 }
 
-type place struct {
-	id    uint64
-	since time.Time  // when it came
-	good  bool       // a completion that it brought was taken
-	in    *list.List // nil while a call runs
-	at    *list.Element
+type connEntry struct {
+	id          uint64
+	connectedAt time.Time  // when it came
+	proven      bool       // a completion that it brought was taken
+	list        *list.List // nil while a call runs
+	element     *list.Element
 }
 
 // move takes a place out of its list and into another, nil for none.
-func (p *place) move(to *list.List) {
-	if p.in != nil {
-		p.in.Remove(p.at)
+func (e *connEntry) moveTo(l *list.List) {
+	if e.list != nil {
+		e.list.Remove(e.element)
 	}
-	if p.in = to; to != nil {
-		p.at = to.PushBack(p)
+	if e.list = l; l != nil {
+		e.element = l.PushBack(e)
 	}
 }
 
 // freshMost is how long a first call takes that is sent at once: a handshake's last packet, the way, and a moment of
 // this router's. A flood of connections that is accepted faster than its calls come would else evict the usual ones
 // before theirs is read.
-const freshMost = 250 * time.Millisecond
+const firstRequestGrace = 250 * time.Millisecond
 
-func newRoom(most int) *room {
-	return &room{most: most, all: map[uint64]*place{}, silent: list.New(), spent: list.New(), idle: list.New()}
+func newConnTable(maxConns int) *connTable {
+	return &connTable{maxConns: maxConns, entries: map[uint64]*connEntry{}, noRequestYet: list.New(), idleUnproven: list.New(), idleProven: list.New()}
 }
 
 // enter lets a connection in. evict is one that has to go for it; ok is false where all places have a call.
-func (r *room) enter(now time.Time, id uint64) (evict uint64, evicts, ok bool) {
-	if len(r.all) >= r.most {
-		if evict, evicts = r.worst(now); !evicts {
+func (t *connTable) add(now time.Time, id uint64) (victim uint64, hasVictim, ok bool) {
+	if len(t.entries) >= t.maxConns {
+		if victim, hasVictim = t.takeVictim(now); !hasVictim {
 			return 0, false, false
 		}
 	}
-	p := &place{id: id, since: now}
-	p.move(r.silent)
-	r.all[id] = p
-	return evict, evicts, true
+	e := &connEntry{id: id, connectedAt: now}
+	e.moveTo(t.noRequestYet)
+	t.entries[id] = e
+	return victim, hasVictim, true
 }
 
 // worst takes out the connection that is to go first.
-func (r *room) worst(now time.Time) (uint64, bool) {
-	if first := r.silent.Front(); first != nil && now.Sub(first.Value.(*place).since) > freshMost { //nolint:forcetypeassert // nothing else is in it
-		return r.oldest(r.silent)
+func (t *connTable) takeVictim(now time.Time) (uint64, bool) {
+	if first := t.noRequestYet.Front(); first != nil && now.Sub(first.Value.(*connEntry).connectedAt) > firstRequestGrace { //nolint:forcetypeassert // nothing else is in it
+		return t.takeOldest(t.noRequestYet)
 	}
-	for _, in := range [...]*list.List{r.spent, r.silent, r.idle} {
-		if id, found := r.oldest(in); found {
+	for _, l := range [...]*list.List{t.idleUnproven, t.noRequestYet, t.idleProven} {
+		if id, found := t.takeOldest(l); found {
 			return id, true
 		}
 	}
@@ -74,54 +74,54 @@
 }
 
 // call books that a connection brings a call; false: it was told to go.
-func (r *room) call(id uint64) bool {
-	p := r.all[id]
-	if p == nil {
+func (t *connTable) beginRequest(id uint64) bool {
+	e := t.entries[id]
+	if e == nil {
 		return false
 	}
-	p.move(nil)
+	e.moveTo(nil)
 	return true
 }
 
 // taken books that the call that a connection brings was taken.
-func (r *room) taken(id uint64) {
-	if p := r.all[id]; p != nil {
-		p.good = true
+func (t *connTable) completionAccepted(id uint64) {
+	if e := t.entries[id]; e != nil {
+		e.proven = true
 	}
 }
 
 // over books that a call is over.
-func (r *room) over(id uint64) {
-	if p := r.all[id]; p != nil && p.good {
-		p.move(r.idle)
-	} else if p != nil {
-		p.move(r.spent)
+func (t *connTable) endRequest(id uint64) {
+	if e := t.entries[id]; e != nil && e.proven {
+		e.moveTo(t.idleProven)
+	} else if e != nil {
+		e.moveTo(t.idleUnproven)
 	}
 }
 
 // leave forgets a connection.
-func (r *room) leave(id uint64) {
-	if p := r.all[id]; p != nil {
-		p.move(nil)
-		delete(r.all, id)
+func (t *connTable) remove(id uint64) {
+	if e := t.entries[id]; e != nil {
+		e.moveTo(nil)
+		delete(t.entries, id)
 	}
 }
 
 // resting takes out a connection that is between two calls.
-func (r *room) resting() (uint64, bool) {
-	if id, found := r.oldest(r.spent); found {
+func (t *connTable) takeIdle() (uint64, bool) {
+	if id, found := t.takeOldest(t.idleUnproven); found {
 		return id, true
 	}
-	return r.oldest(r.idle)
+	return t.takeOldest(t.idleProven)
 }
 
 // oldest takes out the connection that has been in a list for longest.
-func (r *room) oldest(in *list.List) (uint64, bool) {
-	first := in.Front()
+func (t *connTable) takeOldest(l *list.List) (uint64, bool) {
+	first := l.Front()
 	if first == nil {
 		return 0, false
 	}
-	id := first.Value.(*place).id //nolint:forcetypeassert // nothing else is in it
-	r.leave(id)
+	id := first.Value.(*connEntry).id //nolint:forcetypeassert // nothing else is in it
+	t.remove(id)
 	return id, true
 }
--- a/internal/platform/front/conntable_test.go
+++ b/internal/platform/front/conntable_test.go
@@ -9,44 +9,44 @@
 
 // TestRoomOrder: who goes where all places are taken, by what each brought and how long ago it came. Each starts with
 // three places taken.
-func TestRoomOrder(t *testing.T) {
-	const silent, spent, good, running = "silent", "spent", "good", "running"
-	for name, one := range map[string]struct {
-		kinds [3]string
-		after time.Duration
-		goes  uint64 // 0: nobody, the new one is refused
+func TestEvictionOrder(t *testing.T) {
+	const silent, unproven, proven, running = "silent", "spent", "good", "running"
+	for name, tc := range map[string]struct {
+		kinds  [3]string
+		after  time.Duration
+		victim uint64 // 0: nobody, the new one is refused
 	}{
-		"fresh ones stay before what brought nothing":   {[3]string{silent, spent, good}, freshMost / 2, 2},
-		"long silent ones go first":                     {[3]string{spent, silent, good}, 2 * freshMost, 2},
-		"fresh ones go before what was taken":           {[3]string{good, silent, good}, freshMost / 2, 2},
-		"the longest of the spent":                      {[3]string{good, spent, spent}, 0, 2},
-		"at last the longest of what was taken":         {[3]string{running, good, good}, 2 * freshMost, 2},
-		"calls that run stay, what they brought or not": {[3]string{running, running, running}, 2 * freshMost, 0},
+		"fresh ones stay before what brought nothing":   {[3]string{silent, unproven, proven}, firstRequestGrace / 2, 2},
+		"long silent ones go first":                     {[3]string{unproven, silent, proven}, 2 * firstRequestGrace, 2},
+		"fresh ones go before what was taken":           {[3]string{proven, silent, proven}, firstRequestGrace / 2, 2},
+		"the longest of the spent":                      {[3]string{proven, unproven, unproven}, 0, 2},
+		"at last the longest of what was taken":         {[3]string{running, proven, proven}, 2 * firstRequestGrace, 2},
+		"calls that run stay, what they brought or not": {[3]string{running, running, running}, 2 * firstRequestGrace, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, now := newRoom(3), time.Unix(1, 0)
-			for i, kind := range one.kinds {
+			table, now := newConnTable(3), time.Unix(1, 0)
+			for i, kind := range tc.kinds {
 				id := uint64(i) + 1
-				_, evicts, ok := r.enter(now, id)
-				require.True(t, ok && !evicts)
+				_, hasVictim, ok := table.add(now, id)
+				require.True(t, ok && !hasVictim)
 				if kind == silent {
 					continue
 				}
-				require.True(t, r.call(id))
-				if kind == good {
-					r.taken(id)
+				require.True(t, table.beginRequest(id))
+				if kind == proven {
+					table.completionAccepted(id)
 				}
 				if kind != running {
-					r.over(id)
+					table.endRequest(id)
 				}
 			}
-			evict, evicts, ok := r.enter(now.Add(one.after), 4)
-			require.Equal(t, one.goes != 0, ok)
-			require.Equal(t, one.goes != 0, evicts)
-			require.Equal(t, one.goes, evict)
+			victim, hasVictim, ok := table.add(now.Add(tc.after), 4)
+			require.Equal(t, tc.victim != 0, ok)
+			require.Equal(t, tc.victim != 0, hasVictim)
+			require.Equal(t, tc.victim, victim)
 			if ok {
-				require.False(t, r.call(evict), "it is still in")
-				require.True(t, r.call(4))
+				require.False(t, table.beginRequest(victim), "it is still in")
+				require.True(t, table.beginRequest(4))
 			}
 		})
 	}
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -40,60 +40,60 @@
 
 // The bounds of a client's call, and of its connection.
 const (
-	headMost   = 8 << 10
-	fieldsMost = 48
-	bodyMost   = 256 << 10
-	bufferSize = 2 << 10
-
-	callMost  = 2500 * time.Millisecond // from a call's first byte to its last; from connecting for the first call
-	idleMost  = 10 * time.Second        // between two calls
-	writeMost = 5 * time.Second         // a client that doesn't read so long has left
-	flushMost = 16 << 10                // of events that came together
+	maxHeadBytes    = 8 << 10
+	maxFields       = 48
+	maxBodyBytes    = 256 << 10
+	readBufferBytes = 2 << 10
+
+	requestReadTimeout = 2500 * time.Millisecond // from a call's first byte to its last; from connecting for the first call
+	idleTimeout        = 10 * time.Second        // between two calls
+	writeTimeout       = 5 * time.Second         // a client that doesn't read so long has left
+	maxFlushBytes      = 16 << 10                // of events that came together
 )
 
-var limits = http1.Limits{HeadBytes: headMost, Fields: fieldsMost, BodyBytes: bodyMost}
+var requestLimits = http1.Limits{HeadBytes: maxHeadBytes, Fields: maxFields, BodyBytes: maxBodyBytes}
 
 // Server serves clients.
 type Server struct {
-	o       Options
-	works   map[string]int
-	tenants map[string]int
-	ready   atomic.Bool
-	leaving atomic.Bool // answers say that their connection closes, and it does
-	closing atomic.Bool // nothing is taken
-	bodies  atomic.Int64
-	active  atomic.Int64    // calls whose first byte came and that are not answered
-	again   atomic.Int64    // calls for the rest of a broken stream
-	refused [6]atomic.Int64 // answers by the hundreds of their status
-
-	last     atomic.Pointer[StopSchedule] // nil until a stop that takes some more
-	base     context.Context              // of all calls
-	end      context.CancelFunc
-	streams  context.Context // ends when streams are handed over
-	handOver context.CancelFunc
-
-	mu    sync.Mutex
-	next  uint64
-	room  *room
-	conns map[uint64]net.Conn // of all that are not yet closed
-	left  bool                // every connection is closed after its call
-	ids   *ids
-	buf   sync.Pool
+	options           Options
+	workloads         map[string]int
+	tenants           map[string]int
+	ready             atomic.Bool
+	announceClose     atomic.Bool // answers say that their connection closes, and it does
+	refusing          atomic.Bool // nothing is taken
+	bufferedBodyBytes atomic.Int64
+	activeRequests    atomic.Int64    // calls whose first byte came and that are not answered
+	resumeRequests    atomic.Int64    // calls for the rest of a broken stream
+	errorsByClass     [6]atomic.Int64 // answers by the hundreds of their status
+
+	stopSchedule atomic.Pointer[StopSchedule] // nil until a stop that takes some more
+	baseCtx      context.Context              // of all calls
+	cancelBase   context.CancelFunc
+	streamsCtx   context.Context // ends when streams are handed over
+	cutStreams   context.CancelFunc
+
+	mu         sync.Mutex
+	lastConnID uint64
+	connTable  *connTable
+	conns      map[uint64]net.Conn // of all that are not yet closed
+	draining   bool                // every connection is closed after its call
+	requestIDs *requestIDs
+	readerPool sync.Pool
 }
 
 // New makes a server.
 func New(o Options) *Server {
-	places := max(1, o.MaxConns-max(drainLeast, o.MaxConns/drainPart))
-	s := &Server{o: o, works: map[string]int{}, tenants: map[string]int{}, room: newRoom(places), conns: map[uint64]net.Conn{}, ids: newIDs()}
-	s.base, s.end = context.WithCancel(context.Background())
-	s.streams, s.handOver = context.WithCancel(context.Background())
+	maxOpen := max(1, o.MaxConns-max(minClosingReserve, o.MaxConns/closingReserveDivisor))
+	s := &Server{options: o, workloads: map[string]int{}, tenants: map[string]int{}, connTable: newConnTable(maxOpen), conns: map[uint64]net.Conn{}, requestIDs: newRequestIDs()}
+	s.baseCtx, s.cancelBase = context.WithCancel(context.Background())
+	s.streamsCtx, s.cutStreams = context.WithCancel(context.Background())
 	for i, name := range o.Workloads {
-		s.works[name] = i
+		s.workloads[name] = i
 	}
 	for i, name := range o.Tenants {
 		s.tenants[name] = i
 	}
-	s.buf.New = func() any { return bufio.NewReaderSize(nil, bufferSize) }
+	s.readerPool.New = func() any { return bufio.NewReaderSize(nil, readBufferBytes) }
 	return s
 }
 
@@ -101,15 +101,15 @@
 func (s *Server) SetReady() { s.ready.Store(true) }
 
 // Active is how many calls have begun to come and are not answered.
-func (s *Server) ActiveRequests() int { return int(s.active.Load()) }
+func (s *Server) ActiveRequests() int { return int(s.activeRequests.Load()) }
 
 // Leave has each connection closed after its call, those between two calls at once.
 func (s *Server) DrainConns() {
-	s.leaving.Store(true)
+	s.announceClose.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = true
-	for id, more := s.room.resting(); more; id, more = s.room.resting() {
+	s.draining = true
+	for id, found := s.connTable.takeIdle(); found; id, found = s.connTable.takeIdle() {
 		s.evict(id)
 	}
 }
@@ -119,7 +119,7 @@
 func (s *Server) Close(ctx context.Context) error {
 	s.DrainConns()
 	s.mu.Lock()
-	for id, more := s.room.oldest(s.room.silent); more; id, more = s.room.oldest(s.room.silent) {
+	for id, found := s.connTable.takeOldest(s.connTable.noRequestYet); found; id, found = s.connTable.takeOldest(s.connTable.noRequestYet) {
 		s.evict(id)
 	}
 	s.mu.Unlock()
@@ -127,7 +127,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("front: %d connections left: %w", s.Conns(), context.Cause(ctx))
-		case <-time.After(closePoll):
+		case <-time.After(closePollInterval):
 		}
 	}
 	return nil
@@ -142,138 +142,138 @@
 }
 
 // TakeLast has calls be taken until Refuse, and all that runs be ended, by these times.
-func (s *Server) ScheduleStop(l StopSchedule) {
-	s.last.Store(&l)
-	time.AfterFunc(time.Until(l.CutStreamsAt), s.handOver)
-	time.AfterFunc(time.Until(l.AbortAt), s.end)
+func (s *Server) ScheduleStop(schedule StopSchedule) {
+	s.stopSchedule.Store(&schedule)
+	time.AfterFunc(time.Until(schedule.CutStreamsAt), s.cutStreams)
+	time.AfterFunc(time.Until(schedule.AbortAt), s.cancelBase)
 }
 
 // Refuse has every call that comes from now on answered with 503.
-func (s *Server) RefuseRequests() { s.closing.Store(true) }
+func (s *Server) RefuseRequests() { s.refusing.Store(true) }
 
-func (s *Server) after() float64 { return s.o.RetryAfter.Seconds() }
+func (s *Server) retryAfterSeconds() float64 { return s.options.RetryAfter.Seconds() }
 
 // call reads one call and answers it.
-func (c *client) call(arrived time.Time) {
-	h, err := http1.ReadRequest(c.r, limits)
+func (c *clientConn) handleRequest(arrived time.Time) {
+	h, err := http1.ReadRequest(c.reader, requestLimits)
 	if err != nil {
-		c.unread(err)
+		c.writeReadError(err)
 		return
 	}
 	if h.Close {
-		c.last = true
+		c.closeAfter = true
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
 	switch {
 	case path == "/up" && h.Method == http.MethodGet && h.Length == 0:
-		if c.s.ready.Load() && !c.s.closing.Load() {
+		if c.server.ready.Load() && !c.server.refusing.Load() {
 			c.write(append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"...)) //nolint:errcheck // the connection ends if it fails
 			return
 		}
-		c.refuse(&refusal{503, "not ready", 0, false})
+		c.writeError(&errorResponse{503, "not ready", 0, false})
 	case path != chatPath:
-		c.refuse(&refusal{404, "unknown call", 0, h.Length != 0})
+		c.writeError(&errorResponse{404, "unknown call", 0, h.Length != 0})
 	case h.Method != http.MethodPost:
-		c.refuse(&refusal{405, "wanted POST", 0, h.Length != 0})
+		c.writeError(&errorResponse{405, "wanted POST", 0, h.Length != 0})
 	default:
-		c.chat(h, arrived)
+		c.handleChat(h, arrived)
 	}
 }
 
 // unread answers a message that could not be read to its end.
-func (c *client) unread(err error) {
+func (c *clientConn) writeReadError(err error) {
 	if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrTooLarge) {
-		c.refuse(unreadable(err))
+		c.writeError(readErrorResponse(err))
 		return
 	}
 	if isTimeout(err) {
-		c.refuse(&refusal{408, "the call did not come whole in time", 0, true})
+		c.writeError(&errorResponse{408, "the call did not come whole in time", 0, true})
 		return
 	}
-	c.last, c.gone = true, true // it left, or broke off
+	c.closeAfter, c.disconnected = true, true // it left, or broke off
 }
 
-var errNoRoom = errors.New("no memory for the body")
+var errBodyMemory = errors.New("no memory for the body")
 
-func (c *client) chat(h *http1.Head, arrived time.Time) {
-	s := c.s
-	w, fault := s.parse(h)
-	if fault == nil && h.NoLength {
-		fault = bad(411, "a length is wanted")
+func (c *clientConn) handleChat(h *http1.Head, arrived time.Time) {
+	s := c.server
+	req, errResp := s.parseHeader(h)
+	if errResp == nil && h.NoLength {
+		errResp = errorResponsef(411, "a length is wanted")
 	}
-	if fault != nil {
-		fault.last = fault.last || h.Length != 0 // its body is not read
-		c.refuse(fault)
+	if errResp != nil {
+		errResp.closeConn = errResp.closeConn || h.Length != 0 // its body is not read
+		c.writeError(errResp)
 		return
 	}
-	if v, times := h.Get("expect"); times > 0 {
+	if v, count := h.Get("expect"); count > 0 {
 		if v != "100-continue" {
-			c.refuse(&refusal{417, "unknown expectation", 0, true})
+			c.writeError(&errorResponse{417, "unknown expectation", 0, true})
 			return
 		}
 		if c.write(append(c.out[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)) != nil {
 			return
 		}
 	}
-	if w.prompt.Resumed {
-		s.again.Add(1)
+	if req.prompt.Resumed {
+		s.resumeRequests.Add(1)
 	}
-	held := int64(0)
-	giveBack := func() { s.bodies.Add(-held) }
-	body, err := http1.ReadBody(c.r, h, limits, func(n int) error {
-		if s.bodies.Add(int64(n)) > s.o.MaxBufferedBodyBytes {
-			s.bodies.Add(-int64(n))
-			return errNoRoom
+	reserved := int64(0)
+	releaseMemory := func() { s.bufferedBodyBytes.Add(-reserved) }
+	body, err := http1.ReadBody(c.reader, h, requestLimits, func(n int) error {
+		if s.bufferedBodyBytes.Add(int64(n)) > s.options.MaxBufferedBodyBytes {
+			s.bufferedBodyBytes.Add(-int64(n))
+			return errBodyMemory
 		}
-		held += int64(n)
+		reserved += int64(n)
 		return nil
 	})
 	if err != nil {
-		giveBack()
-		if errors.Is(err, errNoRoom) {
-			c.refuse(&refusal{503, err.Error(), s.after(), true})
+		releaseMemory()
+		if errors.Is(err, errBodyMemory) {
+			c.writeError(&errorResponse{503, err.Error(), s.retryAfterSeconds(), true})
 			return
 		}
-		c.unread(err)
+		c.writeReadError(err)
 		return
 	}
-	if fault = w.read(body); fault == nil && s.closing.Load() {
-		fault = &refusal{503, "this router is stopping", s.after(), true}
+	if errResp = req.parseBody(body); errResp == nil && s.refusing.Load() {
+		errResp = &errorResponse{503, "this router is stopping", s.retryAfterSeconds(), true}
 	}
-	if fault == nil {
+	if errResp == nil {
 		s.mu.Lock()
-		fresh := s.ids.begin(w.id)
-		if fresh {
-			s.room.taken(c.id)
+		unused := s.requestIDs.begin(req.id)
+		if unused {
+			s.connTable.completionAccepted(c.id)
 		}
 		s.mu.Unlock()
-		if !fresh {
-			fault = bad(409, "x-request-id: %.80q is another call's", w.id)
+		if !unused {
+			errResp = errorResponsef(409, "x-request-id: %.80q is another call's", req.id)
 		}
 	}
-	if fault != nil {
-		giveBack()
-		c.refuse(fault)
+	if errResp != nil {
+		releaseMemory()
+		c.writeError(errResp)
 		return
 	}
-	if last := s.last.Load(); last != nil && !arrived.Before(last.LateFrom) {
-		w.timeout = max(time.Millisecond, min(w.timeout, last.FirstEventBy.Sub(arrived)))
+	if schedule := s.stopSchedule.Load(); schedule != nil && !arrived.Before(schedule.LateFrom) {
+		req.clientTimeout = max(time.Millisecond, min(req.clientTimeout, schedule.FirstEventBy.Sub(arrived)))
 	}
-	over := sync.OnceFunc(func() {
-		giveBack()
+	onDone := sync.OnceFunc(func() {
+		releaseMemory()
 		s.mu.Lock()
-		s.ids.end(time.Now(), w.id)
+		s.requestIDs.end(time.Now(), req.id)
 		s.mu.Unlock()
 	})
-	c.take(&edge.Request{ID: s.o.Edge.NextID(), ExternalID: w.id, IdempotencyKey: w.key, Target: h.Target, Prompt: w.prompt, ArrivedAt: arrived, FirstTokenTimeout: w.timeout,
-		AnswerMargin: min(s.o.AnswerMargin, w.timeout/4), TotalTimeout: s.o.MaxStreamDuration, BuildBody: func(bool, []byte) []byte { return body }, OnDone: over})
+	c.handleCompletion(&edge.Request{ID: s.options.Edge.NextID(), ExternalID: req.id, IdempotencyKey: req.idempotencyKey, Target: h.Target, Prompt: req.prompt, ArrivedAt: arrived, FirstTokenTimeout: req.clientTimeout,
+		AnswerMargin: min(s.options.AnswerMargin, req.clientTimeout/4), TotalTimeout: s.options.MaxStreamDuration, BuildBody: func(bool, []byte) []byte { return body }, OnDone: onDone})
 }
 
 // Relay is of edge.Client, as are the methods below: the events go on as they came, and a stream that broke ends
 // the connection without its last chunk.
-func (c *client) Relay(ctx, _ context.Context, stream edge.Stream) edge.Answer {
+func (c *clientConn) Relay(ctx, _ context.Context, stream edge.Stream) edge.Answer {
 	out := append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n"...)
-	if c.lastAnswer() {
+	if c.isLastResponse() {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	out = append(out, "\r\n"...)
@@ -283,7 +283,7 @@
 		switch {
 		case err == nil:
 			events = append(events, event.Raw...)
-			if stream.HasBufferedEvent() && len(events) < flushMost {
+			if stream.HasBufferedEvent() && len(events) < maxFlushBytes {
 				continue
 			}
 			out = strconv.AppendInt(out, int64(len(events)), 16)
@@ -292,14 +292,14 @@
 		case errors.Is(err, io.EOF):
 			out = append(out, "0\r\n\r\n"...)
 		case ctx.Err() != nil:
-			c.last = true
+			c.closeAfter = true
 			return edge.ClientLeft
 		default:
-			c.s.o.Log.Info("answer broke", "err", err)
-			c.last = true
+			c.server.options.Log.Info("answer broke", "err", err)
+			c.closeAfter = true
 			return edge.Aborted
 		}
-		first := !c.told
+		first := !c.responseStarted
 		if c.write(out) != nil {
 			return edge.ClientLeft
 		}
@@ -307,62 +307,62 @@
 			return edge.Finished
 		}
 		if first { // not before: a call whose connection closes without an answer is lost
-			defer context.AfterFunc(c.s.streams, c.cut)()
+			defer context.AfterFunc(c.server.streamsCtx, c.cancelRequest)()
 		}
 		out = c.out[:0]
 	}
 }
 
 // RateLimit is of edge.Client.
-func (c *client) RateLimit(comeBack float64) {
-	c.refuse(&refusal{429, "rate-limited: trying again is harmless", comeBack, false})
+func (c *clientConn) RateLimit(retryAfterSeconds float64) {
+	c.writeError(&errorResponse{429, "rate-limited: trying again is harmless", retryAfterSeconds, false})
 }
 
 // Abort is of edge.Client.
-func (c *client) Abort(late bool) {
-	if late {
-		c.refuse(&refusal{504, "aborted: the client timeout is spent", 0, false})
+func (c *clientConn) Abort(timedOut bool) {
+	if timedOut {
+		c.writeError(&errorResponse{504, "aborted: the client timeout is spent", 0, false})
 		return
 	}
-	c.refuse(&refusal{500, "aborted: it is not known what was done", 0, false})
+	c.writeError(&errorResponse{500, "aborted: it is not known what was done", 0, false})
 }
 
 // Fault is of edge.Client.
-func (c *client) EngineError(status int, body []byte) {
-	c.refuse(&refusal{status, string(body), 0, false})
+func (c *clientConn) EngineError(status int, body []byte) {
+	c.writeError(&errorResponse{status, string(body), 0, false})
 }
 
-func (c *client) write(b []byte) error {
-	c.out, c.told = b, true
-	c.conn.SetWriteDeadline(time.Now().Add(writeMost)) //nolint:errcheck // a connection that is closed fails in writing
+func (c *clientConn) write(b []byte) error {
+	c.out, c.responseStarted = b, true
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // a connection that is closed fails in writing
 	_, err := c.conn.Write(b)
 	if err != nil {
-		c.last, c.gone = true, true
+		c.closeAfter, c.disconnected = true, true
 	}
 	return err
 }
 
 // refuse answers with an error.
-func (c *client) refuse(r *refusal) {
-	c.last = c.last || r.last
-	r.last = c.lastAnswer()
-	if c.s.o.Log.Enabled(context.Background(), slog.LevelDebug) { // floods come by here
-		c.s.o.Log.Debug("error answer", "conn", c.id, "status", r.status, "message", r.message, "last", c.last)
+func (c *clientConn) writeError(r *errorResponse) {
+	c.closeAfter = c.closeAfter || r.closeConn
+	r.closeConn = c.isLastResponse()
+	if c.server.options.Log.Enabled(context.Background(), slog.LevelDebug) { // floods come by here
+		c.server.options.Log.Debug("error answer", "conn", c.id, "status", r.status, "message", r.message, "last", c.closeAfter)
 	}
-	c.s.refused[min(5, r.status/100)].Add(1)
-	c.write(r.bytes()) //nolint:errcheck // the connection ends if it fails
+	c.server.errorsByClass[min(5, r.status/100)].Add(1)
+	c.write(r.encode()) //nolint:errcheck // the connection ends if it fails
 }
 
-func (r *refusal) bytes() []byte {
+func (r *errorResponse) encode() []byte {
 	body, err := json.Marshal(map[string]any{"error": map[string]string{"message": r.message}})
 	if err != nil { // a string always is
 		body = []byte("{}")
 	}
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", r.status, http.StatusText(r.status), len(body))
-	if r.after > 0 {
-		b = fmt.Appendf(b, "Retry-After: %.3f\r\n", r.after)
+	if r.retryAfterSeconds > 0 {
+		b = fmt.Appendf(b, "Retry-After: %.3f\r\n", r.retryAfterSeconds)
 	}
-	if r.last {
+	if r.closeConn {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(append(b, "\r\n"...), body...)
@@ -370,11 +370,11 @@
 
 // Linger has answers say that their connection closes, so that clients go elsewhere. One whose last answer had begun
 // before and did not say so stays until Leave: closed at once it would cross the client's next call.
-func (s *Server) AnnounceClose() { s.leaving.Store(true) }
+func (s *Server) AnnounceClose() { s.announceClose.Store(true) }
 
 // Counts are the calls for the rest of a stream, the answers of 4xx and those of 5xx so far.
-func (s *Server) Counts() (again, faulty, failed int64) {
-	return s.again.Load(), s.refused[4].Load(), s.refused[5].Load()
+func (s *Server) Counts() (resumed, clientErrors, serverErrors int64) {
+	return s.resumeRequests.Load(), s.errorsByClass[4].Load(), s.errorsByClass[5].Load()
 }
 
 // Conns is how many connections are open.
--- a/internal/platform/front/requestids.go
+++ b/internal/platform/front/requestids.go
@@ -5,39 +5,39 @@
 // ids knows the ids of calls that are open, and for a while of those that were: an id is fresh on every call, so one
 // that comes again is none of the usual clients'. It guards against a call that passes for another client's; it
 // harms where more than idsMost calls end within idsRest, by knowing fewer.
-type ids struct {
-	open   map[string]bool
-	recent [2]map[string]bool
-	at     time.Time // when the younger of recent began
+type requestIDs struct {
+	open      map[string]bool
+	recent    [2]map[string]bool
+	rotatedAt time.Time // when the younger of recent began
 }
 
 const (
-	idsRest = 10 * time.Second
-	idsMost = 4096
+	idRetention  = 10 * time.Second
+	maxRecentIDs = 4096
 )
 
-func newIDs() *ids {
-	return &ids{open: map[string]bool{}, recent: [2]map[string]bool{{}, {}}}
+func newRequestIDs() *requestIDs {
+	return &requestIDs{open: map[string]bool{}, recent: [2]map[string]bool{{}, {}}}
 }
 
 // begin takes an id, unless it is known.
-func (i *ids) begin(id string) bool {
-	if i.open[id] || i.recent[0][id] || i.recent[1][id] {
+func (r *requestIDs) begin(id string) bool {
+	if r.open[id] || r.recent[0][id] || r.recent[1][id] {
 		return false
 	}
-	i.open[id] = true
+	r.open[id] = true
 	return true
 }
 
 // end gives an id back, which rests for a while.
-func (i *ids) end(now time.Time, id string) {
-	if !i.open[id] {
+func (r *requestIDs) end(now time.Time, id string) {
+	if !r.open[id] {
 		return
 	}
-	delete(i.open, id)
-	if now.Sub(i.at) > idsRest || len(i.recent[0]) >= idsMost {
-		i.recent = [2]map[string]bool{{}, i.recent[0]}
-		i.at = now
+	delete(r.open, id)
+	if now.Sub(r.rotatedAt) > idRetention || len(r.recent[0]) >= maxRecentIDs {
+		r.recent = [2]map[string]bool{{}, r.recent[0]}
+		r.rotatedAt = now
 	}
-	i.recent[0][id] = true
+	r.recent[0][id] = true
 }
--- a/internal/platform/service/config.go
+++ b/internal/platform/service/config.go
@@ -25,14 +25,14 @@
 
 func (b ConfigError) Unwrap() error { return b.error }
 
-func badConfig(format string, a ...any) error { return ConfigError{fmt.Errorf(format, a...)} }
+func configErrorf(format string, a ...any) error { return ConfigError{fmt.Errorf(format, a...)} }
 
 // The least that a router needs.
 const (
-	memoryLeast  = 24
-	memoryMost   = 1 << 20
-	socketsLeast = 64
-	socketsMost  = 1 << 20
+	minMemoryMB = 24
+	maxMemoryMB = 1 << 20
+	minSockets  = 64
+	maxSockets  = 1 << 20
 )
 
 // Load reads the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN prevail over it, as they are this process's own;
@@ -40,25 +40,25 @@
 func Load(getenv func(string) string) (*Config, error) {
 	file := getenv("EDGE_CONFIG")
 	if file == "" {
-		return nil, badConfig("EDGE_CONFIG: not set")
+		return nil, configErrorf("EDGE_CONFIG: not set")
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, badConfig("EDGE_CONFIG: %w", err)
+		return nil, configErrorf("EDGE_CONFIG: %w", err)
 	}
 	c, err := Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	for name, to := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen} {
+	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen} {
 		if v := getenv(name); v != "" {
-			*to = v
+			*field = v
 		}
 	}
 	if v := getenv("EDGE_DISCOVERY"); v != "" && c.Discovery == "" {
 		c.Discovery = v
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
 // Parse reads a configuration.
@@ -76,41 +76,41 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, badConfig("config: %s: a %s where a %s is wanted, at byte %d", kind.Field, kind.Value, kind.Type, kind.Offset)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, configErrorf("config: %s: a %s where a %s is wanted, at byte %d", typeErr.Field, typeErr.Value, typeErr.Type, typeErr.Offset)
 		}
-		return nil, badConfig("config: %w", err)
+		return nil, configErrorf("config: %w", err)
 	}
 	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
-		return nil, badConfig("config: seed: %q: wanted 16 hexadecimal digits", raw.Seed)
+		return nil, configErrorf("config: seed: %q: wanted 16 hexadecimal digits", raw.Seed)
 	}
-	if m := raw.Limits.Memory; m < memoryLeast || m > memoryMost {
-		return nil, badConfig("config: limits.memory_mb: %d: wanted from %d to %d", m, memoryLeast, memoryMost)
+	if m := raw.Limits.Memory; m < minMemoryMB || m > maxMemoryMB {
+		return nil, configErrorf("config: limits.memory_mb: %d: wanted from %d to %d", m, minMemoryMB, maxMemoryMB)
 	}
-	if n := raw.Limits.Sockets; n < socketsLeast || n > socketsMost {
-		return nil, badConfig("config: limits.sockets: %d: wanted from %d to %d", n, socketsLeast, socketsMost)
+	if n := raw.Limits.Sockets; n < minSockets || n > maxSockets {
+		return nil, configErrorf("config: limits.sockets: %d: wanted from %d to %d", n, minSockets, maxSockets)
 	}
 	if len(raw.Settings) == 0 {
-		return nil, badConfig("config: settings: missing")
+		return nil, configErrorf("config: settings: missing")
 	}
-	all, err := settings.Parse(raw.Settings)
+	parsed, err := settings.Parse(raw.Settings)
 	if err == nil {
-		err = all.Serves()
+		err = parsed.Serves()
 	}
 	if err != nil {
-		return nil, badConfig("config: %w", err)
+		return nil, configErrorf("config: %w", err)
 	}
-	all.Decide.Seed = seed
+	parsed.Decide.Seed = seed
 	return &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, MemoryBytes: raw.Limits.Memory << 20,
-		MaxSockets: raw.Limits.Sockets, InitialList: raw.Known, Settings: all}, nil
+		MaxSockets: raw.Limits.Sockets, InitialList: raw.Known, Settings: parsed}, nil
 }
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return badConfig("config: %s: %q: wanted HOST:PORT", name, address)
+			return configErrorf("config: %s: %q: wanted HOST:PORT", name, address)
 		}
 	}
 	return nil
--- a/internal/platform/service/engineage.go
+++ b/internal/platform/service/engineage.go
@@ -3,20 +3,20 @@
 import "time"
 
 // reading is one look at both of a machine's clocks.
-type reading struct {
+type clockReading struct {
 	wall time.Time     // may be stepped at any time
 	mono time.Duration // since this process started
 }
 
 // clock reads the machine's clocks; tests replace it.
-type clock func() reading
+type clock func() clockReading
 
 // newClock is the machine's own.
-func newClock() clock {
+func newSystemClock() clock {
 	start := time.Now()
-	return func() reading {
+	return func() clockReading {
 		now := time.Now()
-		return reading{now.Round(0), now.Sub(start)}
+		return clockReading{now.Round(0), now.Sub(start)}
 	}
 }
 
@@ -26,55 +26,57 @@
 // pass for a warm one and be sent more than it can do. From then on an engine is at most as old as by the clock as it
 // runs now, by the clock as it ran at the process's start, and by the time since the last list that did not have this
 // start of it.
-type births struct {
-	start  reading
-	told   time.Duration // when the last list came, by the monotonic clock
-	lists  int
-	stamps map[string]int64 // by engine, as last told
+type engineAges struct {
+	startReading clockReading
+	lastListAt   time.Duration // when the last list came, by the monotonic clock
+	listCount    int
+	startStamps  map[string]int64 // by engine, as last told
 }
 
 // stepLeast is how far the two clocks must be apart to count as a step: their drift over days is less.
-const stepLeast = time.Second
+const minClockStep = time.Second
 
-func newBirths(at reading) *births { return &births{start: at, stamps: map[string]int64{}} }
+func newEngineAges(now clockReading) *engineAges {
+	return &engineAges{startReading: now, startStamps: map[string]int64{}}
+}
 
 // list begins a list that was heard at a time. Of a whole one only the engines that it names are remembered.
-func (b *births) list(at reading, whole bool) (ages listAges) {
-	ages = listAges{b: b, at: at, before: b.stamps, since: at.mono - b.told, first: b.lists == 0}
-	if whole {
-		b.stamps = make(map[string]int64, len(b.stamps))
+func (a *engineAges) beginList(now clockReading, snapshot bool) (ages listAges) {
+	ages = listAges{engines: a, now: now, previousStamps: a.startStamps, sinceLastList: now.mono - a.lastListAt, firstList: a.listCount == 0}
+	if snapshot {
+		a.startStamps = make(map[string]int64, len(a.startStamps))
 	}
-	b.told = at.mono
-	b.lists++
+	a.lastListAt = now.mono
+	a.listCount++
 	return ages
 }
 
 // listAges are the ages of one list's engines.
 type listAges struct {
-	b      *births
-	at     reading
-	before map[string]int64 // stamps as last told
-	since  time.Duration    // since the list before
-	first  bool             // there was none
+	engines        *engineAges
+	now            clockReading
+	previousStamps map[string]int64 // stamps as last told
+	sinceLastList  time.Duration    // since the list before
+	firstList      bool             // there was none
 }
 
 // age is an engine's, by the stamp of its start in milliseconds of Unix time, never below 0.
 func (l listAges) age(engine string, stamp int64) time.Duration {
-	b := l.b
-	fresh := l.before[engine] != stamp
-	b.stamps[engine] = stamp
-	born := time.UnixMilli(stamp)
-	age := max(0, l.at.wall.Sub(born))
-	unstepped := b.start.wall.Add(l.at.mono - b.start.mono)
-	if step := l.at.wall.Sub(unstepped); step.Abs() < stepLeast {
+	a := l.engines
+	changed := l.previousStamps[engine] != stamp
+	a.startStamps[engine] = stamp
+	startedAt := time.UnixMilli(stamp)
+	age := max(0, l.now.wall.Sub(startedAt))
+	unsteppedWall := a.startReading.wall.Add(l.now.mono - a.startReading.mono)
+	if step := l.now.wall.Sub(unsteppedWall); step.Abs() < minClockStep {
 		return age
 	}
-	age = min(age, max(0, unstepped.Sub(born)))
-	if fresh && !l.first {
-		age = min(age, l.since)
+	age = min(age, max(0, unsteppedWall.Sub(startedAt)))
+	if changed && !l.firstList {
+		age = min(age, l.sinceLastList)
 	}
 	return age
 }
 
 // forget drops an engine that is gone.
-func (b *births) forget(engine string) { delete(b.stamps, engine) }
+func (a *engineAges) forget(engine string) { delete(a.startStamps, engine) }
--- a/internal/platform/service/engineage_test.go
+++ b/internal/platform/service/engineage_test.go
@@ -9,48 +9,50 @@
 
 // TestAgesOverSteps: an engine that has just started is never taken for an old one, whatever the wall clock does, here
 // or everywhere at once; while it runs well ages are exact.
-func TestAgesOverSteps(t *testing.T) {
+func TestAgesAfterClockSteps(t *testing.T) {
 	start := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-	const quietFor, listed = 100 * time.Second, 3 * time.Second // from the last list to the engine's start, and to the list
-	for _, one := range []struct {
-		name        string
-		here, there time.Duration // steps of this machine's clock, and of the one that stamps
-		exact       bool
+	const startAfterList, listAfterStart = 100 * time.Second, 3 * time.Second // from the last list to the engine's start, and to the list
+	for _, tc := range []struct {
+		name                 string
+		localStep, stampStep time.Duration // steps of this machine's clock, and of the one that stamps
+		exact                bool
 	}{
 		{"none", 0, 0, true}, {"a slow drift", 300 * time.Millisecond, 0, false},
 		{"an hour on, here", time.Hour, 0, false}, {"an hour back, here", -time.Hour, 0, false},
 		{"an hour on, all", time.Hour, time.Hour, false}, {"an hour back, all", -time.Hour, -time.Hour, false},
 		{"seconds on, here", 7 * time.Second, 0, false}, {"seconds back, all", -7 * time.Second, -7 * time.Second, false},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			b := newBirths(reading{start, 0})
-			at := func(after time.Duration, step time.Duration) reading { return reading{start.Add(after + step), after} }
+		t.Run(tc.name, func(t *testing.T) {
+			engines := newEngineAges(clockReading{start, 0})
+			readingAt := func(after time.Duration, step time.Duration) clockReading {
+				return clockReading{start.Add(after + step), after}
+			}
 			old := start.Add(-40 * time.Second)
-			require.Equal(t, 42*time.Second, b.list(at(2*time.Second, 0), true).age("old", old.UnixMilli()))
-			last := 2*time.Second + quietFor
-			b.list(at(last, one.here), false) // changes of others
-			born := last + time.Second
-			heard := born + listed
-			ages := b.list(at(heard, one.here), false)
-			age := ages.age("new", start.Add(born+one.there).UnixMilli())
-			if one.exact {
-				require.Equal(t, listed, age)
+			require.Equal(t, 42*time.Second, engines.beginList(readingAt(2*time.Second, 0), true).age("old", old.UnixMilli()))
+			lastList := 2*time.Second + startAfterList
+			engines.beginList(readingAt(lastList, tc.localStep), false) // changes of others
+			startedAt := lastList + time.Second
+			arrived := startedAt + listAfterStart
+			ages := engines.beginList(readingAt(arrived, tc.localStep), false)
+			age := ages.age("new", start.Add(startedAt+tc.stampStep).UnixMilli())
+			if tc.exact {
+				require.Equal(t, listAfterStart, age)
 			}
-			require.LessOrEqual(t, age, listed+time.Second, "taken for older than the time since the last list")
+			require.LessOrEqual(t, age, listAfterStart+time.Second, "taken for older than the time since the last list")
 			require.GreaterOrEqual(t, age, time.Duration(0))
-			require.LessOrEqual(t, ages.age("restarted", start.Add(born+one.there).UnixMilli()), listed+time.Second)
+			require.LessOrEqual(t, ages.age("restarted", start.Add(startedAt+tc.stampStep).UnixMilli()), listAfterStart+time.Second)
 		})
 	}
 }
 
 // TestStampsAreBounded: engines that a whole list does not name, and those that are gone, are forgotten.
-func TestStampsAreBounded(t *testing.T) {
-	b := newBirths(reading{time.Now(), 0})
+func TestStampsAreForgotten(t *testing.T) {
+	engines := newEngineAges(clockReading{time.Now(), 0})
 	for round := range 100 {
-		ages := b.list(reading{time.Now(), time.Duration(round) * time.Second}, true)
+		ages := engines.beginList(clockReading{time.Now(), time.Duration(round) * time.Second}, true)
 		for n := range 10 {
 			ages.age(string(rune('a'+round))+string(rune('0'+n)), 1)
 		}
 	}
-	require.Len(t, b.stamps, 10)
+	require.Len(t, engines.startStamps, 10)
 }
--- a/internal/platform/service/heldstate_test.go
+++ b/internal/platform/service/heldstate_test.go
@@ -28,89 +28,89 @@
 
 // TestHeldState holds the router to the limit of what is held in these and the nearest other sequences.
 func TestHeldState(t *testing.T) {
-	t.Run("a hung write", heldBehindAHungWrite)
-	t.Run("a lost read", heldForALostRead)
-	t.Run("a write that waits, then hangs", heldWhileAWriteWaits)
-	t.Run("a lost answer", heldAfterALostAnswer)
+	t.Run("a hung write", testHeldDuringHungWrite)
+	t.Run("a lost read", testHeldAfterLostRead)
+	t.Run("a write that waits, then hangs", testHeldWhileWriteWaits)
+	t.Run("a lost answer", testHeldAfterLostAnswer)
 }
 
 // heldBehindAHungWrite: what a read left is let go in time though the engine that has the write answers probes, or everything
 // else.
-func heldBehindAHungWrite(t *testing.T) {
+func testHeldDuringHungWrite(t *testing.T) {
 	for name, others := range map[string]int{"it answers probes": 0, "it serves others": 15} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, `"probes":false`, `"probes":true`)
-			s.w.Strict = true
-			s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
+			s := newCluster(t, `"probes":false`, `"probes":true`)
+			s.fleet.Strict = true
+			s.fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 				if c.ID == "hung" && c.Kind == standin.Write {
 					return standin.Hung
 				}
 				return standin.None
 			}
-			s.oneWriter()
-			s.sendMany("before", 2)
-			s.sendBeside("hung", others)
-			require.LessOrEqual(t, s.longestHeld("hung"), letGoMost)
+			s.keepOneWriter()
+			s.sendConcurrently("before", 2)
+			s.sendWithOthers("hung", others)
+			require.LessOrEqual(t, s.longestHeld("hung"), maxHoldTime)
 		})
 	}
 }
 
 // heldForALostRead: nothing is held past its limit for a read that never arrived, though its engine answers others.
-func heldForALostRead(t *testing.T) {
-	s := newSite(t, `"probes":false`, `"probes":true`)
-	s.w.Strict = true
-	reader := s.only("reader-0", "reader-1")
-	s.sendMany("before", 2)
-	reader.SilenceConnOnSend(longPiece)
-	s.sendBeside("lost", 15)
-	require.LessOrEqual(t, s.longestHeld("lost"), letGoMost)
+func testHeldAfterLostRead(t *testing.T) {
+	s := newCluster(t, `"probes":false`, `"probes":true`)
+	s.fleet.Strict = true
+	reader := s.keepOnly("reader-0", "reader-1")
+	s.sendConcurrently("before", 2)
+	reader.SilenceConnOnSend(minLongRequestBytes)
+	s.sendWithOthers("lost", 15)
+	require.LessOrEqual(t, s.longestHeld("lost"), maxHoldTime)
 }
 
 // sendBeside sends a call that waits for two seconds, and others meanwhile, which are served; then all is quiet.
-func (s *site) sendBeside(id string, others int) {
-	var one sync.WaitGroup
-	one.Go(func() { s.send(call(id, prompt(longPrompt), "X-Deadline: 2000m")) })
+func (s *cluster) sendWithOthers(id string, others int) {
+	var client sync.WaitGroup
+	client.Go(func() { s.send(chatRequest(id, promptBody(longPromptTokens), "X-Deadline: 2000m")) })
 	for n := range others {
 		time.Sleep(50 * time.Millisecond)
-		s.sendMany(fmt.Sprint("beside-", id, "-", n), 1)
+		s.sendConcurrently(fmt.Sprint("beside-", id, "-", n), 1)
 	}
-	one.Wait()
-	s.quiet()
+	client.Wait()
+	s.awaitQuiet()
 }
 
 // heldWhileAWriteWaits: a release that comes while a write waits for the state lets go of nothing. Where the write's engine
 // hangs later, the state is let go all the same.
-func heldWhileAWriteWaits(t *testing.T) {
-	s := newSite(t, `"holds-allowed":true`, `"holds-allowed":false`)
-	s.w.Strict = true
-	s.w.ServiceTime = func(c *standin.Call) time.Duration {
+func testHeldWhileWriteWaits(t *testing.T) {
+	s := newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`)
+	s.fleet.Strict = true
+	s.fleet.ServiceTime = func(c *standin.Call) time.Duration {
 		if c.Kind == standin.Write {
 			return 5 * time.Second
 		}
 		return 0
 	}
-	var one sync.WaitGroup
-	one.Go(func() { s.send(call("waits", prompt(longPrompt), "X-Deadline: 3000m")) })
-	hasWrite := func() bool {
-		return slices.ContainsFunc(s.w.Calls(standin.Write), func(c standin.Call) bool { return c.ID == "waits" })
+	var client sync.WaitGroup
+	client.Go(func() { s.send(chatRequest("waits", promptBody(longPromptTokens), "X-Deadline: 3000m")) })
+	writeArrived := func() bool {
+		return slices.ContainsFunc(s.fleet.Calls(standin.Write), func(c standin.Call) bool { return c.ID == "waits" })
 	}
-	require.Eventually(t, hasWrite, time.Second, time.Millisecond)
+	require.Eventually(t, writeArrived, time.Second, time.Millisecond)
 	time.Sleep(700 * time.Millisecond)
 	for _, writer := range [...]string{"writer-0", "writer-1"} {
-		s.w.Hang(writer, time.Now().Add(10*time.Second))
+		s.fleet.Hang(writer, time.Now().Add(10*time.Second))
 	}
-	one.Wait()
-	s.quiet()
-	require.LessOrEqual(t, s.longestHeld("waits"), letGoMost)
+	client.Wait()
+	s.awaitQuiet()
+	require.LessOrEqual(t, s.longestHeld("waits"), maxHoldTime)
 }
 
 // heldAfterALostAnswer: a read has ended at its engine and the answer never comes. It counts, answered or not, until the router gives
 // it up; what it left is let go in time from then on.
-func heldAfterALostAnswer(t *testing.T) {
-	s := newSite(t, `"holds-allowed":true`, `"holds-allowed":false`)
-	s.w.Strict = true
-	proxies := s.behindProxies(nil)
-	s.w.ServiceTime = func(c *standin.Call) time.Duration {
+func testHeldAfterLostAnswer(t *testing.T) {
+	s := newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`)
+	s.fleet.Strict = true
+	proxies := s.moveBehindProxies(nil)
+	s.fleet.ServiceTime = func(c *standin.Call) time.Duration {
 		if c.ID == "lost" && c.Kind == standin.Read {
 			time.AfterFunc(200*time.Millisecond, func() {
 				for _, name := range [...]string{"reader-0", "reader-1"} {
@@ -121,12 +121,12 @@
 		}
 		return 0
 	}
-	s.send(call("lost", prompt(longPrompt), "X-Deadline: 2500m"))
-	givenUp := time.Now()
-	s.quiet()
-	holds := slices.DeleteFunc(s.w.Holds(), func(h standin.Hold) bool { return h.ID != "lost" })
+	s.send(chatRequest("lost", promptBody(longPromptTokens), "X-Deadline: 2500m"))
+	givenUpAt := time.Now()
+	s.awaitQuiet()
+	holds := slices.DeleteFunc(s.fleet.Holds(), func(h standin.Hold) bool { return h.ID != "lost" })
 	require.NotEmpty(t, holds)
 	for _, h := range holds {
-		require.Less(t, h.To.Sub(givenUp), letGoMost)
+		require.Less(t, h.To.Sub(givenUpAt), maxHoldTime)
 	}
 }
--- a/internal/platform/service/helper_test.go
+++ b/internal/platform/service/helper_test.go
@@ -20,7 +20,7 @@
 )
 
 // text is a configuration of the smallest deployment.
-func text(listen, discovery string) string {
+func configJSON(listen, discovery string) string {
 	return fmt.Sprintf(`{"name":"r1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"seq":0,"whole":true,"hosts":[]},
 "settings":{"balancers":1,"my-zone":0,"zones":["here","there"],"kinds":["reads","writes"],"granularity-ns":2000000,
@@ -33,26 +33,26 @@
 }
 
 // site is a router before stand-in engines: two readers, two writers.
-type site struct {
-	t       *testing.T
-	w       *standin.Fleet
-	engines map[string]*standin.Engine
-	list    *standin.Discovery
-	c       *Config
-	r       *Router
+type cluster struct {
+	t         *testing.T
+	fleet     *standin.Fleet
+	engines   map[string]*standin.Engine
+	discovery *standin.Discovery
+	config    *Config
+	router    *Router
 }
 
-func host(e *standin.Engine, machine string) discovery.Host {
+func hostEntry(e *standin.Engine, machine string) discovery.Host {
 	return discovery.Host{Name: e.Name, Address: e.Address(), Zone: "here", MachineKind: machine, Cell: 1, Health: "Ready", Share: 1}
 }
 
-func newSite(t *testing.T, replace ...string) *site {
+func newCluster(t *testing.T, replacements ...string) *cluster {
 	t.Helper()
-	s := &site{t: t, w: standin.NewFleet(), engines: map[string]*standin.Engine{}}
+	s := &cluster{t: t, fleet: standin.NewFleet(), engines: map[string]*standin.Engine{}}
 	var hosts []discovery.Host
 	for _, name := range [...]string{"reader-0", "reader-1", "writer-0", "writer-1"} {
 		reads := strings.HasPrefix(name, "reader")
-		e, err := s.w.StartEngine(name, reads)
+		e, err := s.fleet.StartEngine(name, reads)
 		require.NoError(t, err)
 		t.Cleanup(e.Close)
 		s.engines[name] = e
@@ -60,22 +60,22 @@
 		if reads {
 			machine = "reads"
 		}
-		hosts = append(hosts, host(e, machine))
+		hosts = append(hosts, hostEntry(e, machine))
 	}
 	var err error
-	s.list, err = standin.StartDiscovery(hosts)
+	s.discovery, err = standin.StartDiscovery(hosts)
 	require.NoError(t, err)
-	t.Cleanup(func() { s.list.Close() })
+	t.Cleanup(func() { s.discovery.Close() })
 	ln, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
 	listen := ln.Addr().String()
 	require.NoError(t, ln.Close())
-	s.c, err = Parse([]byte(strings.NewReplacer(replace...).Replace(text(listen, s.list.Address()))))
+	s.config, err = Parse([]byte(strings.NewReplacer(replacements...).Replace(configJSON(listen, s.discovery.Address()))))
 	require.NoError(t, err)
-	s.r, err = Start(s.c, slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelDebug})))
+	s.router, err = Start(s.config, slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelDebug})))
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		if s.r != nil {
+		if s.router != nil {
 			require.NoError(t, s.stop())
 		}
 	})
@@ -86,36 +86,36 @@
 	return s
 }
 
-func (s *site) stop() error {
-	r := s.r
-	s.r = nil
+func (s *cluster) stop() error {
+	r := s.router
+	s.router = nil
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	return r.Stop(ctx)
 }
 
 // prompt is a body of about so many tokens.
-func prompt(tokens int) string {
+func promptBody(tokens int) string {
 	return `{"model":"chat","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"` + strings.Repeat("word", tokens) + `"}]}`
 }
 
 // call is a client's call; fields come beside the usual ones or, of the same name, in their place.
-func call(id, body string, fields ...string) string {
-	all := map[string]string{"X-Request-Id": id, "X-Class": "chat", "X-Tenant": "acme", "X-Key": "k-" + id, "X-Deadline": "4000m",
+func chatRequest(id, body string, headers ...string) string {
+	values := map[string]string{"X-Request-Id": id, "X-Class": "chat", "X-Tenant": "acme", "X-Key": "k-" + id, "X-Deadline": "4000m",
 		"X-Extras": fmt.Sprintf("prompt_len=%d,max_out=20", len(body)/4)}
 	order := []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Key", "X-Deadline", "X-Extras"}
-	for _, f := range fields {
+	for _, f := range headers {
 		name, value, _ := strings.Cut(f, ": ")
-		if _, there := all[name]; !there {
+		if _, exists := values[name]; !exists {
 			order = append(order, name)
 		}
-		all[name] = value
+		values[name] = value
 	}
 	var b strings.Builder
 	b.WriteString("POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\n")
 	for _, name := range order {
-		if all[name] != "" {
-			b.WriteString(name + ": " + all[name] + "\r\n")
+		if values[name] != "" {
+			b.WriteString(name + ": " + values[name] + "\r\n")
 		}
 	}
 	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(body), body)
@@ -123,36 +123,36 @@
 }
 
 // open makes a client's connection, which ends with the test, and writes bytes on it.
-func (s *site) open(bytes string) (net.Conn, *bufio.Reader) {
+func (s *cluster) dial(text string) (net.Conn, *bufio.Reader) {
 	s.t.Helper()
-	conn, err := net.Dial("tcp", s.c.Listen)
+	conn, err := net.Dial("tcp", s.config.Listen)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a test
-	_, err = io.WriteString(conn, bytes)
+	_, err = io.WriteString(conn, text)
 	require.NoError(s.t, err)
 	return conn, bufio.NewReader(conn)
 }
 
-const up = "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"
+const upRequest = "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"
 
 // send writes bytes on a connection of its own and reads one answer. Status 0: the connection ended without one; err:
 // it ended in the middle.
-func (s *site) send(bytes string) (status int, body string, err error) {
+func (s *cluster) send(text string) (status int, body string, err error) {
 	s.t.Helper()
-	conn, err := net.Dial("tcp", s.c.Listen)
+	conn, err := net.Dial("tcp", s.config.Listen)
 	if err != nil {
 		return 0, "", err
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a test
-	if _, err := io.WriteString(conn, bytes); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		return 0, "", err
 	}
-	return answerOf(bufio.NewReader(conn))
+	return readResponse(bufio.NewReader(conn))
 }
 
-func answerOf(r *bufio.Reader) (int, string, error) {
+func readResponse(r *bufio.Reader) (int, string, error) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return 0, "", err
@@ -163,11 +163,11 @@
 }
 
 // quiet waits until nothing is out and nothing held.
-func (s *site) quiet() {
+func (s *cluster) awaitQuiet() {
 	s.t.Helper()
-	r := s.r // the last look may come after the test's end
+	r := s.router // the last look may come after the test's end
 	require.Eventually(s.t, func() bool {
-		_, runs := r.edge.Active()
-		return runs == 0 && s.w.HeldCount() == 0 && r.planner.Stats().OpenCompletions == 0
+		_, dispatches := r.edge.Active()
+		return dispatches == 0 && s.fleet.HeldCount() == 0 && r.planner.Stats().OpenCompletions == 0
 	}, 5*time.Second, 5*time.Millisecond, "dispatches out, or states held")
 }
--- a/internal/platform/service/memory_test.go
+++ b/internal/platform/service/memory_test.go
@@ -13,7 +13,7 @@
 )
 
 // heap is the live heap, in bytes.
-func heap() int64 {
+func liveHeapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -23,9 +23,9 @@
 
 // TestMemoryOfAnEngine: what all parts of a router together remember of an engine is a small part of the 4 MB that a
 // thousand may take, also while all of them are being replaced: those that are gone are known for two minutes more.
-func TestMemoryOfAnEngine(t *testing.T) {
-	const engines, most = 3200, 2 << 10 // bytes each
-	s := newSite(t)
+func TestMemoryPerEngine(t *testing.T) {
+	const engines, maxBytesPerEngine = 3200, 2 << 10 // bytes each
+	s := newCluster(t)
 	list := func(round int) *discovery.List {
 		l := &discovery.List{Version: int64(round), Snapshot: true}
 		for n := range engines {
@@ -34,19 +34,19 @@
 		}
 		return l
 	}
-	tell := func(round int) {
-		s.r.hand(list(round), decide.ListSnapshot)
-		require.Eventually(t, func() bool { return s.r.planner.Stats().QueuedEvents == 0 }, 5*time.Second, time.Millisecond)
+	apply := func(round int) {
+		s.router.updateEngines(list(round), decide.ListSnapshot)
+		require.Eventually(t, func() bool { return s.router.planner.Stats().QueuedEvents == 0 }, 5*time.Second, time.Millisecond)
 		time.Sleep(50 * time.Millisecond) // until the planner has it in hand
 	}
-	before := heap()
-	tell(1)
-	first := heap() - before
+	before := liveHeapBytes()
+	apply(1)
+	first := liveHeapBytes() - before
 	t.Logf("%d bytes for each of %d engines", first/engines, engines)
-	require.Less(t, first/engines, int64(most))
-	tell(2)
-	tell(3)
-	last := heap() - before
+	require.Less(t, first/engines, int64(maxBytesPerEngine))
+	apply(2)
+	apply(3)
+	last := liveHeapBytes() - before
 	t.Logf("%d bytes for each after all were replaced twice", last/engines)
 	require.Less(t, last, 4*first, "what is gone costs more than what is there")
 }
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -30,41 +30,41 @@
 // How the limits are divided. Clients hold at most a third of the descriptors for calls; each call needs one towards an
 // engine, and for a moment one more for a place or a release.
 const (
-	ownSockets   = 24   // listener, discovery, poller, standard streams, with room
-	clientPart   = 42   // percent of the others; the rest is for engines
-	memoryPart   = 70   // percent of the limit at which the collector works without pause
-	bodyPart     = 15   // percent of the limit that bodies may hold
-	gcPercent    = 50   // garbage over a small heap
-	enginesMost  = 8192 // of which something is remembered: more than twice the 3,200 of the largest fleets, as they are replaced
-	margin       = 40 * time.Millisecond
-	streamMost   = 10 * time.Minute
-	tidyEvery    = time.Second
-	comeBackMost = 500 * time.Millisecond
-	holdSlack    = 300 * time.Millisecond // the protocol's, beside the settings' limit of what is held
+	reservedSockets     = 24   // listener, discovery, poller, standard streams, with room
+	clientSocketPercent = 42   // percent of the others; the rest is for engines
+	memoryLimitPercent  = 70   // percent of the limit at which the collector works without pause
+	bodyMemoryPercent   = 15   // percent of the limit that bodies may hold
+	gcPercent           = 50   // garbage over a small heap
+	maxEngines          = 8192 // of which something is remembered: more than twice the 3,200 of the largest fleets, as they are replaced
+	answerMargin        = 40 * time.Millisecond
+	maxStreamDuration   = 10 * time.Minute
+	pruneInterval       = time.Second
+	maxRetryAfter       = 500 * time.Millisecond
+	holdLimitSlack      = 300 * time.Millisecond // the protocol's, beside the settings' limit of what is held
 )
 
 // Router is a running router.
 type Router struct {
-	c       *Config
-	log     *slog.Logger
-	front   *front.Server
-	edge    *edge.Edge
-	planner *planner.Planner
-	backend *backend.Client
-	follow  *discovery.Follower
-	ln      net.Listener
-	end     context.CancelFunc
-	parts   sync.WaitGroup
-	fault   chan error
-	figures *figures
-	clock   clock
-	births  *births // of the engines; known and tell use it one after the other
+	config     *Config
+	log        *slog.Logger
+	front      *front.Server
+	edge       *edge.Edge
+	planner    *planner.Planner
+	backend    *backend.Client
+	follower   *discovery.Follower
+	listener   net.Listener
+	cancel     context.CancelFunc
+	running    sync.WaitGroup
+	errs       chan error
+	stats      *stats
+	clock      clock
+	engineAges *engineAges // of the engines; known and tell use it one after the other
 }
 
 // Tune sets the process's limits from the configuration.
 func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(c.MemoryBytes * memoryPart / 100)
+	debug.SetMemoryLimit(c.MemoryBytes * memoryLimitPercent / 100)
 	debug.SetGCPercent(gcPercent)
 }
 
@@ -75,48 +75,48 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	r := &Router{c: c, log: log, ln: ln, fault: make(chan error, 2), figures: &figures{}, clock: newClock()}
-	r.births = newBirths(r.clock())
-	free := c.MaxSockets - ownSockets
-	clients := free * clientPart / 100
-	engines := free - clients
+	r := &Router{config: c, log: log, listener: ln, errs: make(chan error, 2), stats: &stats{}, clock: newSystemClock()}
+	r.engineAges = newEngineAges(r.clock())
+	sockets := c.MaxSockets - reservedSockets
+	clientConns := sockets * clientSocketPercent / 100
+	engineConns := sockets - clientConns
 	r.backend = backend.New(backend.Options{ReportColumns: s.Decide.ReportColumns, ProbesAllowed: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
-		EngineIdleTimeout: s.ConnIdle, MaxConns: engines})
-	r.edge = edge.New(edge.Options{AnswerMargin: margin, HoldLimit: s.LetGo + holdSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.figures})
+		EngineIdleTimeout: s.ConnIdle, MaxConns: engineConns})
+	r.edge = edge.New(edge.Options{AnswerMargin: answerMargin, HoldLimit: s.LetGo + holdLimitSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.stats})
 	s.Decide.ReservationsUnconfirmed = true // its answer may leave open whether a place is held
 	var machines []planner.MachineKind
 	for i, name := range s.Machines {
 		machines = append(machines, planner.MachineKind{Name: name, Role: s.Decide.Roles[i]})
 	}
-	r.planner, err = planner.New(s.Decide, planner.Options{MachineKinds: machines, Zone: s.Zones[s.Decide.Zone], MaxEngines: enginesMost,
-		MaxQueuedCompletions: clients, MaxOpenCompletions: engines, Log: log}, r.edge)
+	r.planner, err = planner.New(s.Decide, planner.Options{MachineKinds: machines, Zone: s.Zones[s.Decide.Zone], MaxEngines: maxEngines,
+		MaxQueuedCompletions: clientConns, MaxOpenCompletions: engineConns, Log: log}, r.edge)
 	if err != nil {
 		ln.Close() //nolint:errcheck // the start's own error is told
 		return nil, err
 	}
 	r.edge.SetPlanner(r.planner)
-	comeBack := min(comeBackMost, time.Duration(s.Decide.MaxRetryAfter*float64(time.Second)))
-	r.front = front.New(front.Options{Listener: ln, Edge: r.edge, Workloads: s.Workloads, Tenants: s.Tenants, MaxConns: clients,
-		MaxBufferedBodyBytes: c.MemoryBytes * bodyPart / 100, RetryAfter: comeBack, AnswerMargin: margin, MaxStreamDuration: streamMost, Log: log})
-	r.follow = discovery.New(c.Discovery, r.tell, log)
-	ctx, end := context.WithCancel(context.Background())
-	r.end = end
-	r.known(c)
-	r.parts.Go(func() { r.planner.Run(ctx) })
-	r.parts.Go(func() { r.follow.Run(ctx) })
-	r.parts.Go(func() { r.tidy(ctx) })
+	retryAfter := min(maxRetryAfter, time.Duration(s.Decide.MaxRetryAfter*float64(time.Second)))
+	r.front = front.New(front.Options{Listener: ln, Edge: r.edge, Workloads: s.Workloads, Tenants: s.Tenants, MaxConns: clientConns,
+		MaxBufferedBodyBytes: c.MemoryBytes * bodyMemoryPercent / 100, RetryAfter: retryAfter, AnswerMargin: answerMargin, MaxStreamDuration: maxStreamDuration, Log: log})
+	r.follower = discovery.New(c.Discovery, r.applyList, log)
+	ctx, cancel := context.WithCancel(context.Background())
+	r.cancel = cancel
+	r.applyInitialList(c)
+	r.running.Go(func() { r.planner.Run(ctx) })
+	r.running.Go(func() { r.follower.Run(ctx) })
+	r.running.Go(func() { r.maintain(ctx) })
 	go func() {
 		if err := r.front.Serve(); err != nil {
-			r.fault <- err
+			r.errs <- err
 		}
 	}()
-	log.Info("router serves", "address", ln.Addr().String(), "client_conns", clients, "engine_conns", engines)
+	log.Info("router serves", "address", ln.Addr().String(), "client_conns", clientConns, "engine_conns", engineConns)
 	return r, nil
 }
 
 // known takes the list that the configuration holds. Where it names an engine the router can serve: what has changed
 // since is told by discovery as soon as that answers.
-func (r *Router) known(c *Config) {
+func (r *Router) applyInitialList(c *Config) {
 	if len(c.InitialList) == 0 || string(c.InitialList) == "null" {
 		return
 	}
@@ -125,26 +125,26 @@
 		r.log.Warn("config: known", "err", err)
 		return
 	}
-	r.hand(l, decide.ListCachedSnapshot)
+	r.updateEngines(l, decide.ListCachedSnapshot)
 	if len(l.Hosts) > 0 {
 		r.front.SetReady()
 	}
 }
 
 // tell takes what discovery tells.
-func (r *Router) tell(l *discovery.List) {
+func (r *Router) applyList(l *discovery.List) {
 	kind := decide.ListDelta
 	if l.Snapshot {
 		kind = decide.ListSnapshot
 	}
-	r.hand(l, kind)
+	r.updateEngines(l, kind)
 	r.front.SetReady()
 }
 
 // hand hands a list to those who need it: addresses first, so that an engine is reached as soon as it is chosen.
-func (r *Router) hand(l *discovery.List, kind decide.ListKind) {
-	ages := r.births.list(r.clock(), kind != decide.ListDelta)
-	news := &link.EngineList{Kind: kind}
+func (r *Router) updateEngines(l *discovery.List, kind decide.ListKind) {
+	ages := r.engineAges.beginList(r.clock(), kind != decide.ListDelta)
+	update := &link.EngineList{Kind: kind}
 	var engines []backend.Engine
 	var gone []string
 	for _, h := range l.Hosts {
@@ -155,22 +155,22 @@
 		} else {
 			e.StartID = 1 // long ago is a start as any other
 		}
-		news.Entries = append(news.Entries, e)
+		update.Entries = append(update.Entries, e)
 		r.log.Debug("engine", "engine", h.Name, "machine", h.MachineKind, "zone", h.Zone, "cell", h.Cell, "health", h.Health, "age", e.Age)
 		if p == decide.Gone {
 			gone = append(gone, h.Name)
-			r.births.forget(h.Name)
+			r.engineAges.forget(h.Name)
 		} else {
 			engines = append(engines, backend.Engine{Name: h.Name, Address: h.Address, Draining: p == decide.Draining})
 		}
 	}
 	r.log.Info("list", "seq", l.Version, "whole", l.Snapshot, "entries", len(l.Hosts))
 	r.backend.UpdateEngines(kind != decide.ListDelta, engines, gone)
-	r.planner.Notify(link.Event{Kind: link.EnginesUpdated, EngineList: news})
+	r.planner.Notify(link.Event{Kind: link.EnginesUpdated, EngineList: update})
 }
 
-func (r *Router) tidy(ctx context.Context) {
-	tick := time.NewTicker(tidyEvery)
+func (r *Router) maintain(ctx context.Context) {
+	tick := time.NewTicker(pruneInterval)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -178,76 +178,76 @@
 			return
 		case <-tick.C:
 			r.backend.Prune()
-			if n%figuresEvery == figuresEvery-1 {
-				r.figures.log(r)
+			if n%statsLogTicks == statsLogTicks-1 {
+				r.stats.log(r)
 			}
 		}
 	}
 }
 
 // Address is where clients come.
-func (r *Router) Address() string { return r.ln.Addr().String() }
+func (r *Router) Address() string { return r.listener.Addr().String() }
 
 // Fault tells of a part that ended by itself.
-func (r *Router) Errors() <-chan error { return r.fault }
+func (r *Router) Errors() <-chan error { return r.errs }
 
 // Reload takes a new configuration: another discovery. What else is new in it holds from the next start, and is logged.
 func (r *Router) Reload(c *Config) {
 	r.log.Info("reload", "discovery", c.Discovery)
-	if c.Listen != r.c.Listen || c.MaxSockets != r.c.MaxSockets || c.MemoryBytes != r.c.MemoryBytes {
+	if c.Listen != r.config.Listen || c.MaxSockets != r.config.MaxSockets || c.MemoryBytes != r.config.MemoryBytes {
 		r.log.Warn("reload: listen and limits hold from the next start")
 	}
-	r.follow.SetAddress(c.Discovery)
+	r.follower.SetAddress(c.Discovery)
 }
 
 // Times of a stop. New connections still come for up to 0.4 s after the signal. A call that comes more than 0.7 s
 // after it must be answered whole before the kill, which no stream can be sure of; the clock here may run late.
 const (
-	stopKeeps = 500 * time.Millisecond // goes on as before, but for Connection: close
-	stopTakes = 600 * time.Millisecond // from the signal; then calls are refused
+	stopDrainAfter  = 500 * time.Millisecond // goes on as before, but for Connection: close
+	stopRefuseAfter = 600 * time.Millisecond // from the signal; then calls are refused
 
 	// Where clients ask elsewhere for the rest of a stream, some more is taken on the connections that they have. The
 	// kill comes no sooner than the longest client timeout, killWaits at most, and killGrace.
-	killWaits = 3 * time.Second
-	killGrace = 700 * time.Millisecond
-	lastTakes = 2200 * time.Millisecond // before the kill; until then calls are taken
-	lastCut   = 1200 * time.Millisecond // before the kill; then all streams are handed over
-	lastFirst = 900 * time.Millisecond  // before the kill; by then the last calls have their first event or an error
-	lastEnd   = 400 * time.Millisecond  // before the kill; what has no event by then is aborted
-	closeMost = time.Second             // for the ends of connections that have no call
+	maxKillTimeout       = 3 * time.Second
+	killGracePeriod      = 700 * time.Millisecond
+	refuseBeforeKill     = 2200 * time.Millisecond // before the kill; until then calls are taken
+	cutBeforeKill        = 1200 * time.Millisecond // before the kill; then all streams are handed over
+	firstEventBeforeKill = 900 * time.Millisecond  // before the kill; by then the last calls have their first event or an error
+	abortBeforeKill      = 400 * time.Millisecond  // before the kill; what has no event by then is aborted
+	closeTimeout         = time.Second             // for the ends of connections that have no call
 )
 
 // killAfter is how long after SIGTERM the kill comes at the soonest.
-func (c *Config) killAfter() time.Duration {
-	return min(killWaits, slices.Max(c.Settings.Timeouts)) + killGrace
+func (c *Config) minKillDelay() time.Duration {
+	return min(maxKillTimeout, slices.Max(c.Settings.Timeouts)) + killGracePeriod
 }
 
 // Stop takes what still comes for a moment, answers all that was taken, ends clients' connections between calls, and
 // ends all parts.
 func (r *Router) Stop(ctx context.Context) error {
-	began := time.Now()
+	start := time.Now()
 	r.log.Info("stop", "calls", r.front.ActiveRequests())
-	wait := func(until time.Duration) {
+	waitUntil := func(offset time.Duration) {
 		select {
-		case <-time.After(time.Until(began.Add(until))):
+		case <-time.After(time.Until(start.Add(offset))):
 		case <-ctx.Done():
 		}
 	}
-	kill := r.c.killAfter()
-	if takes := kill - lastTakes; r.c.Settings.Resume && takes > stopTakes {
+	killAfter := r.config.minKillDelay()
+	if refuseAfter := killAfter - refuseBeforeKill; r.config.Settings.Resume && refuseAfter > stopRefuseAfter {
 		// In a rolling restart of few routers none may be in service for a while, and the next one stops about when
 		// this one is killed: what comes then on connections that clients keep would find nobody, nor would a stream
 		// that the kill breaks. It harms, where others are in service, by one more read for each stream cut off.
-		r.front.ScheduleStop(front.StopSchedule{LateFrom: began.Add(stopKeeps), CutStreamsAt: began.Add(kill - lastCut),
-			FirstEventBy: began.Add(kill - lastFirst), AbortAt: began.Add(kill - lastEnd)})
-		wait(takes)
+		r.front.ScheduleStop(front.StopSchedule{LateFrom: start.Add(stopDrainAfter), CutStreamsAt: start.Add(killAfter - cutBeforeKill),
+			FirstEventBy: start.Add(killAfter - firstEventBeforeKill), AbortAt: start.Add(killAfter - abortBeforeKill)})
+		waitUntil(refuseAfter)
 		r.front.RefuseRequests()
 		r.front.DrainConns()
 	} else {
 		r.front.AnnounceClose()
-		wait(stopKeeps)
+		waitUntil(stopDrainAfter)
 		r.front.DrainConns()
-		wait(stopTakes)
+		waitUntil(stopRefuseAfter)
 		r.front.RefuseRequests()
 	}
 	r.log.Info("stop: calls are refused from now on", "calls", r.front.ActiveRequests())
@@ -256,13 +256,13 @@
 	}
 	// Calls may still have come since that look: no connection is accepted any more, those that are open end in order,
 	// each after its call, and only then does the process.
-	r.ln.Close() //nolint:errcheck // nobody comes any more
-	last, cancel := context.WithTimeout(ctx, closeMost)
-	err := r.front.Close(last)
+	r.listener.Close() //nolint:errcheck // nobody comes any more
+	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
+	err := r.front.Close(closeCtx)
 	cancel()
 	err = errors.Join(err, r.edge.Stop(ctx))
-	r.end()
-	r.parts.Wait()
+	r.cancel()
+	r.running.Wait()
 	r.backend.Close()
 	r.log.Info("router stopped", "err", err)
 	return err
--- a/internal/platform/service/service_test.go
+++ b/internal/platform/service/service_test.go
@@ -13,7 +13,7 @@
 )
 
 // whole is what a client gets of an answer of an engine.
-func whole(engine, id string, events int) string {
+func completeAnswer(engine, id string, events int) string {
 	var b strings.Builder
 	for n := range events {
 		b.WriteString(standin.EventText(engine, id, n))
@@ -23,31 +23,31 @@
 
 // TestServes: a long prompt is read first and written after, a short one is written at once; the prompt goes on byte
 // for byte and the events come back as they were; everything held is let go.
-func TestServes(t *testing.T) {
-	for name, one := range map[string]struct {
+func TestServesCompletions(t *testing.T) {
+	for name, tc := range map[string]struct {
 		tokens, reads int
 	}{"long": {2000, 1}, "short": {50, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			body := prompt(one.tokens)
-			status, got, err := s.send(call("a1", body))
+			s := newCluster(t)
+			body := promptBody(tc.tokens)
+			status, got, err := s.send(chatRequest("a1", body))
 			require.NoError(t, err)
 			require.Equal(t, 200, status)
-			writes := s.w.Calls(standin.Write)
+			writes := s.fleet.Calls(standin.Write)
 			require.Len(t, writes, 1)
-			require.Equal(t, whole(writes[0].Engine, "a1", 3), got)
-			reads := s.w.Calls(standin.Read)
-			require.Len(t, reads, one.reads)
+			require.Equal(t, completeAnswer(writes[0].Engine, "a1", 3), got)
+			reads := s.fleet.Calls(standin.Read)
+			require.Len(t, reads, tc.reads)
 			for _, c := range append(reads, writes...) {
 				require.Equal(t, "a1", c.ID)
 				require.Equal(t, body, string(c.Body))
 				require.Equal(t, "/v1/chat/completions", c.Target)
 			}
-			for _, c := range s.w.Calls(standin.Reserve) {
+			for _, c := range s.fleet.Calls(standin.Reserve) {
 				require.Equal(t, writes[0].Engine, c.Engine)
 			}
-			s.quiet()
+			s.awaitQuiet()
 		})
 	}
 }
@@ -55,25 +55,25 @@
 // TestIdempotencyKey: the key by which engines know a repeat goes on to each engine as its client sent it, and none goes
 // where none came.
 func TestIdempotencyKey(t *testing.T) {
-	s := newSite(t)
+	s := newCluster(t)
 	const key = "18a18016ae64946679a5cab58dab7d14"
 	for id, fields := range map[string][]string{"keyed": {"Idempotency-Key: " + key}, "plain": nil} {
-		status, _, err := s.send(call(id, prompt(2000), fields...))
+		status, _, err := s.send(chatRequest(id, promptBody(2000), fields...))
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
-	seen := 0
-	for _, c := range append(s.w.Calls(standin.Read), s.w.Calls(standin.Write)...) {
+	keyed := 0
+	for _, c := range append(s.fleet.Calls(standin.Read), s.fleet.Calls(standin.Write)...) {
 		got, times := (&http1.Head{Fields: c.Fields}).Get("idempotency-key")
 		if c.ID == "keyed" {
-			seen++
+			keyed++
 			require.Equal(t, 1, times)
 			require.Equal(t, key, got)
 			continue
 		}
 		require.Zero(t, times)
 	}
-	require.Equal(t, 2, seen, "one read and one write")
+	require.Equal(t, 2, keyed, "one read and one write")
 }
 
 // TestOutcomes: each way a dispatch can end is told as what it is: what failed before its first event is sent again,
@@ -84,70 +84,70 @@
 		for _, kind := range []standin.Kind{standin.Read, standin.Write} {
 			t.Run(fmt.Sprint(kind, " ", fault), func(t *testing.T) {
 				t.Parallel()
-				s := newSite(t)
-				s.w.InjectFault = func(c *standin.Call, nth int) standin.Fault {
+				s := newCluster(t)
+				s.fleet.InjectFault = func(c *standin.Call, nth int) standin.Fault {
 					if c.Kind == kind && nth == 0 {
 						return fault
 					}
 					return standin.None
 				}
-				status, got, err := s.send(call("b1", prompt(2000)))
+				status, got, err := s.send(chatRequest("b1", promptBody(2000)))
 				require.NoError(t, err)
 				require.Equal(t, 200, status)
-				writes := s.w.Calls(standin.Write)
-				require.Equal(t, whole(writes[len(writes)-1].Engine, "b1", 3), got)
-				s.quiet()
-				again := 1
+				writes := s.fleet.Calls(standin.Write)
+				require.Equal(t, completeAnswer(writes[len(writes)-1].Engine, "b1", 3), got)
+				s.awaitQuiet()
+				retries := 1
 				switch fault {
 				case standin.None, standin.InterimAnswers, standin.BadReport, standin.SecondAnswer:
-					again = 0
+					retries = 0
 				case standin.BadChunkSize, standin.BadChunkLength, standin.HugeChunk:
 					if kind == standin.Read { // a read's answer has no chunks
-						again = 0
+						retries = 0
 					}
 				}
-				require.Len(t, s.w.Calls(kind), 1+again)
+				require.Len(t, s.fleet.Calls(kind), 1+retries)
 			})
 		}
 	}
 }
 
 // TestBroken: a stream that breaks after its first event ends the client's connection without the last chunk.
-func TestBroken(t *testing.T) {
+func TestBrokenStream(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.CloseAfterFirstEvent, standin.LaterBadChunkSize, standin.MissingFinalEvents, standin.Stall} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.w.InjectFault = func(c *standin.Call, _ int) standin.Fault {
+			s := newCluster(t)
+			s.fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 				if c.Kind == standin.Write {
 					return fault
 				}
 				return standin.None
 			}
-			status, got, err := s.send(call("c1", prompt(50)))
+			status, got, err := s.send(chatRequest("c1", promptBody(50)))
 			require.Equal(t, 200, status)
 			require.Error(t, err, "the last chunk came")
-			require.True(t, strings.HasPrefix(got, standin.EventText(s.w.Calls(standin.Write)[0].Engine, "c1", 0)))
-			require.Len(t, s.w.Calls(standin.Write), 1, "what has begun is not sent again")
-			s.quiet()
+			require.True(t, strings.HasPrefix(got, standin.EventText(s.fleet.Calls(standin.Write)[0].Engine, "c1", 0)))
+			require.Len(t, s.fleet.Calls(standin.Write), 1, "what has begun is not sent again")
+			s.awaitQuiet()
 		})
 	}
 }
 
 // TestLittleTime: a call with very little time left is answered at once, and no engine is told of more than it had.
-func TestLittleTime(t *testing.T) {
-	s := newSite(t)
+func TestShortDeadlines(t *testing.T) {
+	s := newCluster(t)
 	for n, deadline := range []string{"1u", "200u", "1m", "5m", "20m"} {
-		began := time.Now()
-		status, _, err := s.send(call(fmt.Sprint("little-", n), prompt(2000), "X-Deadline: "+deadline))
+		start := time.Now()
+		status, _, err := s.send(chatRequest(fmt.Sprint("little-", n), promptBody(2000), "X-Deadline: "+deadline))
 		require.NoError(t, err)
 		require.Contains(t, []int{200, 429, 500, 504}, status, deadline)
-		require.Less(t, time.Since(began), 500*time.Millisecond, deadline)
+		require.Less(t, time.Since(start), 500*time.Millisecond, deadline)
 	}
-	for _, c := range append(s.w.Calls(standin.Read), s.w.Calls(standin.Write)...) {
-		told, _ := (&http1.Head{Fields: c.Fields}).Get("x-deadline")
-		require.Contains(t, []string{"1m", "2m", "3m", "4m", "5m", "6m", "7m", "8m", "9m", "10m", "11m", "12m", "13m", "14m", "15m"}, told,
+	for _, c := range append(s.fleet.Calls(standin.Read), s.fleet.Calls(standin.Write)...) {
+		deadlineSent, _ := (&http1.Head{Fields: c.Fields}).Get("x-deadline")
+		require.Contains(t, []string{"1m", "2m", "3m", "4m", "5m", "6m", "7m", "8m", "9m", "10m", "11m", "12m", "13m", "14m", "15m"}, deadlineSent,
 			"of 20 ms a quarter is kept for the answer's way")
 	}
-	s.quiet()
+	s.awaitQuiet()
 }
