--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery follows the platform's list of engines: the whole list first, then a watch of its changes, at an
-// address that may be replaced while it runs. A call that stays silent, an answer that is cut off or can't be read
-// leaves the list in force, and it is asked again. internal/platform/service makes it and hands on what it tells; it
-// decides nothing.
+// Package discovery follows the platform's engine list: it fetches the whole list, then watches for changes by long
+// polling, at an address that may change while it runs. After a time-out or an answer that is truncated or invalid, the
+// list stays in force and the request is repeated. internal/platform/service creates the follower and applies its lists;
+// this package takes no decisions.
 package discovery
 
 import (
@@ -21,7 +21,7 @@
 	"cherryhub/decide"
 )
 
-// Host is one engine as discovery tells it.
+// Host is one engine in the list.
 type Host struct {
 	Name        string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -30,26 +30,26 @@
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"`
 	Share       float64 `json:"share"`
-	StartUnixMS int64   `json:"born_ms"` // Unix time, 0 for long ago
+	StartUnixMS int64   `json:"born_ms"` // Unix time, 0 if the engine started long ago
 }
 
-// List is one answer.
+// List is one answer of the engine list service: a snapshot, or the entries changed since the requested version.
 type List struct {
 	Version  int64  `json:"seq"`
 	Snapshot bool   `json:"whole"`
 	Hosts    []Host `json:"hosts"`
 }
 
-// phases are the words for an engine's phase.
+// phaseByHealth maps the values of Host.Health.
 var phaseByHealth = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
 
-// Phase is an entry's, and whether its word is known.
+// Phase returns the engine's phase, and false if Health has an unknown value.
 func (h *Host) Phase() (decide.Phase, bool) {
 	p, known := phaseByHealth[h.Health]
 	return p, known
 }
 
-// Read reads an answer strictly. Entries that can't be used are left out with a word; the others hold.
+// ParseList parses and validates an answer. Invalid entries are logged and skipped; the others are returned.
 func ParseList(text []byte, log *slog.Logger) (*List, error) {
 	l := &List{Version: -1}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -62,7 +62,7 @@
 	for _, h := range l.Hosts {
 		p, known := h.Phase()
 		if h.Name == "" || !known || p != decide.Gone && h.Address == "" {
-			log.Warn("entry of the list left out", "host", h.Name, "health", h.Health, "dial", h.Address)
+			log.Warn("skipped invalid engine list entry", "host", h.Name, "health", h.Health, "dial", h.Address)
 			continue
 		}
 		valid = append(valid, h)
@@ -71,14 +71,14 @@
 	return l, nil
 }
 
-// A watch is held so briefly because what discovery would have told counts as told two seconds after the hold is over,
-// whether it arrived or not.
+// watchHold is how long discovery may hold back its answer to a watch. It is short because a change counts as delivered
+// two seconds after the hold ends, whether or not the answer arrived.
 const watchHold = 2 * time.Second
 
-// listMost bounds an answer, in bytes: 3,200 engines take some 200 each, more where the list is indented.
+// maxListBytes is the maximum size of an answer: 3,200 engines take about 200 bytes each, more if the JSON is indented.
 const maxListBytes = 2 << 20
 
-// Follower follows the list.
+// Follower follows the engine list.
 type Follower struct {
 	onList    func(*List)
 	log       *slog.Logger
@@ -87,10 +87,10 @@
 
 	mu      sync.Mutex
 	address string
-	cancel  context.CancelFunc // of the call that runs
+	cancel  context.CancelFunc // of the running request or retry delay
 }
 
-// New makes a follower; tell is called with each answer.
+// New returns a follower that calls onList with each snapshot and each set of changes.
 func New(address string, onList func(*List), log *slog.Logger) *Follower {
 	t := &http.Transport{MaxConnsPerHost: 3, MaxIdleConns: 1, ResponseHeaderTimeout: watchHold + maxExtraTimeout, MaxResponseHeaderBytes: 8 << 10,
 		DisableCompression: true, ReadBufferSize: 4 << 10, WriteBufferSize: 1 << 10, Proxy: nil}
@@ -98,7 +98,7 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// Move has the list come from another address from now on.
+// SetAddress changes the address of the list service. It takes effect at once, also during a request.
 func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,14 +111,14 @@
 	}
 }
 
-// Run follows until the context ends.
+// Run follows the list until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	var address string
 	version := int64(-1)
 	p := newRetryPolicy()
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		if f.address != address { // the new one may count in its own way, and answer at its own pace
+		if f.address != address { // versions and response times of the old address don't apply to the new one
 			address, version, p = f.address, -1, newRetryPolicy()
 			f.transport.CloseIdleConnections()
 		}
@@ -151,21 +151,22 @@
 	}
 }
 
-// question is what is asked: for the whole list, or for what is newer than a version, where it is not below 0.
+// query asks for the changes since a version, or for the whole list if version is negative.
 type query struct {
 	address string
 	version int64
 }
 
-// answer is how a call ended.
+// result is the outcome of a request.
 type result struct {
 	list     *List
 	err      error
-	lateness time.Duration // it came so long after the time that it was asked to be held
+	lateness time.Duration // time from the end of the requested hold to the answer; negative if it came earlier
 }
 
-// attempt asks once; after a failure by several calls, of which the first answer counts: one that waits for a slow
-// discovery, and beside it short ones for one that returns from silence, which answers none of the calls from before.
+// fetch makes one request. After a failure it makes several in parallel and returns the first answer: one with a long
+// time-out, for a slow discovery, and a series with short time-outs, for a discovery that recovers after not answering
+// and never answers the requests made before.
 func (f *Follower) fetch(ctx context.Context, q query, p *retryPolicy) result {
 	if !p.failing {
 		hold := time.Duration(0)
@@ -196,7 +197,7 @@
 	}
 }
 
-// call makes one call, which may take so long beyond the time that it asks to be held.
+// fetchOnce makes one request, which may take extra longer than the hold that it asks for.
 func (f *Follower) fetchOnce(ctx context.Context, q query, hold, extra time.Duration) result {
 	ctx, cancel := context.WithTimeout(ctx, hold+extra)
 	defer cancel()
@@ -205,9 +206,9 @@
 	return result{l, err, time.Since(start) - hold}
 }
 
-var errNotSnapshot = errors.New("list: changes where the whole list was asked for")
+var errNotSnapshot = errors.New("list: got changes instead of the requested snapshot")
 
-// rest pauses after a failure, no longer than the address stays.
+// pause waits after a failure, until the delay is over or the address changes.
 func (f *Follower) delay(ctx context.Context, address string, delay time.Duration) {
 	f.mu.Lock()
 	if f.address != address {
@@ -221,7 +222,7 @@
 	cancel()
 }
 
-// ask asks, and lets discovery hold its answer until there is one that is new.
+// get sends the request. With a version, discovery holds its answer until there is a change or hold is over.
 func (f *Follower) get(ctx context.Context, q query, hold time.Duration) (*List, error) {
 	u := url.URL{Scheme: "http", Host: q.address, Path: "/discovery/hosts"}
 	if q.version >= 0 {
--- a/internal/platform/discovery/retry.go
+++ b/internal/platform/discovery/retry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The bounds of patience.
+// Limits of the retry policy.
 const (
 	minExtraTimeout = 700 * time.Millisecond
 	maxExtraTimeout = 2800 * time.Millisecond
@@ -10,13 +10,13 @@
 	maxRetryDelay   = 500 * time.Millisecond
 )
 
-// patience decides how long a call may take beyond the time that it asks to be held, and how long to pause after one
-// that failed. It does no I/O and keeps no clock.
+// retryPolicy decides how long a request may take beyond the hold that it asks for, and how long to wait after one that
+// failed. It does no I/O and reads no clock.
 //
-// A call that took too long may have met a discovery that is slow, or one that is silent and will never answer it, though
-// it may answer the next one at once. So after a failure calls ask for an answer at once, and both are provided for:
-// Follower.attempt. A slow discovery is then given more time, and less again once its answers come sooner. Pauses grow and
-// are spread, so that routers which failed in one moment do not ask again in one.
+// A request that timed out may have met a slow discovery, or one that will never answer it but might answer the next one
+// at once. So requests after a failure ask for no hold, and Follower.fetch covers both cases. The time-out grows with a
+// slow discovery and shrinks again once answers come sooner. Delays grow and are jittered, so that routers whose requests
+// failed at the same moment do not retry at the same moment.
 type retryPolicy struct {
 	extraTimeout, retryDelay time.Duration
 	failing                  bool
@@ -26,7 +26,7 @@
 	return retryPolicy{extraTimeout: minExtraTimeout, retryDelay: minRetryDelay}
 }
 
-// failed books that there was no answer; it returns the pause. chance is from 0 up to 1.
+// failed records a failed request and returns the delay before the next one. jitter is in [0, 1).
 func (p *retryPolicy) failed(jitter float64) time.Duration {
 	p.failing = true
 	delay := p.retryDelay
@@ -34,8 +34,8 @@
 	return time.Duration(float64(delay) * (0.5 + jitter/2))
 }
 
-// answered books an answer that came so long after its hold, below 0 if it came before it was over. That tells how soon
-// answers come at best, so patience falls by half at a time.
+// answered records an answer and its lateness after the end of the hold, negative if it came earlier. A single early
+// answer shows only the best case, so the time-out shrinks by at most half at a time.
 func (p *retryPolicy) answered(lateness time.Duration) {
 	p.failing, p.retryDelay = false, minRetryDelay
 	p.extraTimeout = min(max(minExtraTimeout, 2*lateness, p.extraTimeout/2), maxExtraTimeout)
--- a/internal/platform/front/conn.go
+++ b/internal/platform/front/conn.go
@@ -15,26 +15,26 @@
 	"cherryhub/internal/edge"
 )
 
-// The bounds of a connection's end. Closed over unread bytes a connection is reset, and with it goes what its client has
-// not read yet; so its sending side is shut first, and what still comes is read and dropped for a while.
+// Limits of closing a connection. Closing a socket with unread input sends a reset, which destroys data that the client
+// has not read yet. So the sending side is shut down first, and input is read and discarded for a while.
 const (
 	drainTimeout          = 100 * time.Millisecond
 	maxDrainBytes         = 256 << 10
-	closingReserveDivisor = 8 // of the descriptors for clients, so many are kept for connections that end, but 4 at the least
+	closingReserveDivisor = 8 // one in 8 of the descriptors for clients, but at least 4, is kept for connections being closed
 	minClosingReserve     = 4
 	closePollInterval     = 2 * time.Millisecond
 )
 
-// The pauses after an accept that failed: the listener lives on, whatever it was.
+// Delays after a failed accept. The listener stays open whatever the error was.
 const (
 	minAcceptRetryDelay = 2 * time.Millisecond
 	maxAcceptRetryDelay = 200 * time.Millisecond
 )
 
-// hangUpPoll is how often a client that has sent more than is read ahead is asked whether it has left.
+// hangUpPollInterval is how often a connection is polled for a hang-up once no more is read ahead from it.
 const hangUpPollInterval = 25 * time.Millisecond
 
-// Serve accepts clients until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() error {
 	delay := minAcceptRetryDelay
 	for {
@@ -42,7 +42,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors or of memory, or the client was gone at once
+		if err != nil { // out of descriptors or memory, or the client has already closed the connection
 			s.options.Log.Warn("accept failed", "err", err, "pause", delay)
 			time.Sleep(delay)
 			delay = min(2*delay, maxAcceptRetryDelay)
@@ -53,7 +53,8 @@
 	}
 }
 
-// enter lets a connection in, for which another may have to go; where every place has a call it is refused.
+// admitConn adds a connection, evicting another one if the table is full. If every connection has a request, it answers
+// the new one with 503 and closes it.
 func (s *Server) admitConn(conn net.Conn) {
 	now := time.Now()
 	s.mu.Lock()
@@ -64,80 +65,80 @@
 		s.evict(victim)
 	}
 	if s.conns[id] = conn; ok {
-		conn.SetReadDeadline(now.Add(requestReadTimeout)) //nolint:errcheck // a connection that is closed fails in reading
+		conn.SetReadDeadline(now.Add(requestReadTimeout)) //nolint:errcheck // on a closed connection the read fails
 	}
 	s.mu.Unlock()
 	if ok {
 		go s.serveConn(id, conn, now)
 		return
 	}
-	conn.SetWriteDeadline(now.Add(time.Millisecond))                                                      //nolint:errcheck // it is closed next
+	conn.SetWriteDeadline(now.Add(time.Millisecond))                                                      //nolint:errcheck // the connection is closed next
 	conn.Write((&errorResponse{503, "all connections are in use", s.retryAfterSeconds(), true}).encode()) //nolint:errcheck // as above
 	go s.closeConn(id, conn, false)
 }
 
-// evict has a connection that is between two calls end: the room has let it go, so that no call on it begins, and its own
-// goroutine, woken by the deadline, closes it. It is called with the lock, under which the goroutine sets its deadlines.
+// evict ends a connection that has no request and is no longer in the table, so that no request can begin on it. Its own
+// goroutine, woken by the deadline, closes it. The caller holds s.mu, under which that goroutine sets its deadlines.
 func (s *Server) evict(id uint64) {
 	if conn := s.conns[id]; conn != nil {
-		conn.SetReadDeadline(pastDeadline) //nolint:errcheck // as in enter
+		conn.SetReadDeadline(pastDeadline) //nolint:errcheck // as in admitConn
 	}
 }
 
-// longAgo is a deadline that has passed.
+// pastDeadline makes pending reads time out at once.
 var pastDeadline = time.Unix(1, 0)
 
-// finish closes a connection and forgets it. What comes after the sending side is shut is dropped, never served. gone: the
-// client has left, and nothing of ours can be lost.
+// closeConn closes a connection and forgets it. Input after the shutdown of the sending side is discarded, never served.
+// If the client has disconnected, no response can be lost and the connection is closed directly.
 func (s *Server) closeConn(id uint64, conn net.Conn, disconnected bool) {
 	if !disconnected {
 		s.drainConn(conn)
 	}
-	conn.Close() //nolint:errcheck // done with it
+	conn.Close() //nolint:errcheck // the connection is no longer used
 	s.mu.Lock()
 	delete(s.conns, id)
 	s.connTable.remove(id)
 	s.mu.Unlock()
 }
 
-// drain shuts the sending side and drops what still comes, within its bounds.
+// drainConn shuts down the sending side and discards further input, up to maxDrainBytes and drainTimeout.
 func (s *Server) drainConn(conn net.Conn) {
 	closer, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
 		return
 	}
 	s.mu.Lock()
-	overLimit := len(s.conns) > s.options.MaxConns // its connections are not worth the descriptors
+	overLimit := len(s.conns) > s.options.MaxConns // in a flood, descriptors are needed more than orderly closes
 	s.mu.Unlock()
 	if overLimit || closer.CloseWrite() != nil {
 		return
 	}
-	conn.SetReadDeadline(time.Now().Add(drainTimeout))                   //nolint:errcheck // a connection that is closed fails in reading
-	io.Copy(io.Discard, io.LimitReader(onlyReader{conn}, maxDrainBytes)) //nolint:errcheck // it is closed next
+	conn.SetReadDeadline(time.Now().Add(drainTimeout))                   //nolint:errcheck // on a closed connection the read fails
+	io.Copy(io.Discard, io.LimitReader(onlyReader{conn}, maxDrainBytes)) //nolint:errcheck // the connection is closed next
 }
 
-// onlyReader hides a connection's own ways of copying.
+// onlyReader hides all methods of a connection but Read, among them its own ways of copying.
 type onlyReader struct{ io.Reader }
 
-// client is one connection.
+// clientConn is one client connection.
 type clientConn struct {
 	server          *Server
 	id              uint64
 	conn            net.Conn
 	reader          *bufio.Reader
 	out             []byte
-	closeAfter      bool               // no call follows
-	disconnected    bool               // the client has left
-	evicted         bool               // it was told to go: no call follows but those that were read
-	responseStarted bool               // the call that runs has an answer, or its beginning
-	cancelRequest   context.CancelFunc // ends the call that runs
+	closeAfter      bool               // no further request is served
+	disconnected    bool               // the client has closed the connection
+	evicted         bool               // no longer in the table: only requests already read ahead are still served
+	responseStarted bool               // the current request's response has begun
+	cancelRequest   context.CancelFunc // cancels the current request
 
-	readAheadDone chan struct{} // of the call that runs: is closed once nothing is read ahead; nil where none runs
+	readAheadDone chan struct{} // closed once reading ahead has stopped for the current completion; nil if there is none
 }
 
-// serve serves a connection's calls, one after the other.
+// serveConn serves a connection's requests one after another.
 func (s *Server) serveConn(id uint64, conn net.Conn, connectedAt time.Time) {
-	r := s.readerPool.Get().(*bufio.Reader) //nolint:forcetypeassert // of New
+	r := s.readerPool.Get().(*bufio.Reader) //nolint:forcetypeassert // New sets the pool's type
 	r.Reset(conn)
 	c := &clientConn{server: s, id: id, conn: conn, reader: r}
 	defer func() {
@@ -163,18 +164,19 @@
 	}
 }
 
-// begin books that a call comes, whose last byte is awaited until then. Some of it was read, so it gets its answer even
-// where the connection was told to go in the meantime, and so do those that were read with it.
+// beginRequest records that a request has begun to arrive, which must be complete by the deadline. Part of it has been
+// read, so it is answered even if the connection was evicted meanwhile, and so are requests that were read with it.
 func (c *clientConn) beginRequest(deadline time.Time) {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.evicted = !s.connTable.beginRequest(c.id)
 	s.activeRequests.Add(1)
-	c.conn.SetReadDeadline(deadline) //nolint:errcheck // a connection that is closed fails in reading
+	c.conn.SetReadDeadline(deadline) //nolint:errcheck // on a closed connection the read fails
 }
 
-// rest books that a call is over; false: no other follows. One that has been read ahead does, if only in part.
+// endRequest records that a request is finished and reports whether the connection may serve another one. After an
+// eviction it may do so only if at least part of the next request has been read ahead.
 func (c *clientConn) endRequest() bool {
 	s := c.server
 	s.activeRequests.Add(-1)
@@ -187,29 +189,30 @@
 		return false
 	}
 	s.connTable.endRequest(c.id)
-	c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) //nolint:errcheck // as in begin
+	c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) //nolint:errcheck // as in beginRequest
 	return true
 }
 
-// lastAnswer tells whether the answer that begins is the connection's last, as it then says. It is where the router
-// leaves or the connection was told to go, unless another call has been read ahead; from then on none is.
+// isLastResponse reports whether the response about to begin is the connection's last and has to say so. That is the
+// case if the router announces closes or the connection was evicted, unless another request has been read ahead; to
+// decide it, reading ahead is stopped.
 func (c *clientConn) isLastResponse() bool {
 	if c.closeAfter || !c.evicted && !c.server.announceClose.Load() {
 		return c.closeAfter
 	}
 	if c.readAheadDone != nil {
-		c.conn.SetReadDeadline(pastDeadline) //nolint:errcheck // as in begin
+		c.conn.SetReadDeadline(pastDeadline) //nolint:errcheck // as in beginRequest
 		<-c.readAheadDone
 	}
 	c.closeAfter = c.reader.Buffered() == 0
 	return c.closeAfter
 }
 
-// take has the edge take a call, and watches meanwhile whether the client leaves.
+// handleCompletion passes a completion to the edge and watches meanwhile whether the client disconnects.
 func (c *clientConn) handleCompletion(r *edge.Request) {
 	ctx, cancel := context.WithCancel(c.server.baseCtx)
 	c.responseStarted, c.cancelRequest = false, cancel
-	c.conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as in begin
+	c.conn.SetReadDeadline(time.Time{}) //nolint:errcheck // as in beginRequest
 	watchResult, done := make(chan bool), make(chan struct{})
 	c.readAheadDone = make(chan struct{})
 	go func() {
@@ -221,7 +224,7 @@
 	}()
 	_, accepted := c.server.options.Edge.Handle(ctx, r, c)
 	close(done)
-	c.conn.SetReadDeadline(pastDeadline) //nolint:errcheck // ends the watch
+	c.conn.SetReadDeadline(pastDeadline) //nolint:errcheck // ends the watch's read
 	if <-watchResult {
 		c.disconnected = true
 	}
@@ -230,7 +233,7 @@
 		c.closeAfter = true
 	}
 	cancel()
-	if accepted && !c.responseStarted && c.server.baseCtx.Err() != nil { // it did not leave: this router does
+	if accepted && !c.responseStarted && c.server.baseCtx.Err() != nil { // canceled by this router's stop, not by the client
 		c.Abort(false)
 	}
 	if !accepted {
@@ -238,9 +241,9 @@
 	}
 }
 
-// watch tells whether the client leaves before the call is over. What it sends meanwhile is read ahead as far as the
-// buffer goes, or until a read deadline ends that; past that the connection is asked for its end. parked is closed once
-// nothing is read ahead any more.
+// watchDisconnect reports whether the client disconnects before done is closed. Meanwhile it reads ahead what the client
+// sends, until the buffer is full or a read deadline passes, then closes readAheadDone and polls the connection for a
+// hang-up.
 func (c *clientConn) watchDisconnect(readAheadDone chan<- struct{}, done <-chan struct{}) (disconnected bool) {
 	disconnected = c.readAhead()
 	close(readAheadDone)
@@ -261,8 +264,8 @@
 	}
 }
 
-// readAhead fills the buffer with what comes; it tells whether the client left before it was full and before the read
-// deadline.
+// readAhead fills the buffer with input. It reports whether the client disconnected before the buffer was full and before
+// the read deadline.
 func (c *clientConn) readAhead() (disconnected bool) {
 	for n := c.reader.Buffered() + 1; n <= readBufferBytes; n = c.reader.Buffered() + 1 {
 		if _, err := c.reader.Peek(n); err != nil {
@@ -272,7 +275,7 @@
 	return false
 }
 
-// hungUp tells whether the other side has shut its sending side, though bytes that it sent before may be unread.
+// peerHungUp reports whether the peer has shut down its sending side, even if bytes that it sent before are still unread.
 func peerHungUp(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -291,5 +294,5 @@
 	return err != nil || hungUp
 }
 
-// isTimeout tells whether a read ended by its deadline.
+// isTimeout reports whether a read ended by its deadline.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/platform/front/conntable.go
+++ b/internal/platform/front/conntable.go
@@ -5,30 +5,36 @@
 	"time"
 )
 
-// room decides which clients' connections stay. It does no I/O and keeps no clock. All clients come by one front, so
-// that no address tells a flood from the usual ones; what does is whether a connection ever brought a completion that
-// was taken. Where all places are taken, one goes that may be closed by the protocol, in this order: a connection that
-// has said nothing for freshMost; one that brought nothing that was taken; one that has said nothing yet; one between
-// two calls that did; of each kind the one that is so for longest. It guards against floods of silent connections, of
-// calls that nobody needs and against clients that hold theirs for good; it harms a client whose first call is slower
-// than the flood, which connects again.
+// connTable decides which client connections stay open. It does no I/O and reads no clock.
+//
+// All clients connect through the same front end, so addresses can't tell a flood from regular clients. Instead, a
+// connection counts as proven once a completion on it was accepted. When the table is full, a new connection evicts one
+// that the protocol allows to close, in this order:
+//   - one without a request for longer than firstRequestGrace,
+//   - an idle one that is not proven,
+//   - one that has not sent a request yet,
+//   - an idle one that is proven;
+//
+// within each group, the one that has been in it longest. This guards against floods of silent connections, against
+// floods of useless requests and against clients that keep connections forever. Its cost: during a flood, a client whose
+// first request is slower than the flood is evicted and has to connect again.
 type connTable struct {
 	maxConns     int
 	entries      map[uint64]*connEntry
-	noRequestYet *list.List // that brought no call yet, oldest first
-	idleUnproven *list.List // between two calls, none of which was taken, oldest first
-	idleProven   *list.List // between two calls, oldest first
+	noRequestYet *list.List // no request received yet, oldest first
+	idleUnproven *list.List // between two requests, no completion accepted yet, oldest first
+	idleProven   *list.List // between two requests, after an accepted completion, oldest first
 }
 
 type connEntry struct {
 	id          uint64
-	connectedAt time.Time  // when it came
-	proven      bool       // a completion that it brought was taken
-	list        *list.List // nil while a call runs
+	connectedAt time.Time  // time of the accept
+	proven      bool       // a completion on it was accepted
+	list        *list.List // nil during a request
 	element     *list.Element
 }
 
-// move takes a place out of its list and into another, nil for none.
+// moveTo moves an entry from its list to another one, or to none if l is nil.
 func (e *connEntry) moveTo(l *list.List) {
 	if e.list != nil {
 		e.list.Remove(e.element)
@@ -38,16 +44,17 @@
 	}
 }
 
-// freshMost is how long a first call takes that is sent at once: a handshake's last packet, the way, and a moment of
-// this router's. A flood of connections that is accepted faster than its calls come would else evict the usual ones
-// before theirs is read.
+// firstRequestGrace covers the time from the accept until a request sent at once has been read: the handshake's last
+// packet, the network and scheduling. Without it, a flood of connections that are accepted faster than they send requests
+// would evict regular clients before their first request is read.
 const firstRequestGrace = 250 * time.Millisecond
 
 func newConnTable(maxConns int) *connTable {
 	return &connTable{maxConns: maxConns, entries: map[uint64]*connEntry{}, noRequestYet: list.New(), idleUnproven: list.New(), idleProven: list.New()}
 }
 
-// enter lets a connection in. evict is one that has to go for it; ok is false where all places have a call.
+// add adds a connection. If hasVictim, victim has been removed for it and must be closed. ok is false if the table is
+// full and all its connections have requests.
 func (t *connTable) add(now time.Time, id uint64) (victim uint64, hasVictim, ok bool) {
 	if len(t.entries) >= t.maxConns {
 		if victim, hasVictim = t.takeVictim(now); !hasVictim {
@@ -60,7 +67,7 @@
 	return victim, hasVictim, true
 }
 
-// worst takes out the connection that is to go first.
+// takeVictim removes the connection to evict first, if there is one.
 func (t *connTable) takeVictim(now time.Time) (uint64, bool) {
 	if first := t.noRequestYet.Front(); first != nil && now.Sub(first.Value.(*connEntry).connectedAt) > firstRequestGrace { //nolint:forcetypeassert // nothing else is in it
 		return t.takeOldest(t.noRequestYet)
@@ -73,7 +80,7 @@
 	return 0, false
 }
 
-// call books that a connection brings a call; false: it was told to go.
+// beginRequest records that a request has begun on a connection. It returns false if the connection has been evicted.
 func (t *connTable) beginRequest(id uint64) bool {
 	e := t.entries[id]
 	if e == nil {
@@ -83,14 +90,14 @@
 	return true
 }
 
-// taken books that the call that a connection brings was taken.
+// completionAccepted marks a connection as proven.
 func (t *connTable) completionAccepted(id uint64) {
 	if e := t.entries[id]; e != nil {
 		e.proven = true
 	}
 }
 
-// over books that a call is over.
+// endRequest records that a connection is idle again.
 func (t *connTable) endRequest(id uint64) {
 	if e := t.entries[id]; e != nil && e.proven {
 		e.moveTo(t.idleProven)
@@ -99,7 +106,7 @@
 	}
 }
 
-// leave forgets a connection.
+// remove removes a connection.
 func (t *connTable) remove(id uint64) {
 	if e := t.entries[id]; e != nil {
 		e.moveTo(nil)
@@ -107,7 +114,7 @@
 	}
 }
 
-// resting takes out a connection that is between two calls.
+// takeIdle removes an idle connection, unproven ones first.
 func (t *connTable) takeIdle() (uint64, bool) {
 	if id, found := t.takeOldest(t.idleUnproven); found {
 		return id, true
@@ -115,7 +122,7 @@
 	return t.takeOldest(t.idleProven)
 }
 
-// oldest takes out the connection that has been in a list for longest.
+// takeOldest removes the connection that has been in a list longest.
 func (t *connTable) takeOldest(l *list.List) (uint64, bool) {
 	first := l.Front()
 	if first == nil {
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -1,7 +1,8 @@
-// Package front is the platform's clients' HTTP: it owns the listener and the clients' connections, reads calls
-// strictly, has the edge take them and writes what becomes of them. Nothing of a call that was not wholly read and
-// checked goes further. It decides who keeps a connection (room.go, ids.go) and nothing of routing.
-// internal/platform/service makes it.
+// Package front is the HTTP/1.1 server for clients on the operators' platform. It owns the listener and the client
+// connections, parses requests strictly, passes completions to the edge and writes the responses. A request is passed
+// on only after it has been read and validated completely. The package decides which connections to close when they
+// run out (conntable.go) and which request ids to refuse (requestids.go); it takes no routing decisions.
+// internal/platform/service creates the server.
 package front
 
 import (
@@ -24,64 +25,64 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// Options of a server.
+// Options configure a Server.
 type Options struct {
 	Listener             net.Listener
 	Edge                 *edge.Edge
-	Workloads            []string // names, in decide's order
-	Tenants              []string // as above; none: no tenant is asked for
+	Workloads            []string // names, in the order of their numbers in decide
+	Tenants              []string // likewise; if empty, requests need no tenant
 	MaxConns             int
-	MaxBufferedBodyBytes int64         // bytes of all bodies in memory
-	RetryAfter           time.Duration // the advice to one who was not taken, 0 for none
-	AnswerMargin         time.Duration // of a client timeout, kept for the way of the final answer
+	MaxBufferedBodyBytes int64         // bytes of all request bodies in memory together
+	RetryAfter           time.Duration // Retry-After of refused requests, 0 to send none
+	AnswerMargin         time.Duration // part of the client timeout reserved for sending the final answer
 	MaxStreamDuration    time.Duration
 	Log                  *slog.Logger
 }
 
-// The bounds of a client's call, and of its connection.
+// Limits of a request and of a client connection.
 const (
 	maxHeadBytes    = 8 << 10
 	maxFields       = 48
 	maxBodyBytes    = 256 << 10
 	readBufferBytes = 2 << 10
 
-	requestReadTimeout = 2500 * time.Millisecond // from a call's first byte to its last; from connecting for the first call
-	idleTimeout        = 10 * time.Second        // between two calls
-	writeTimeout       = 5 * time.Second         // a client that doesn't read so long has left
-	maxFlushBytes      = 16 << 10                // of events that came together
+	requestReadTimeout = 2500 * time.Millisecond // from a request's first byte to its last; for a connection's first request, from the accept
+	idleTimeout        = 10 * time.Second        // between two requests
+	writeTimeout       = 5 * time.Second         // a client that accepts no data for so long counts as disconnected
+	maxFlushBytes      = 16 << 10                // of events that arrived together, in bytes
 )
 
 var requestLimits = http1.Limits{HeadBytes: maxHeadBytes, Fields: maxFields, BodyBytes: maxBodyBytes}
 
-// Server serves clients.
+// Server serves client connections.
 type Server struct {
 	options           Options
 	workloads         map[string]int
 	tenants           map[string]int
 	ready             atomic.Bool
-	announceClose     atomic.Bool // answers say that their connection closes, and it does
-	refusing          atomic.Bool // nothing is taken
+	announceClose     atomic.Bool // responses carry Connection: close
+	refusing          atomic.Bool // all further requests are answered with 503
 	bufferedBodyBytes atomic.Int64
-	activeRequests    atomic.Int64    // calls whose first byte came and that are not answered
-	resumeRequests    atomic.Int64    // calls for the rest of a broken stream
-	errorsByClass     [6]atomic.Int64 // answers by the hundreds of their status
+	activeRequests    atomic.Int64    // first byte received, not yet answered
+	resumeRequests    atomic.Int64    // requests for the rest of a broken stream
+	errorsByClass     [6]atomic.Int64 // error responses by the first digit of their status
 
-	stopSchedule atomic.Pointer[StopSchedule] // nil until a stop that takes some more
-	baseCtx      context.Context              // of all calls
+	stopSchedule atomic.Pointer[StopSchedule] // nil until ScheduleStop
+	baseCtx      context.Context              // parent of all request contexts
 	cancelBase   context.CancelFunc
-	streamsCtx   context.Context // ends when streams are handed over
+	streamsCtx   context.Context // canceled when running streams are cut so that clients resume them at another router
 	cutStreams   context.CancelFunc
 
 	mu         sync.Mutex
 	lastConnID uint64
 	connTable  *connTable
-	conns      map[uint64]net.Conn // of all that are not yet closed
-	draining   bool                // every connection is closed after its call
+	conns      map[uint64]net.Conn // all connections not yet closed, by id
+	draining   bool                // connections are closed after their current request
 	requestIDs *requestIDs
 	readerPool sync.Pool
 }
 
-// New makes a server.
+// New returns a server; Serve starts it.
 func New(o Options) *Server {
 	maxOpen := max(1, o.MaxConns-max(minClosingReserve, o.MaxConns/closingReserveDivisor))
 	s := &Server{options: o, workloads: map[string]int{}, tenants: map[string]int{}, connTable: newConnTable(maxOpen), conns: map[uint64]net.Conn{}, requestIDs: newRequestIDs()}
@@ -97,13 +98,13 @@
 	return s
 }
 
-// Ready has GET /up answer 200.
+// SetReady makes GET /up answer 200.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
-// Active is how many calls have begun to come and are not answered.
+// ActiveRequests returns the number of requests whose first byte was received and that are not yet answered.
 func (s *Server) ActiveRequests() int { return int(s.activeRequests.Load()) }
 
-// Leave has each connection closed after its call, those between two calls at once.
+// DrainConns closes idle connections at once and every other connection after its current request.
 func (s *Server) DrainConns() {
 	s.announceClose.Store(true)
 	s.mu.Lock()
@@ -114,8 +115,8 @@
 	}
 }
 
-// Close has all connections closed, each after its call if it has one, and waits until they are or the context ends. The
-// listener must be closed before.
+// Close closes all connections, busy ones after their current request, and waits until all are closed or ctx is done.
+// The listener must be closed first.
 func (s *Server) Close(ctx context.Context) error {
 	s.DrainConns()
 	s.mu.Lock()
@@ -133,27 +134,27 @@
 	return nil
 }
 
-// LastCalls is what holds while a router stops whose clients ask another one for the rest of a stream.
+// StopSchedule sets the times of a router's stop for clients that resume broken streams at another router.
 type StopSchedule struct {
-	LateFrom     time.Time // calls that come later have their first event by FirstBy, or an error
+	LateFrom     time.Time // requests that arrive later get their first event or an error by FirstEventBy
 	FirstEventBy time.Time
-	CutStreamsAt time.Time // all streams are cut off then, those that begin later after their first events
-	AbortAt      time.Time // what has no event by then is aborted
+	CutStreamsAt time.Time // all streams are cut off then; those that start later, after their first write
+	AbortAt      time.Time // requests without an event by then are aborted
 }
 
-// TakeLast has calls be taken until Refuse, and all that runs be ended, by these times.
+// ScheduleStop keeps accepting requests until RefuseRequests and ends all running ones at the given times.
 func (s *Server) ScheduleStop(schedule StopSchedule) {
 	s.stopSchedule.Store(&schedule)
 	time.AfterFunc(time.Until(schedule.CutStreamsAt), s.cutStreams)
 	time.AfterFunc(time.Until(schedule.AbortAt), s.cancelBase)
 }
 
-// Refuse has every call that comes from now on answered with 503.
+// RefuseRequests answers all further requests with 503.
 func (s *Server) RefuseRequests() { s.refusing.Store(true) }
 
 func (s *Server) retryAfterSeconds() float64 { return s.options.RetryAfter.Seconds() }
 
-// call reads one call and answers it.
+// handleRequest reads one request and answers it.
 func (c *clientConn) handleRequest(arrived time.Time) {
 	h, err := http1.ReadRequest(c.reader, requestLimits)
 	if err != nil {
@@ -167,7 +168,7 @@
 	switch {
 	case path == "/up" && h.Method == http.MethodGet && h.Length == 0:
 		if c.server.ready.Load() && !c.server.refusing.Load() {
-			c.write(append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"...)) //nolint:errcheck // the connection ends if it fails
+			c.write(append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"...)) //nolint:errcheck // a failed write closes the connection
 			return
 		}
 		c.writeError(&errorResponse{503, "not ready", 0, false})
@@ -180,7 +181,7 @@
 	}
 }
 
-// unread answers a message that could not be read to its end.
+// writeReadError answers a request that could not be read completely.
 func (c *clientConn) writeReadError(err error) {
 	if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrTooLarge) {
 		c.writeError(readErrorResponse(err))
@@ -190,7 +191,7 @@
 		c.writeError(&errorResponse{408, "the call did not come whole in time", 0, true})
 		return
 	}
-	c.closeAfter, c.disconnected = true, true // it left, or broke off
+	c.closeAfter, c.disconnected = true, true // the client disconnected
 }
 
 var errBodyMemory = errors.New("no memory for the body")
@@ -202,7 +203,7 @@
 		errResp = errorResponsef(411, "a length is wanted")
 	}
 	if errResp != nil {
-		errResp.closeConn = errResp.closeConn || h.Length != 0 // its body is not read
+		errResp.closeConn = errResp.closeConn || h.Length != 0 // its body has not been read
 		c.writeError(errResp)
 		return
 	}
@@ -269,8 +270,8 @@
 		AnswerMargin: min(s.options.AnswerMargin, req.clientTimeout/4), TotalTimeout: s.options.MaxStreamDuration, BuildBody: func(bool, []byte) []byte { return body }, OnDone: onDone})
 }
 
-// Relay is of edge.Client, as are the methods below: the events go on as they came, and a stream that broke ends
-// the connection without its last chunk.
+// Relay implements edge.Client, as do the methods below. Events are passed on unchanged. If the stream breaks, the
+// connection is closed without the last chunk, so that the client sees an incomplete response.
 func (c *clientConn) Relay(ctx, _ context.Context, stream edge.Stream) edge.Answer {
 	out := append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n"...)
 	if c.isLastResponse() {
@@ -295,7 +296,7 @@
 			c.closeAfter = true
 			return edge.ClientLeft
 		default:
-			c.server.options.Log.Info("answer broke", "err", err)
+			c.server.options.Log.Info("answer stream broke", "err", err)
 			c.closeAfter = true
 			return edge.Aborted
 		}
@@ -306,19 +307,19 @@
 		if err != nil {
 			return edge.Finished
 		}
-		if first { // not before: a call whose connection closes without an answer is lost
+		if first { // only after the first write: a connection closed without a response loses the request
 			defer context.AfterFunc(c.server.streamsCtx, c.cancelRequest)()
 		}
 		out = c.out[:0]
 	}
 }
 
-// RateLimit is of edge.Client.
+// RateLimit implements edge.Client.
 func (c *clientConn) RateLimit(retryAfterSeconds float64) {
 	c.writeError(&errorResponse{429, "rate-limited: trying again is harmless", retryAfterSeconds, false})
 }
 
-// Abort is of edge.Client.
+// Abort implements edge.Client.
 func (c *clientConn) Abort(timedOut bool) {
 	if timedOut {
 		c.writeError(&errorResponse{504, "aborted: the client timeout is spent", 0, false})
@@ -327,14 +328,14 @@
 	c.writeError(&errorResponse{500, "aborted: it is not known what was done", 0, false})
 }
 
-// Fault is of edge.Client.
+// EngineError implements edge.Client.
 func (c *clientConn) EngineError(status int, body []byte) {
 	c.writeError(&errorResponse{status, string(body), 0, false})
 }
 
 func (c *clientConn) write(b []byte) error {
 	c.out, c.responseStarted = b, true
-	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // a connection that is closed fails in writing
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // on a closed connection the write fails
 	_, err := c.conn.Write(b)
 	if err != nil {
 		c.closeAfter, c.disconnected = true, true
@@ -342,20 +343,20 @@
 	return err
 }
 
-// refuse answers with an error.
+// writeError sends an error response.
 func (c *clientConn) writeError(r *errorResponse) {
 	c.closeAfter = c.closeAfter || r.closeConn
 	r.closeConn = c.isLastResponse()
-	if c.server.options.Log.Enabled(context.Background(), slog.LevelDebug) { // floods come by here
+	if c.server.options.Log.Enabled(context.Background(), slog.LevelDebug) { // errors may come in floods
 		c.server.options.Log.Debug("error answer", "conn", c.id, "status", r.status, "message", r.message, "last", c.closeAfter)
 	}
 	c.server.errorsByClass[min(5, r.status/100)].Add(1)
-	c.write(r.encode()) //nolint:errcheck // the connection ends if it fails
+	c.write(r.encode()) //nolint:errcheck // a failed write closes the connection
 }
 
 func (r *errorResponse) encode() []byte {
 	body, err := json.Marshal(map[string]any{"error": map[string]string{"message": r.message}})
-	if err != nil { // a string always is
+	if err != nil { // cannot happen: the value holds only strings
 		body = []byte("{}")
 	}
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", r.status, http.StatusText(r.status), len(body))
@@ -368,16 +369,17 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// Linger has answers say that their connection closes, so that clients go elsewhere. One whose last answer had begun
-// before and did not say so stays until Leave: closed at once it would cross the client's next call.
+// AnnounceClose makes responses carry Connection: close, so that clients go to other routers. A connection whose last
+// response began earlier, without that header, stays open until DrainConns: closing it at once could race with the
+// client's next request.
 func (s *Server) AnnounceClose() { s.announceClose.Store(true) }
 
-// Counts are the calls for the rest of a stream, the answers of 4xx and those of 5xx so far.
+// Counts returns how many requests asked for the rest of a stream and how many responses were 4xx and 5xx.
 func (s *Server) Counts() (resumed, clientErrors, serverErrors int64) {
 	return s.resumeRequests.Load(), s.errorsByClass[4].Load(), s.errorsByClass[5].Load()
 }
 
-// Conns is how many connections are open.
+// Conns returns the number of open connections.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/front/request.go
+++ b/internal/platform/front/request.go
@@ -15,19 +15,20 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// refusal is an error answer.
+// errorResponse is an HTTP error response.
 type errorResponse struct {
 	status            int
 	message           string
-	retryAfterSeconds float64 // seconds, 0 for no advice
-	closeConn         bool    // the connection can't be used again
+	retryAfterSeconds float64 // 0 to send no Retry-After
+	closeConn         bool    // the connection can't serve another request
 }
 
 func errorResponsef(status int, format string, a ...any) *errorResponse {
 	return &errorResponse{status: status, message: fmt.Sprintf(format, a...)}
 }
 
-// unreadable is the answer to a message that could not be read: where the next one begins is in doubt.
+// readErrorResponse returns the response to a request that could not be parsed. The connection is closed, since the
+// start of the next request is unknown.
 func readErrorResponse(err error) *errorResponse {
 	r := &errorResponse{status: 400, message: err.Error(), closeConn: true}
 	if errors.Is(err, http1.ErrTooLarge) {
@@ -36,21 +37,21 @@
 	return r
 }
 
-// chatPath is the call's.
+// chatPath is the only path that accepts completions.
 const chatPath = "/v1/chat/completions"
 
-// wanted is a call as its header tells it.
+// completionRequest holds a completion's parameters from the header and, where that leaves them out, from the body.
 type completionRequest struct {
 	id             string
-	idempotencyKey string // by which engines know a repeat, empty for none
+	idempotencyKey string // passed on so that engines recognize repeated requests; may be empty
 	prompt         decide.Prompt
 	clientTimeout  time.Duration
 }
 
-// timeoutMost bounds what a client may say that it waits.
+// maxClientTimeout is the longest x-deadline that is accepted.
 const maxClientTimeout = time.Hour
 
-// parse checks a call's header against the settings' names.
+// parseHeader validates a request's header against the configured workloads and tenants.
 func (s *Server) parseHeader(h *http1.Head) (*completionRequest, *errorResponse) {
 	field := func(name string) (string, *errorResponse) {
 		v, count := h.Get(name)
@@ -106,7 +107,7 @@
 	return req, req.parseExtras(values[5])
 }
 
-// lengthMost bounds a length that a client tells, in tokens.
+// maxDeclaredTokens is the largest token count that a client may declare.
 const maxDeclaredTokens = 1e7
 
 func (r *completionRequest) parseExtras(text string) *errorResponse {
@@ -141,13 +142,13 @@
 	return nil
 }
 
-// bytesPerToken is the protocol's own figure.
+// bytesPerToken is the protocol's ratio for estimating a prompt's tokens from the body's size.
 const bytesPerToken = 4
 
-// read checks the body and fills in what the header left out.
+// parseBody validates the body and derives the values that the header left out.
 func (r *completionRequest) parseBody(body []byte) *errorResponse {
 	if !gjson.ValidBytes(body) {
-		return &errorResponse{status: 400, message: "the body is not JSON", closeConn: true} // its length may be wrong
+		return &errorResponse{status: 400, message: "the body is not JSON", closeConn: true} // Content-Length may have been wrong
 	}
 	root := gjson.ParseBytes(body)
 	if !root.IsObject() || !root.Get("messages").IsArray() {
@@ -163,7 +164,6 @@
 	return nil
 }
 
-// The bounds of an id and of an idempotency key, in bytes.
 const (
 	maxIDBytes  = 128
 	maxKeyBytes = 255
@@ -182,7 +182,7 @@
 	return true
 }
 
-// duration reads a number followed by m for milliseconds or u for microseconds.
+// parseTimeout parses a number followed by m for milliseconds or u for microseconds.
 func parseTimeout(s string) (time.Duration, bool) {
 	if len(s) < 2 || len(s) > 24 || strings.Trim(s[:len(s)-1], "0123456789.") != "" {
 		return 0, false
--- a/internal/platform/front/requestids.go
+++ b/internal/platform/front/requestids.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// ids knows the ids of calls that are open, and for a while of those that were: an id is fresh on every call, so one
-// that comes again is none of the usual clients'. It guards against a call that passes for another client's; it
-// harms where more than idsMost calls end within idsRest, by knowing fewer.
+// requestIDs remembers the ids of open requests and, for a while, of finished ones. Clients use a new id for every
+// request, so a repeated id is refused: this guards against a request that passes for another client's. Finished ids
+// are kept in two generations; if more than maxRecentIDs requests end within idRetention, older ids are forgotten
+// sooner.
 type requestIDs struct {
 	open      map[string]bool
 	recent    [2]map[string]bool
-	rotatedAt time.Time // when the younger of recent began
+	rotatedAt time.Time // start of the newer generation, recent[0]
 }
 
 const (
@@ -20,7 +21,7 @@
 	return &requestIDs{open: map[string]bool{}, recent: [2]map[string]bool{{}, {}}}
 }
 
-// begin takes an id, unless it is known.
+// begin records an open request. It returns false if the id is open or was used recently.
 func (r *requestIDs) begin(id string) bool {
 	if r.open[id] || r.recent[0][id] || r.recent[1][id] {
 		return false
@@ -29,7 +30,7 @@
 	return true
 }
 
-// end gives an id back, which rests for a while.
+// end records that a request is finished; its id stays refused for a while.
 func (r *requestIDs) end(now time.Time, id string) {
 	if !r.open[id] {
 		return
--- a/internal/platform/service/config.go
+++ b/internal/platform/service/config.go
@@ -11,23 +11,23 @@
 	"cherryhub/internal/settings"
 )
 
-// Config is what a router is told at its start.
+// Config is a router's configuration.
 type Config struct {
 	Name, Listen, Discovery string
 	MemoryBytes             int64 // bytes
 	MaxSockets              int
-	InitialList             json.RawMessage // a list as discovery tells it, nil for none
+	InitialList             json.RawMessage // an engine list in discovery's format to start with, nil if none
 	Settings                settings.Settings
 }
 
-// BadConfig is a configuration that can't be used; it names the field.
+// ConfigError reports an invalid configuration and names the field.
 type ConfigError struct{ error }
 
 func (b ConfigError) Unwrap() error { return b.error }
 
 func configErrorf(format string, a ...any) error { return ConfigError{fmt.Errorf(format, a...)} }
 
-// The least that a router needs.
+// Accepted ranges of the limits.
 const (
 	minMemoryMB = 24
 	maxMemoryMB = 1 << 20
@@ -35,8 +35,8 @@
 	maxSockets  = 1 << 20
 )
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN prevail over it, as they are this process's own;
-// the file prevails over EDGE_DISCOVERY, since it is replaced while the process runs.
+// Load reads the file named by EDGE_CONFIG. EDGE_NAME and EDGE_LISTEN take precedence over the file, as they belong to
+// this process; the file takes precedence over EDGE_DISCOVERY, as it may be replaced while the process runs.
 func Load(getenv func(string) string) (*Config, error) {
 	file := getenv("EDGE_CONFIG")
 	if file == "" {
@@ -61,7 +61,7 @@
 	return c, c.validate()
 }
 
-// Parse reads a configuration.
+// Parse parses a configuration file. It does not check the addresses.
 func Parse(text []byte) (*Config, error) {
 	var raw struct {
 		Name      string `json:"name"`
@@ -78,19 +78,19 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
-			return nil, configErrorf("config: %s: a %s where a %s is wanted, at byte %d", typeErr.Field, typeErr.Value, typeErr.Type, typeErr.Offset)
+			return nil, configErrorf("config: %s: got a %s, expected a %s, at byte %d", typeErr.Field, typeErr.Value, typeErr.Type, typeErr.Offset)
 		}
 		return nil, configErrorf("config: %w", err)
 	}
 	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
-		return nil, configErrorf("config: seed: %q: wanted 16 hexadecimal digits", raw.Seed)
+		return nil, configErrorf("config: seed: %q: expected 16 hexadecimal digits", raw.Seed)
 	}
 	if m := raw.Limits.Memory; m < minMemoryMB || m > maxMemoryMB {
-		return nil, configErrorf("config: limits.memory_mb: %d: wanted from %d to %d", m, minMemoryMB, maxMemoryMB)
+		return nil, configErrorf("config: limits.memory_mb: %d: expected %d to %d", m, minMemoryMB, maxMemoryMB)
 	}
 	if n := raw.Limits.Sockets; n < minSockets || n > maxSockets {
-		return nil, configErrorf("config: limits.sockets: %d: wanted from %d to %d", n, minSockets, maxSockets)
+		return nil, configErrorf("config: limits.sockets: %d: expected %d to %d", n, minSockets, maxSockets)
 	}
 	if len(raw.Settings) == 0 {
 		return nil, configErrorf("config: settings: missing")
@@ -110,7 +110,7 @@
 func (c *Config) validate() error {
 	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return configErrorf("config: %s: %q: wanted HOST:PORT", name, address)
+			return configErrorf("config: %s: %q: expected HOST:PORT", name, address)
 		}
 	}
 	return nil
--- a/internal/platform/service/engineage.go
+++ b/internal/platform/service/engineage.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// reading is one look at both of a machine's clocks.
+// clockReading is one reading of the machine's wall clock and monotonic clock.
 type clockReading struct {
-	wall time.Time     // may be stepped at any time
-	mono time.Duration // since this process started
+	wall time.Time     // may step at any time
+	mono time.Duration // since the start of the process
 }
 
-// clock reads the machine's clocks; tests replace it.
+// clock reads the machine's clocks. Tests replace it.
 type clock func() clockReading
 
-// newClock is the machine's own.
 func newSystemClock() clock {
 	start := time.Now()
 	return func() clockReading {
@@ -20,27 +19,29 @@
 	}
 }
 
-// births tells how old engines are. Discovery stamps an engine's start with wall time, the one place where wall time
-// enters: as long as the wall clock runs as the monotonic one does, an age is their difference. Once it was stepped,
-// here or where the stamps are made, the difference may be wrong by as much, and an engine that has just started would
-// pass for a warm one and be sent more than it can do. From then on an engine is at most as old as by the clock as it
-// runs now, by the clock as it ran at the process's start, and by the time since the last list that did not have this
-// start of it.
+// engineAges computes the ages of engines from the start times in the engine list, which are wall-clock time stamps.
+//
+// As long as the wall clock advances with the monotonic clock, an engine's age is the wall time minus its stamp. After a
+// step of the wall clock, here or where the stamps are made, this difference may be wrong by the size of the step: an
+// engine that has just started would be taken for a warm one and get more load than it can handle. So after a step, an
+// age is the minimum of three: by the current wall clock, by the wall clock as extrapolated from the start of the
+// process, and, for a new stamp, the time since the last list without it.
 type engineAges struct {
 	startReading clockReading
-	lastListAt   time.Duration // when the last list came, by the monotonic clock
+	lastListAt   time.Duration // arrival of the last list, by the monotonic clock
 	listCount    int
-	startStamps  map[string]int64 // by engine, as last told
+	startStamps  map[string]int64 // by engine, from the last list that named it
 }
 
-// stepLeast is how far the two clocks must be apart to count as a step: their drift over days is less.
+// minClockStep is the smallest difference between the clocks that counts as a step. Their drift over days is less.
 const minClockStep = time.Second
 
 func newEngineAges(now clockReading) *engineAges {
 	return &engineAges{startReading: now, startStamps: map[string]int64{}}
 }
 
-// list begins a list that was heard at a time. Of a whole one only the engines that it names are remembered.
+// beginList starts the processing of a list that arrived at now. After a snapshot, engines that it does not name are
+// forgotten.
 func (a *engineAges) beginList(now clockReading, snapshot bool) (ages listAges) {
 	ages = listAges{engines: a, now: now, previousStamps: a.startStamps, sinceLastList: now.mono - a.lastListAt, firstList: a.listCount == 0}
 	if snapshot {
@@ -51,16 +52,16 @@
 	return ages
 }
 
-// listAges are the ages of one list's engines.
+// listAges computes the ages of the engines in one list.
 type listAges struct {
 	engines        *engineAges
 	now            clockReading
-	previousStamps map[string]int64 // stamps as last told
-	sinceLastList  time.Duration    // since the list before
-	firstList      bool             // there was none
+	previousStamps map[string]int64 // stamps before this list
+	sinceLastList  time.Duration    // since the previous list
+	firstList      bool             // there was no previous list
 }
 
-// age is an engine's, by the stamp of its start in milliseconds of Unix time, never below 0.
+// age returns an engine's age, never negative. stamp is its start in milliseconds of Unix time.
 func (l listAges) age(engine string, stamp int64) time.Duration {
 	a := l.engines
 	changed := l.previousStamps[engine] != stamp
@@ -78,5 +79,5 @@
 	return age
 }
 
-// forget drops an engine that is gone.
+// forget removes an engine that is gone.
 func (a *engineAges) forget(engine string) { delete(a.startStamps, engine) }
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -1,6 +1,6 @@
-// Package service puts the platform's router together: clients' HTTP, the edge's completions, the planner, engines'
-// HTTP and discovery, by the configuration that the platform gives; it reloads and stops it by signals. It decides
-// nothing. cmd/cherryhub's run starts it.
+// Package service assembles the router for the operators' platform from the HTTP server for clients, the edge, the
+// planner, the HTTP client for engines and the engine list follower, as configured by the platform. It also reloads and
+// stops the router. It takes no routing decisions. The run command of cmd/cherryhub starts it.
 package service
 
 import (
@@ -27,20 +27,20 @@
 	"cherryhub/internal/platform/front"
 )
 
-// How the limits are divided. Clients hold at most a third of the descriptors for calls; each call needs one towards an
-// engine, and for a moment one more for a place or a release.
+// Division of the configured limits. Clients hold at most a third of the descriptors for calls: each call needs one for
+// its engine connection and, for a short time, one more for a reservation or a release.
 const (
-	reservedSockets     = 24   // listener, discovery, poller, standard streams, with room
-	clientSocketPercent = 42   // percent of the others; the rest is for engines
-	memoryLimitPercent  = 70   // percent of the limit at which the collector works without pause
-	bodyMemoryPercent   = 15   // percent of the limit that bodies may hold
-	gcPercent           = 50   // garbage over a small heap
-	maxEngines          = 8192 // of which something is remembered: more than twice the 3,200 of the largest fleets, as they are replaced
+	reservedSockets     = 24   // listener, discovery, poller and standard streams, with a margin
+	clientSocketPercent = 42   // of the remaining descriptors; the rest is for engine connections
+	memoryLimitPercent  = 70   // of the configured memory: the soft limit at which the garbage collector runs continuously
+	bodyMemoryPercent   = 15   // of the configured memory, for request bodies
+	gcPercent           = 50   // GOGC; the heap is small
+	maxEngines          = 8192 // remembered at a time: over twice the 3,200 of the largest fleets, for when all engines are being replaced
 	answerMargin        = 40 * time.Millisecond
 	maxStreamDuration   = 10 * time.Minute
 	pruneInterval       = time.Second
 	maxRetryAfter       = 500 * time.Millisecond
-	holdLimitSlack      = 300 * time.Millisecond // the protocol's, beside the settings' limit of what is held
+	holdLimitSlack      = 300 * time.Millisecond // granted by the protocol on top of the configured hold limit
 )
 
 // Router is a running router.
@@ -58,17 +58,17 @@
 	errs       chan error
 	stats      *stats
 	clock      clock
-	engineAges *engineAges // of the engines; known and tell use it one after the other
+	engineAges *engineAges // used by applyInitialList before the follower starts, then only by applyList
 }
 
-// Tune sets the process's limits from the configuration.
+// ApplyLimits sets the Go runtime's limits from the configuration.
 func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(c.MemoryBytes * memoryLimitPercent / 100)
 	debug.SetGCPercent(gcPercent)
 }
 
-// Start starts a router; it serves until Stop.
+// Start starts a router, which serves until Stop.
 func Start(c *Config, log *slog.Logger) (*Router, error) {
 	s := &c.Settings
 	ln, err := net.Listen("tcp", c.Listen)
@@ -83,7 +83,7 @@
 	r.backend = backend.New(backend.Options{ReportColumns: s.Decide.ReportColumns, ProbesAllowed: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
 		EngineIdleTimeout: s.ConnIdle, MaxConns: engineConns})
 	r.edge = edge.New(edge.Options{AnswerMargin: answerMargin, HoldLimit: s.LetGo + holdLimitSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.stats})
-	s.Decide.ReservationsUnconfirmed = true // its answer may leave open whether a place is held
+	s.Decide.ReservationsUnconfirmed = true // an engine's answer may not tell whether the reservation was made
 	var machines []planner.MachineKind
 	for i, name := range s.Machines {
 		machines = append(machines, planner.MachineKind{Name: name, Role: s.Decide.Roles[i]})
@@ -91,7 +91,7 @@
 	r.planner, err = planner.New(s.Decide, planner.Options{MachineKinds: machines, Zone: s.Zones[s.Decide.Zone], MaxEngines: maxEngines,
 		MaxQueuedCompletions: clientConns, MaxOpenCompletions: engineConns, Log: log}, r.edge)
 	if err != nil {
-		ln.Close() //nolint:errcheck // the start's own error is told
+		ln.Close() //nolint:errcheck // the error of planner.New is returned
 		return nil, err
 	}
 	r.edge.SetPlanner(r.planner)
@@ -114,8 +114,8 @@
 	return r, nil
 }
 
-// known takes the list that the configuration holds. Where it names an engine the router can serve: what has changed
-// since is told by discovery as soon as that answers.
+// applyInitialList applies the engine list from the configuration. If it names an engine, the router is ready: discovery
+// delivers later changes as soon as it answers.
 func (r *Router) applyInitialList(c *Config) {
 	if len(c.InitialList) == 0 || string(c.InitialList) == "null" {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// tell takes what discovery tells.
+// applyList applies a list from discovery.
 func (r *Router) applyList(l *discovery.List) {
 	kind := decide.ListDelta
 	if l.Snapshot {
@@ -141,7 +141,8 @@
 	r.front.SetReady()
 }
 
-// hand hands a list to those who need it: addresses first, so that an engine is reached as soon as it is chosen.
+// updateEngines passes a list on, to the backend first, so that an engine's address is known before the planner can
+// choose it.
 func (r *Router) updateEngines(l *discovery.List, kind decide.ListKind) {
 	ages := r.engineAges.beginList(r.clock(), kind != decide.ListDelta)
 	update := &link.EngineList{Kind: kind}
@@ -153,7 +154,7 @@
 		if h.StartUnixMS > 0 {
 			e.Age = ages.age(h.Name, h.StartUnixMS).Seconds()
 		} else {
-			e.StartID = 1 // long ago is a start as any other
+			e.StartID = 1 // 0 means unknown to the planner; all engines that started long ago share one id
 		}
 		update.Entries = append(update.Entries, e)
 		r.log.Debug("engine", "engine", h.Name, "machine", h.MachineKind, "zone", h.Zone, "cell", h.Cell, "health", h.Health, "age", e.Age)
@@ -185,45 +186,47 @@
 	}
 }
 
-// Address is where clients come.
+// Address returns the address that the router listens on.
 func (r *Router) Address() string { return r.listener.Addr().String() }
 
-// Fault tells of a part that ended by itself.
+// Errors delivers the error of a component that ended unexpectedly.
 func (r *Router) Errors() <-chan error { return r.errs }
 
-// Reload takes a new configuration: another discovery. What else is new in it holds from the next start, and is logged.
+// Reload applies a new discovery address. Other changes take effect at the next start; changes of the listen address and
+// the limits are logged.
 func (r *Router) Reload(c *Config) {
 	r.log.Info("reload", "discovery", c.Discovery)
 	if c.Listen != r.config.Listen || c.MaxSockets != r.config.MaxSockets || c.MemoryBytes != r.config.MemoryBytes {
-		r.log.Warn("reload: listen and limits hold from the next start")
+		r.log.Warn("reload: changes of listen and limits take effect at the next start")
 	}
 	r.follower.SetAddress(c.Discovery)
 }
 
-// Times of a stop. New connections still come for up to 0.4 s after the signal. A call that comes more than 0.7 s
-// after it must be answered whole before the kill, which no stream can be sure of; the clock here may run late.
+// Schedule of a stop. New connections may still arrive for up to 0.4 s after the signal. A request that arrives more than
+// 0.7 s after the signal must be answered completely before the kill, which can't be ensured for a stream; timers may
+// also fire late.
 const (
-	stopDrainAfter  = 500 * time.Millisecond // goes on as before, but for Connection: close
-	stopRefuseAfter = 600 * time.Millisecond // from the signal; then calls are refused
+	stopDrainAfter  = 500 * time.Millisecond // after the signal; until then only Connection: close is added to responses
+	stopRefuseAfter = 600 * time.Millisecond // after the signal; from then on requests are refused
 
-	// Where clients ask elsewhere for the rest of a stream, some more is taken on the connections that they have. The
-	// kill comes no sooner than the longest client timeout, killWaits at most, and killGrace.
+	// If clients resume broken streams at other routers, requests on existing connections are accepted for longer. The
+	// kill comes at the earliest after the longest client timeout, capped at maxKillTimeout, plus killGracePeriod.
 	maxKillTimeout       = 3 * time.Second
 	killGracePeriod      = 700 * time.Millisecond
-	refuseBeforeKill     = 2200 * time.Millisecond // before the kill; until then calls are taken
-	cutBeforeKill        = 1200 * time.Millisecond // before the kill; then all streams are handed over
-	firstEventBeforeKill = 900 * time.Millisecond  // before the kill; by then the last calls have their first event or an error
-	abortBeforeKill      = 400 * time.Millisecond  // before the kill; what has no event by then is aborted
-	closeTimeout         = time.Second             // for the ends of connections that have no call
+	refuseBeforeKill     = 2200 * time.Millisecond // until then requests are accepted
+	cutBeforeKill        = 1200 * time.Millisecond // then all streams are cut off, for clients to resume elsewhere
+	firstEventBeforeKill = 900 * time.Millisecond  // by then late requests have their first event or an error
+	abortBeforeKill      = 400 * time.Millisecond  // requests without an event by then are aborted
+	closeTimeout         = time.Second             // for closing connections after all requests are answered
 )
 
-// killAfter is how long after SIGTERM the kill comes at the soonest.
+// minKillDelay is the shortest time from SIGTERM to SIGKILL.
 func (c *Config) minKillDelay() time.Duration {
 	return min(maxKillTimeout, slices.Max(c.Settings.Timeouts)) + killGracePeriod
 }
 
-// Stop takes what still comes for a moment, answers all that was taken, ends clients' connections between calls, and
-// ends all parts.
+// Stop shuts the router down: it accepts requests for a short time, answers all accepted ones, closes the client
+// connections and stops all components.
 func (r *Router) Stop(ctx context.Context) error {
 	start := time.Now()
 	r.log.Info("stop", "calls", r.front.ActiveRequests())
@@ -235,9 +238,10 @@
 	}
 	killAfter := r.config.minKillDelay()
 	if refuseAfter := killAfter - refuseBeforeKill; r.config.Settings.Resume && refuseAfter > stopRefuseAfter {
-		// In a rolling restart of few routers none may be in service for a while, and the next one stops about when
-		// this one is killed: what comes then on connections that clients keep would find nobody, nor would a stream
-		// that the kill breaks. It harms, where others are in service, by one more read for each stream cut off.
+		// In a rolling restart of few routers, there may be no router in service for a while, and the next one stops about
+		// when this one is killed: requests on kept connections, and streams broken by the kill, would find no router. So
+		// this one accepts requests longer and cuts its streams earlier. If other routers are in service, this costs one
+		// more read for each stream cut off.
 		r.front.ScheduleStop(front.StopSchedule{LateFrom: start.Add(stopDrainAfter), CutStreamsAt: start.Add(killAfter - cutBeforeKill),
 			FirstEventBy: start.Add(killAfter - firstEventBeforeKill), AbortAt: start.Add(killAfter - abortBeforeKill)})
 		waitUntil(refuseAfter)
@@ -250,13 +254,13 @@
 		waitUntil(stopRefuseAfter)
 		r.front.RefuseRequests()
 	}
-	r.log.Info("stop: calls are refused from now on", "calls", r.front.ActiveRequests())
+	r.log.Info("stop: refusing further requests", "calls", r.front.ActiveRequests())
 	for r.front.ActiveRequests() > 0 && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// Calls may still have come since that look: no connection is accepted any more, those that are open end in order,
-	// each after its call, and only then does the process.
-	r.listener.Close() //nolint:errcheck // nobody comes any more
+	// Requests may have arrived since the last check. So no more connections are accepted, and the open ones are closed
+	// in order, each after its current request, before the process ends.
+	r.listener.Close() //nolint:errcheck // no more connections are accepted
 	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
 	err := r.front.Close(closeCtx)
 	cancel()
@@ -268,7 +272,7 @@
 	return err
 }
 
-// LogHandler writes the router's log as text, at the level that the environment says.
+// LogHandler returns a handler that writes text. CHERRYHUB_LOG=debug selects the debug level.
 func LogHandler(w io.Writer) slog.Handler {
 	level := slog.LevelInfo
 	if os.Getenv("CHERRYHUB_LOG") == "debug" {
--- a/internal/platform/service/stats.go
+++ b/internal/platform/service/stats.go
@@ -9,21 +9,21 @@
 	"cherryhub/internal/edge"
 )
 
-// figuresEvery is how many rounds of tidy pass between two lines of figures.
+// statsLogTicks is the number of maintenance ticks between two log lines with statistics.
 const statsLogTicks = 5
 
-// figures counts what the edge does, for the log.
+// stats counts the edge's events for the log.
 type stats struct {
 	accepted             atomic.Int64
 	answers              [4]atomic.Int64 // by edge.Answer
 	outcomes             [2][9]atomic.Int64
 	releases             atomic.Int64
-	releasesAtLimit      atomic.Int64 // releases because the limit of what is held was near
-	releasesWhileWriting atomic.Int64 // of these, those that were sent while a write was out
-	longestHeldNanos     atomic.Int64 // the longest span that something was held, in nanoseconds
+	releasesAtLimit      atomic.Int64 // releases because a held state was close to its time limit
+	releasesWhileWriting atomic.Int64 // those of them sent while a write was still running
+	longestHeldNanos     atomic.Int64 // the longest time that a state was held
 }
 
-// Took is of edge.Observer, as are the methods below.
+// CompletionAccepted implements edge.Observer, as do the methods below.
 func (s *stats) CompletionAccepted(int) { s.accepted.Add(1) }
 
 func (s *stats) CompletionAnswered(_ int, how edge.Answer, _ time.Duration) { s.answers[how].Add(1) }
