--- a/internal/platform/discovery/follower_test.go
+++ b/internal/platform/discovery/follower_test.go
@@ -16,10 +16,10 @@
 	"cherryhub/internal/loopback"
 )
 
-// script is a discovery whose calls are answered as a test says, one after the other.
+// scriptedDiscovery is a discovery server whose requests are answered by a test's function.
 type scriptedDiscovery struct {
 	mu      sync.Mutex
-	queries []string // queries
+	queries []string // the query strings received
 	answer  func(n int, w http.ResponseWriter, r *http.Request)
 }
 
@@ -31,7 +31,7 @@
 	s.answer(n, w, r)
 }
 
-// query is the query of the n-th call.
+// nthQuery returns the query string of the n-th request.
 func (s *scriptedDiscovery) nthQuery(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return ln.Addr().String()
 }
 
-// follow follows an address; the lists that are told come on the channel.
+// startFollower starts a follower of an address, which sends its lists on the channel.
 func startFollower(t *testing.T, address string) (*Follower, <-chan *List) {
 	lists := make(chan *List, 100)
 	f := New(address, func(l *List) { lists <- l }, slog.New(slog.DiscardHandler))
@@ -78,15 +78,15 @@
 	case l := <-lists:
 		return l
 	case <-time.After(within):
-		require.Fail(t, "not told in time")
+		require.Fail(t, "no list in time")
 		return nil
 	}
 }
 
 func neverAnswer(r *http.Request) { <-r.Context().Done() }
 
-// TestSilentWatch: a watch that falls silent, and the next call too, are noticed by the follower's own clock, and what
-// they missed is told within the 6 s after which it counts as told.
+// TestSilentWatch: if a watch and the request after it are never answered, the follower times out by itself and gets the
+// missed change within the 6 s after which it counts as delivered.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
 	s := &scriptedDiscovery{answer: func(n int, w http.ResponseWriter, r *http.Request) {
@@ -103,10 +103,10 @@
 	require.True(t, awaitList(t, lists, time.Second).Snapshot)
 	require.Equal(t, "two", awaitList(t, lists, 6*time.Second).Hosts[0].Name)
 	require.Contains(t, s.nthQuery(1), "hold_ms=2000")
-	require.Contains(t, s.nthQuery(2), "hold_ms=0", "after a failure an answer is wanted at once")
+	require.Contains(t, s.nthQuery(2), "hold_ms=0", "a request after a failure asks for no hold")
 }
 
-// TestSlowDiscovery: one that takes seconds for each answer is heard all the same.
+// TestSlowDiscovery: a discovery that takes seconds for each answer is followed all the same.
 func TestSlowDiscovery(t *testing.T) {
 	t.Parallel()
 	s := &scriptedDiscovery{answer: func(n int, w http.ResponseWriter, r *http.Request) {
@@ -120,8 +120,8 @@
 	awaitList(t, lists, 6*time.Second)
 }
 
-// TestReturnIsNoticed: calls that were made while discovery was silent are never answered; once it answers again it is
-// asked soon, long before a call that waits for a slow discovery would be over.
+// TestRecoveryIsNoticed: requests made while discovery is down are never answered. Once it answers again, a new request
+// arrives soon, long before the time-out for a slow discovery ends.
 func TestRecoveryIsNoticed(t *testing.T) {
 	t.Parallel()
 	const downtime = 5 * time.Second
@@ -136,10 +136,11 @@
 	_, lists := startFollower(t, startServer(t, s))
 	awaitList(t, lists, downtime+maxExtraTimeout)
 	require.Less(t, time.Since(start), downtime+maxExtraTimeout/2)
-	require.Less(t, s.requestCount(), 20, "silence has it flooded")
+	require.Less(t, s.requestCount(), 20, "too many requests while discovery is down")
 }
 
-// TestMovesInARow: of moves in quick succession the last one holds, also in the midst of a call or a pause.
+// TestRapidAddressChanges: of several address changes in quick succession the last one counts, also during a request or a
+// retry delay.
 func TestRapidAddressChanges(t *testing.T) {
 	t.Parallel()
 	old := startServer(t, &scriptedDiscovery{answer: func(_ int, w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 500) }})
@@ -161,7 +162,7 @@
 	require.Equal(t, "last", awaitList(t, lists, time.Second).Hosts[0].Name)
 }
 
-// TestManyEngines: the largest lists are read, indented too.
+// TestManyEngines: the largest lists are accepted, also if the JSON is indented.
 func TestManyEngines(t *testing.T) {
 	t.Parallel()
 	var hosts []Host
@@ -180,7 +181,7 @@
 	require.Len(t, awaitList(t, lists, 5*time.Second).Hosts, len(hosts))
 }
 
-// TestPatience: a discovery that answers late is given more time, and less again; pauses grow, and are spread.
+// TestRetryPolicy: the time-out grows after late answers and shrinks again; delays grow and are jittered.
 func TestRetryPolicy(t *testing.T) {
 	p := newRetryPolicy()
 	require.Equal(t, minRetryDelay/2, p.failed(0))
--- a/internal/platform/front/closing_test.go
+++ b/internal/platform/front/closing_test.go
@@ -23,8 +23,7 @@
 	"cherryhub/internal/loopback"
 )
 
-// hookedListener accepts from a socket. Before it does, it gives the errors that are left; what it accepts calls the
-// hooks.
+// hookedListener returns acceptErrors from its first accepts and then accepts connections, which call the hooks.
 type hookedListener struct {
 	net.Listener
 	mu           sync.Mutex
@@ -33,13 +32,13 @@
 	hooks        hooks
 }
 
-// hooks are called on the server's side of a connection: before its sending side is shut or it is closed, whichever is
-// first, with each read deadline, which may be replaced, and with what was read.
+// hooks are called on the server's side of a connection: before the sending side is shut down or the connection closed,
+// whichever comes first; with each read deadline, which they may replace; and after a read.
 type hooks struct {
 	beforeClose    func()
 	beforeCloseOf  func(remote string)
 	onReadDeadline func(time.Time) time.Time
-	afterRead      func() // after bytes were read, before they are handed on
+	afterRead      func() // after bytes were read, before they are returned
 }
 
 func (l *hookedListener) Accept() (net.Conn, error) {
@@ -94,7 +93,8 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// shedding is a planner that sheds each call, unless it has to hold them; it counts what it was offered and what left.
+// rateLimitingPlanner is a planner that rate-limits each completion, unless it holds them. It counts the completions
+// offered and the clients that disconnected.
 type rateLimitingPlanner struct {
 	edge                 *edge.Edge
 	mu                   sync.Mutex
@@ -117,7 +117,7 @@
 	return true
 }
 
-// shed has it hold calls no longer, and shed those that it holds.
+// rateLimitHeld stops holding and rate-limits the completions that are held.
 func (p *rateLimitingPlanner) rateLimitHeld() {
 	p.mu.Lock()
 	ids := p.heldIDs
@@ -134,7 +134,7 @@
 	}
 }
 
-// noEngines are never called.
+// noEngines stands in for engines in tests that must not call any.
 type noEngines struct{ edge.Engines }
 
 type nopObserver struct{}
@@ -147,7 +147,7 @@
 func (nopObserver) StateReleased(time.Duration)                        {}
 func (nopObserver) ReleaseStarted(string)                              {}
 
-// rig is a server on a real socket before a planner that sheds.
+// testServer is a server on a real socket with a rateLimitingPlanner.
 type testServer struct {
 	t        *testing.T
 	server   *Server
@@ -178,7 +178,7 @@
 	return r
 }
 
-// awaitResting waits until a connection is between two calls.
+// awaitIdle waits until the only connection is between two requests.
 func (r *testServer) awaitIdle() {
 	require.Eventually(r.t, func() bool {
 		r.server.mu.Lock()
@@ -208,10 +208,10 @@
 	return resp.StatusCode
 }
 
-// TestRequestCrossesTheEnd: a request that arrives in the moment in which its connection ends is never served, and the
-// connection ends in order: its client reads the answer before, which it had not read yet, and then the end, no reset.
+// TestRequestRacesWithClose: a request that arrives just as its connection is closed is never served, and the connection
+// is closed in order: the client can still read the previous response, then the end of the stream, and no reset.
 func TestRequestRacesWithClose(t *testing.T) {
-	shortIdle := func(at time.Time) time.Time { // the idle time is over soon
+	shortIdle := func(at time.Time) time.Time { // shortens the idle timeout
 		if time.Until(at) > requestReadTimeout {
 			return time.Now().Add(20 * time.Millisecond)
 		}
@@ -223,13 +223,13 @@
 		hooks hooks
 		end   func(r *testServer)
 	}{
-		"it leaves":               {chatRequest("a"), 429, hooks{}, func(r *testServer) { r.server.DrainConns() }},
-		"it stops":                {chatRequest("a"), 429, hooks{}, func(r *testServer) { r.server.RefuseRequests(); require.NoError(r.t, r.server.Close(r.t.Context())) }},
-		"it stops, nothing said":  {"", 0, hooks{}, func(r *testServer) { require.NoError(r.t, r.server.Close(r.t.Context())) }},
-		"the idle time is over":   {chatRequest("a"), 429, hooks{onReadDeadline: shortIdle}, func(*testServer) {}},
-		"the answer said so":      {strings.Replace(chatRequest("a"), "Host", "Connection: close\r\nHost", 1), 429, hooks{}, func(*testServer) {}},
-		"a call that can't be":    {"GARBAGE\r\n\r\n", 400, hooks{}, func(*testServer) {}},
-		"a body that is not read": {strings.Replace(chatRequest("a"), "Class: chat", "Class: none", 1), 400, hooks{}, func(*testServer) {}},
+		"drained":                   {chatRequest("a"), 429, hooks{}, func(r *testServer) { r.server.DrainConns() }},
+		"stopped":                   {chatRequest("a"), 429, hooks{}, func(r *testServer) { r.server.RefuseRequests(); require.NoError(r.t, r.server.Close(r.t.Context())) }},
+		"stopped without a request": {"", 0, hooks{}, func(r *testServer) { require.NoError(r.t, r.server.Close(r.t.Context())) }},
+		"idle timeout":              {chatRequest("a"), 429, hooks{onReadDeadline: shortIdle}, func(*testServer) {}},
+		"client asked to close":     {strings.Replace(chatRequest("a"), "Host", "Connection: close\r\nHost", 1), 429, hooks{}, func(*testServer) {}},
+		"malformed request":         {"GARBAGE\r\n\r\n", 400, hooks{}, func(*testServer) {}},
+		"body not read":             {strings.Replace(chatRequest("a"), "Class: chat", "Class: none", 1), 400, hooks{}, func(*testServer) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -237,7 +237,7 @@
 			dialed, sent := make(chan struct{}), make(chan struct{})
 			tc.hooks.beforeClose = func() {
 				<-dialed
-				io.WriteString(conn, chatRequest("crossing")) //nolint:errcheck // a reset shows below
+				io.WriteString(conn, chatRequest("crossing")) //nolint:errcheck // a reset is detected below
 				close(sent)
 			}
 			r := newTestServer(t, tc.hooks)
@@ -264,7 +264,7 @@
 			}
 			_, err = in.ReadByte()
 			require.ErrorIs(t, err, io.EOF, "the connection was reset")
-			require.LessOrEqual(t, r.planner.offered.Load(), max(offered, 1), "the crossing call was served")
+			require.LessOrEqual(t, r.planner.offered.Load(), max(offered, 1), "the racing request was served")
 			require.Eventually(t, func() bool { return r.server.Conns() == 0 }, time.Second, time.Millisecond)
 		})
 	}
@@ -279,14 +279,14 @@
 	}
 }
 
-// TestAllEndInOrder: where a router leaves, all of its resting connections end in order, however many there are: the
-// answers that their clients have not read yet come whole, though a call crosses each end.
+// TestDrainClosesAllInOrder: when a router drains, all of its idle connections are closed in order, however many there
+// are. Responses that clients have not read yet arrive completely, even if another request races with each close.
 func TestDrainClosesAllInOrder(t *testing.T) {
 	var r *testServer
-	var conns sync.Map // of clients, by their addresses
+	var conns sync.Map // client connections by local address
 	r = newTestServer(t, hooks{beforeCloseOf: func(remote string) {
 		if conn, known := conns.Load(remote); known {
-			io.WriteString(conn.(net.Conn), chatRequest("crossing")) //nolint:errcheck // a reset shows below
+			io.WriteString(conn.(net.Conn), chatRequest("crossing")) //nolint:errcheck // a reset is detected below
 		}
 	}})
 	var readers []*bufio.Reader
@@ -310,19 +310,19 @@
 	}
 }
 
-// TestEvictedAsItRests: a connection that is told to go in the moment in which its call is over and its idle time begins
-// goes at once, and does not rest.
+// TestEvictedWhileGoingIdle: a connection that is evicted just as its request ends and its idle timeout begins is closed at
+// once, not after the idle timeout.
 func TestEvictedWhileGoingIdle(t *testing.T) {
 	var r *testServer
 	drained := make(chan struct{})
 	var once sync.Once
 	started := make(chan struct{})
 	r = newTestServer(t, hooks{onReadDeadline: func(at time.Time) time.Time {
-		if time.Until(at) > requestReadTimeout { // the idle time begins
+		if time.Until(at) > requestReadTimeout { // the idle timeout begins
 			once.Do(func() {
 				<-started
 				go func() { r.server.DrainConns(); close(drained) }()
-				select { // it comes in between, if it can
+				select { // drains in between, unless the server's lock prevents it
 				case <-drained:
 				case <-time.After(50 * time.Millisecond):
 				}
@@ -341,11 +341,11 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestEvictedAsACallComes: a call of which something was read before its connection is told to go gets its answer, which
-// says that the connection closes: what was read and not answered would be lost.
+// TestEvictedWhileRequestArrives: a request that was partly read before its connection is evicted is answered, and the
+// response announces the close. Without an answer the request would be lost.
 func TestEvictedWhileRequestArrives(t *testing.T) {
 	request := chatRequest("crossing")
-	for _, first := range []int{1, len(request) / 2, len(request)} { // bytes that are read before
+	for _, first := range []int{1, len(request) / 2, len(request)} { // bytes read before the eviction
 		t.Run(request[:first], func(t *testing.T) {
 			var r *testServer
 			var reads atomic.Int64
@@ -371,11 +371,11 @@
 	}
 }
 
-// TestEvictedWithCallsRead: of calls that were read together before their connection is told to go each gets its answer.
+// TestEvictedWithRequestsReadAhead: requests that were read together before their connection is evicted are all answered.
 func TestEvictedWithRequestsReadAhead(t *testing.T) {
 	var r *testServer
 	var reads atomic.Int64
-	delayEndOfRequest := func(at time.Time) time.Time { // the call's end comes late, behind its answer
+	delayEndOfRequest := func(at time.Time) time.Time { // the request ends well after its response is sent
 		if at.Equal(pastDeadline) && reads.Load() == 1 {
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -385,7 +385,7 @@
 		if reads.Add(1) != 2 {
 			return
 		}
-		r.server.mu.Lock() // as for another connection that needs the place
+		r.server.mu.Lock() // as if for a new connection in a full table
 		defer r.server.mu.Unlock()
 		id, found := r.server.connTable.takeIdle()
 		require.True(t, found)
@@ -395,23 +395,23 @@
 	_, err := io.WriteString(conn, chatRequest("a"))
 	require.NoError(t, err)
 	require.Equal(t, 429, readStatus(t, in))
-	r.awaitIdle() // its client has the answer before: what is read in between is read ahead, and no place is free
+	r.awaitIdle() // the response arrives before the request's end: until then input is read ahead and the connection can't be evicted
 	_, err = io.WriteString(conn, chatRequest("b")+chatRequest("c")+chatRequest("d"))
 	require.NoError(t, err)
 	for n := range 3 {
 		resp, err := http.ReadResponse(in, nil)
-		require.NoError(t, err, "call %d got no answer", n)
+		require.NoError(t, err, "request %d got no response", n)
 		_, err = io.ReadAll(resp.Body)
 		require.NoError(t, err)
-		require.Equal(t, n == 2, resp.Close, "answer %d", n)
+		require.Equal(t, n == 2, resp.Close, "response %d", n)
 	}
 	_, err = in.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.EqualValues(t, 4, r.planner.offered.Load())
 }
 
-// TestReadAheadIsAnswered: calls that were read ahead behind one that runs are answered, each once, though the router
-// begins to leave meanwhile; only the last answer says that the connection closes.
+// TestReadAheadIsAnswered: requests that were read ahead behind a running one are answered once each, even if the router
+// starts to drain meanwhile. Only the last response announces the close.
 func TestReadAheadIsAnswered(t *testing.T) {
 	const pipelined = 3
 	r := newTestServer(t, hooks{})
@@ -424,24 +424,24 @@
 		_, err = io.WriteString(conn, chatRequest("c"+string(rune('0'+n))))
 		require.NoError(t, err)
 	}
-	time.Sleep(20 * time.Millisecond) // they are read ahead
+	time.Sleep(20 * time.Millisecond) // until they are read ahead
 	r.server.DrainConns()
 	r.planner.rateLimitHeld()
 	for n := range pipelined + 1 {
 		resp, err := http.ReadResponse(in, nil)
-		require.NoError(t, err, "call %d got no answer", n)
+		require.NoError(t, err, "request %d got no response", n)
 		_, err = io.ReadAll(resp.Body)
 		require.NoError(t, err)
 		require.Equal(t, 429, resp.StatusCode)
-		require.Equal(t, n == pipelined, resp.Close, "answer %d", n)
+		require.Equal(t, n == pipelined, resp.Close, "response %d", n)
 	}
 	_, err = in.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.EqualValues(t, pipelined+1, r.planner.offered.Load())
 }
 
-// lateness measures by how much this machine is late with timers, until the function that it returns is called, which tells
-// that of all timers of the time: on a crowded one a goroutine may wait for its turn several times in a row.
+// measureTimerDelay measures how late timers fire on this machine until the returned function is called, which returns the
+// sum over that time: on a busy machine a goroutine may be delayed several times in a row.
 func measureTimerDelay() func() time.Duration {
 	const pause = 5 * time.Millisecond
 	end, total := make(chan struct{}), make(chan time.Duration)
@@ -461,10 +461,10 @@
 	return func() time.Duration { close(end); return <-total }
 }
 
-// TestLeavesBehindItsCalls: a client that has sent more calls than are read ahead, and closes, has left: the call that
-// runs for it is told so at once.
+// TestDisconnectBehindPipelinedRequests: if a client sends more requests than are read ahead and then closes the
+// connection, the disconnect is noticed at once for the running completion.
 func TestDisconnectBehindPipelinedRequests(t *testing.T) {
-	for name, pipelined := range map[string]int{"no call": 0, "a few calls": 3, "more than the buffer": 40} {
+	for name, pipelined := range map[string]int{"no request": 0, "a few requests": 3, "more than the buffer": 40} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newTestServer(t, hooks{})
@@ -478,14 +478,15 @@
 			require.NoError(t, conn.Close())
 			require.Eventually(t, func() bool { return r.planner.clientsLeft.Load() == 1 }, 5*time.Second, time.Millisecond)
 			elapsed := time.Since(closed)
-			require.Less(t, elapsed, 100*time.Millisecond+timerDelay(), "the rule's time, and what this machine was late by itself")
+			require.Less(t, elapsed, 100*time.Millisecond+timerDelay(), "more than the limit plus this machine's timer delay")
 			require.Eventually(t, func() bool { return r.server.Conns() == 0 }, time.Second, time.Millisecond)
-			require.EqualValues(t, 1, r.planner.offered.Load(), "a call behind it was taken")
+			require.EqualValues(t, 1, r.planner.offered.Load(), "a pipelined request was accepted")
 		})
 	}
 }
 
-// TestHalfACall: a client that stops in the middle of a call and stays gets an error, and its connection's end, in time.
+// TestIncompleteRequest: a client that stops in the middle of a request without closing gets an error and the end of the
+// connection within the time limit.
 func TestIncompleteRequest(t *testing.T) {
 	request := chatRequest("half")
 	for _, sent := range []int{1, len(request) / 2, len(request) - 1} {
@@ -505,7 +506,7 @@
 	}
 }
 
-// TestAcceptFails: whatever an accept fails with, the listener lives on, waits longer each time, and serves what comes.
+// TestAcceptFails: after any accept error the listener stays open, waits longer each time and serves later connections.
 func TestAcceptFails(t *testing.T) {
 	var acceptErrors []error
 	for range 3 {
@@ -519,7 +520,7 @@
 	_, err := io.WriteString(conn, chatRequest("a"))
 	require.NoError(t, err)
 	require.Equal(t, 429, readStatus(t, in))
-	require.Greater(t, time.Since(start), time.Second, "it asked again at once")
+	require.Greater(t, time.Since(start), time.Second, "it retried without a delay")
 	require.NoError(t, r.listener.Close())
 	require.NoError(t, <-r.served)
 }
--- a/internal/platform/front/conntable_test.go
+++ b/internal/platform/front/conntable_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRoomOrder: who goes where all places are taken, by what each brought and how long ago it came. Each starts with
-// three places taken.
+// TestEvictionOrder checks which connection of a full table is evicted for a new one, by the state and age of each. Each
+// case starts with three connections.
 func TestEvictionOrder(t *testing.T) {
 	const silent, unproven, proven, running = "silent", "spent", "good", "running"
 	for name, tc := range map[string]struct {
 		kinds  [3]string
 		after  time.Duration
-		victim uint64 // 0: nobody, the new one is refused
+		victim uint64 // 0: none, the new connection is refused
 	}{
-		"fresh ones stay before what brought nothing":   {[3]string{silent, unproven, proven}, firstRequestGrace / 2, 2},
-		"long silent ones go first":                     {[3]string{unproven, silent, proven}, 2 * firstRequestGrace, 2},
-		"fresh ones go before what was taken":           {[3]string{proven, silent, proven}, firstRequestGrace / 2, 2},
-		"the longest of the spent":                      {[3]string{proven, unproven, unproven}, 0, 2},
-		"at last the longest of what was taken":         {[3]string{running, proven, proven}, 2 * firstRequestGrace, 2},
-		"calls that run stay, what they brought or not": {[3]string{running, running, running}, 2 * firstRequestGrace, 0},
+		"unproven before new ones":       {[3]string{silent, unproven, proven}, firstRequestGrace / 2, 2},
+		"long silent ones first":         {[3]string{unproven, silent, proven}, 2 * firstRequestGrace, 2},
+		"new ones before proven ones":    {[3]string{proven, silent, proven}, firstRequestGrace / 2, 2},
+		"oldest of the unproven ones":    {[3]string{proven, unproven, unproven}, 0, 2},
+		"oldest of the proven ones last": {[3]string{running, proven, proven}, 2 * firstRequestGrace, 2},
+		"none during requests":           {[3]string{running, running, running}, 2 * firstRequestGrace, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table, now := newConnTable(3), time.Unix(1, 0)
@@ -45,7 +45,7 @@
 			require.Equal(t, tc.victim != 0, hasVictim)
 			require.Equal(t, tc.victim, victim)
 			if ok {
-				require.False(t, table.beginRequest(victim), "it is still in")
+				require.False(t, table.beginRequest(victim), "still in the table")
 				require.True(t, table.beginRequest(4))
 			}
 		})
--- a/internal/platform/service/clients_test.go
+++ b/internal/platform/service/clients_test.go
@@ -14,7 +14,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// TestBadClients: what can't be read or is not allowed gets an error or a close within 3 s, and no engine hears of it.
+// TestBadClients: malformed and invalid requests get an error or a close within 3 s, and never reach an engine.
 func TestBadClients(t *testing.T) {
 	s := newCluster(t)
 	body := promptBody(50)
@@ -22,7 +22,7 @@
 	innerRequest := chatRequest("inner", body)
 	for name, tc := range map[string]struct {
 		bytes  string
-		status int // 0: a close will do
+		status int // 0: a close is enough
 	}{
 		"noise":                  {"\x16\x03\x01\x02\x00\r\n\r\n", 400},
 		"a head without end":     {head + strings.Repeat("A: bbbbbbbbbbbbbbbbbbbb\r\n", 2000), 413},
@@ -58,13 +58,13 @@
 			require.Equal(t, tc.status, status)
 		})
 	}
-	require.Empty(t, s.fleet.Calls(""), "an engine heard of it")
+	require.Empty(t, s.fleet.Calls(""), "a request reached an engine")
 	status, _, err := s.send(chatRequest("fine", body))
 	require.NoError(t, err)
-	require.Equal(t, 200, status, "the usual clients are served on")
+	require.Equal(t, 200, status, "valid requests are still served")
 }
 
-// TestOtherClientsID: an id that is open, or was lately, is refused, and the one whose it is is served.
+// TestRepeatedRequestID: a request with the id of an open or recent request is refused, and the original one is served.
 func TestRepeatedRequestID(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t)
@@ -83,12 +83,13 @@
 	require.Len(t, s.fleet.Calls(standin.Write), 1)
 }
 
-// TestFlood: connections that say nothing neither keep the usual clients out nor stay longer than their bound.
+// TestSilentConnectionFlood: connections without a request neither keep regular clients out nor stay open longer than
+// their time limit.
 func TestSilentConnectionFlood(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t)
 	var conns []net.Conn
-	for range 300 { // more than there are descriptors
+	for range 300 { // more than the available descriptors
 		c, _ := s.dial("")
 		conns = append(conns, c)
 	}
@@ -100,12 +101,12 @@
 		c.SetReadDeadline(until.Add(50 * time.Millisecond)) //nolint:errcheck // a test
 		_, err := c.Read(make([]byte, 256))
 		var timeout net.Error
-		require.False(t, err != nil && isTimeoutError(err, &timeout), "a silent connection stays")
+		require.False(t, err != nil && isTimeoutError(err, &timeout), "a silent connection stays open")
 	}
 }
 
-// TestCrowd: while hundreds connect and ask for nothing that is taken, a client's kept connection stays, and one that
-// has just connected is heard.
+// TestUselessRequestFlood: while hundreds of connections send requests but no accepted completion, a regular client's kept
+// connection stays open and a new client is served.
 func TestUselessRequestFlood(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t)
@@ -119,7 +120,7 @@
 	kept, keptReader := s.dial("")
 	complete(kept, keptReader, "kept-1")
 	flood := func() {
-		for range 200 { // twice the places, each answered and kept open
+		for range 200 { // twice the limit, each answered and kept open
 			_, r := s.dial(upRequest)
 			status, _, err := readResponse(r)
 			require.NoError(t, err)
@@ -130,7 +131,7 @@
 	start := time.Now()
 	fresh, freshReader := s.dial("")
 	flood()
-	if time.Since(start) < 200*time.Millisecond { // else it was slow itself
+	if time.Since(start) < 200*time.Millisecond { // otherwise the test itself was too slow
 		complete(fresh, freshReader, "fresh")
 	}
 	complete(kept, keptReader, "kept-2")
@@ -142,7 +143,7 @@
 	return ok && e.Timeout()
 }
 
-// TestLeaves: a client that closes ends its dispatch, at the engine too, and nothing stays held.
+// TestClientDisconnects: when a client disconnects, its dispatch is canceled, also at the engine, and no state stays held.
 func TestClientDisconnects(t *testing.T) {
 	for _, kind := range []standin.Kind{standin.Read, standin.Write} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -159,13 +160,13 @@
 			require.NoError(t, conn.Close())
 			s.awaitQuiet()
 			require.Eventually(t, func() bool { return !s.fleet.Calls(kind)[0].Ended.IsZero() }, time.Second, time.Millisecond,
-				"the engine's connection stays open")
+				"the engine connection stays open")
 			require.Len(t, s.fleet.Calls(kind), 1)
 		})
 	}
 }
 
-// TestPipelined: calls that come ahead on one connection are answered in turn, each once.
+// TestPipelinedRequests: pipelined requests on one connection are answered in order, once each.
 func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t)
--- a/internal/platform/service/engineage_test.go
+++ b/internal/platform/service/engineage_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAgesOverSteps: an engine that has just started is never taken for an old one, whatever the wall clock does, here
-// or everywhere at once; while it runs well ages are exact.
+// TestAgesAfterClockSteps: an engine that has just started is never taken for an old one, whether the wall clock steps on
+// this machine or on all machines. Without steps ages are exact.
 func TestAgesAfterClockSteps(t *testing.T) {
 	start := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-	const startAfterList, listAfterStart = 100 * time.Second, 3 * time.Second // from the last list to the engine's start, and to the list
+	const startAfterList, listAfterStart = 100 * time.Second, 3 * time.Second // from the last list to the engine's start, and from there to the next list
 	for _, tc := range []struct {
 		name                 string
-		localStep, stampStep time.Duration // steps of this machine's clock, and of the one that stamps
+		localStep, stampStep time.Duration // steps of this machine's clock, and of the one that makes the stamps
 		exact                bool
 	}{
 		{"none", 0, 0, true}, {"a slow drift", 300 * time.Millisecond, 0, false},
@@ -30,7 +30,7 @@
 			old := start.Add(-40 * time.Second)
 			require.Equal(t, 42*time.Second, engines.beginList(readingAt(2*time.Second, 0), true).age("old", old.UnixMilli()))
 			lastList := 2*time.Second + startAfterList
-			engines.beginList(readingAt(lastList, tc.localStep), false) // changes of others
+			engines.beginList(readingAt(lastList, tc.localStep), false) // changes of other engines
 			startedAt := lastList + time.Second
 			arrived := startedAt + listAfterStart
 			ages := engines.beginList(readingAt(arrived, tc.localStep), false)
@@ -38,14 +38,14 @@
 			if tc.exact {
 				require.Equal(t, listAfterStart, age)
 			}
-			require.LessOrEqual(t, age, listAfterStart+time.Second, "taken for older than the time since the last list")
+			require.LessOrEqual(t, age, listAfterStart+time.Second, "older than the time since the last list")
 			require.GreaterOrEqual(t, age, time.Duration(0))
 			require.LessOrEqual(t, ages.age("restarted", start.Add(startedAt+tc.stampStep).UnixMilli()), listAfterStart+time.Second)
 		})
 	}
 }
 
-// TestStampsAreBounded: engines that a whole list does not name, and those that are gone, are forgotten.
+// TestStampsAreForgotten: engines that a snapshot does not name are forgotten, so that memory stays bounded.
 func TestStampsAreForgotten(t *testing.T) {
 	engines := newEngineAges(clockReading{time.Now(), 0})
 	for round := range 100 {
--- a/internal/platform/service/faults_test.go
+++ b/internal/platform/service/faults_test.go
@@ -19,7 +19,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// The bounds of a run: what its clients wait for a first token, and what the rules allow beside.
+// Parameters of a run, and the limits that the rules set.
 const (
 	runDuration        = 2 * time.Second
 	runRequests        = 60
@@ -28,40 +28,41 @@
 	drainGrace         = time.Second
 	maxListDelay       = 6 * time.Second
 	maxHoldTime        = 500*time.Millisecond + 300*time.Millisecond
-	maxDisconnectDelay = 250 * time.Millisecond // the rule has 100; TestLeavesBehindItsCalls holds to that, here the machine is crowded
+	maxDisconnectDelay = 250 * time.Millisecond // the rule says 100 ms, which TestDisconnectBehindPipelinedRequests checks; here the machine is busier
 )
 
-// run is a site with troubles on it, and what its clients saw.
+// faultRun is a cluster with injected faults and the records of its clients.
 type faultRun struct {
 	*cluster
 	router         *Router
 	random         *rand.Rand
 	mu             sync.Mutex
-	faulty         map[string]bool      // calls that are spoilt
-	hungEngine     string               // an engine that answers nothing
-	discoveries    []*standin.Discovery // all that there were; the last one is followed
+	faulty         map[string]bool      // ids of requests whose dispatches fail
+	hungEngine     string               // an engine that does not answer, if any
+	discoveries    []*standin.Discovery // all discoveries used so far; the last one is followed
 	drainedEngines []string
 	stopping       bool
 	records        map[string]*clientRecord
 }
 
-// seen is one call as its client saw it.
+// clientRecord is one request as its client saw it.
 type clientRecord struct {
 	class       string
 	sentAt      time.Time
-	leftAt      time.Time // zero: it did not leave
+	leftAt      time.Time // zero if it did not disconnect
 	responses   int
 	status      int
 	firstByteAt time.Time
 	complete    bool
 	err         error
 	dialed      bool
-	stopping    bool // the router was told to stop before the call was sent
+	stopping    bool // the router's stop had begun before the request was sent
 }
 
-// troubles by name; each begins at its time and ends by itself. They are those that meet on the platform's days.
+// faultsByName are the faults that occur on the platform, often together. Each is injected at a random time and ends by
+// itself.
 var faultsByName = map[string]func(r *faultRun){
-	"clients leave":  func(*faultRun) {}, // in calls
+	"clients leave":  func(*faultRun) {}, // done by runClient
 	"reload":         (*faultRun).reload,
 	"SIGTERM":        (*faultRun).terminate,
 	"silent watch":   (*faultRun).silenceWatch,
@@ -72,7 +73,7 @@
 	"hung prefiller": func(r *faultRun) { r.hangEngine("reader-0") },
 }
 
-// reload moves the router to another discovery, which knows what the one before did.
+// reload moves the router to another discovery with the same engines.
 func (r *faultRun) reload() {
 	r.mu.Lock()
 	next, err := standin.StartDiscovery(r.discoveries[len(r.discoveries)-1].Hosts())
@@ -88,7 +89,7 @@
 	before.Close() //nolint:errcheck // a stand-in
 }
 
-// change tells of an engine, by whichever discovery is asked.
+// changeHost changes an engine's entry in all discoveries.
 func (r *faultRun) changeHost(h discovery.Host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +132,7 @@
 	r.mu.Unlock()
 }
 
-// restart has an engine come back cold, at its own address's successor, as an engine of another name.
+// addColdEngine adds an engine that has just started, with a new name and address.
 func (r *faultRun) addColdEngine() {
 	e, err := r.fleet.StartEngine("writer-2", false)
 	require.NoError(r.t, err)
@@ -150,7 +151,7 @@
 	r.mu.Unlock()
 }
 
-// told is when the router was told that an engine drains, by any discovery; the zero time for never.
+// drainListedAt returns when any discovery first told the router that an engine drains, zero if none has.
 func (r *faultRun) drainListedAt(engine string) (first time.Time) {
 	for _, l := range r.discoveries {
 		if at := l.DrainAnnounced(engine); !at.IsZero() && (first.IsZero() || at.Before(first)) {
@@ -160,7 +161,7 @@
 	return first
 }
 
-// spoil is what the engines do to a call.
+// faultFor selects the fault for a call to an engine.
 func (r *faultRun) faultFor(c *standin.Call, nth int) standin.Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +176,7 @@
 	return standin.None
 }
 
-// client makes one call.
+// runClient sends one request and records the result.
 func (r *faultRun) runClient(id string, tokens int, class string, leaveAfter time.Duration) {
 	r.mu.Lock()
 	record := &clientRecord{class: class, sentAt: time.Now(), stopping: r.stopping}
@@ -216,11 +217,11 @@
 	}
 	conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)) //nolint:errcheck // a test
 	if n, _ := in.Read(make([]byte, 1)); n > 0 {
-		record.responses++ // something after the final answer
+		record.responses++ // data after the final answer
 	}
 }
 
-// playTroubles plays calls beside troubles, which begin within the run's first half.
+// playFaults sends requests while the named faults are injected, which begin within the first half of the run.
 func playFaults(t *testing.T, seed int64, names ...string) *faultRun {
 	s := newCluster(t, `"probes":false`, `"probes":true`)
 	r := &faultRun{cluster: s, router: s.router, random: rand.New(rand.NewSource(seed)), faulty: map[string]bool{}, discoveries: []*standin.Discovery{s.discovery}, records: map[string]*clientRecord{}}
@@ -250,21 +251,21 @@
 	return r
 }
 
-// check holds a run to the rules, by what clients saw and what the engines recorded.
+// check checks a run against the rules, by what the clients saw and what the engines recorded.
 func (r *faultRun) check(t *testing.T) {
 	if !r.stopping {
 		for _, engine := range r.drainedEngines {
-			require.Eventually(t, func() bool { return !r.drainListedAt(engine).IsZero() }, maxListDelay, 10*time.Millisecond, "%s: never told that it drains", engine)
+			require.Eventually(t, func() bool { return !r.drainListedAt(engine).IsZero() }, maxListDelay, 10*time.Millisecond, "%s: the router never learned that it drains", engine)
 		}
 		r.awaitQuiet()
 	}
-	attempts := map[string][]standin.Call{} // attempts by id
+	attempts := map[string][]standin.Call{} // dispatches by id
 	for _, c := range r.fleet.Calls("") {
 		if c.Kind == standin.Read || c.Kind == standin.Write {
 			attempts[c.ID] = append(attempts[c.ID], c)
 		}
 		if drainAt := r.drainListedAt(c.Engine); !drainAt.IsZero() && c.Kind != standin.Release && c.Kind != standin.Probe {
-			require.False(t, c.Received.After(drainAt.Add(drainGrace)), "%s %s at %s, %v after it was told to drain", c.Kind, c.ID, c.Engine, c.Received.Sub(drainAt))
+			require.False(t, c.Received.After(drainAt.Add(drainGrace)), "%s %s at %s, %v after it was listed as draining", c.Kind, c.ID, c.Engine, c.Received.Sub(drainAt))
 		}
 	}
 	for id, record := range r.records {
@@ -275,7 +276,7 @@
 	}
 }
 
-// unusedFor is the longest that something was held while none of the attempts at its request ran.
+// longestUnused returns the longest time that a state was held while none of its request's dispatches was running.
 func longestUnused(h standin.Hold, attempts []standin.Call) (longest time.Duration) {
 	slices.SortFunc(attempts, func(a, b standin.Call) int { return a.Received.Compare(b.Received) })
 	unusedSince := h.From
@@ -302,7 +303,7 @@
 			writes++
 		}
 		if !record.leftAt.IsZero() {
-			require.False(t, c.Received.After(record.leftAt.Add(maxDisconnectDelay)), "%s: an attempt began %v after its client left", id, c.Received.Sub(record.leftAt))
+			require.False(t, c.Received.After(record.leftAt.Add(maxDisconnectDelay)), "%s: a dispatch began %v after its client disconnected", id, c.Received.Sub(record.leftAt))
 		}
 	}
 	if record.class == "once" {
@@ -311,20 +312,20 @@
 	if !record.leftAt.IsZero() {
 		return
 	}
-	if record.responses == 0 { // no answer: only on a connection that a stopping router did not take, or did not read
+	if record.responses == 0 { // allowed only on a connection that a stopping router did not accept or did not read
 		require.True(t, r.stopping, "%s: no answer: %v", id, record.err)
-		require.Empty(t, attempts, "%s was sent on and got no answer: %v", id, record.err)
+		require.Empty(t, attempts, "%s was dispatched and got no answer: %v", id, record.err)
 		return
 	}
-	require.Equal(t, 1, record.responses, "%s: something came after its final answer", id)
+	require.Equal(t, 1, record.responses, "%s: data after its final answer", id)
 	require.Contains(t, []int{200, 429, 500, 503, 504}, record.status, id)
 	require.LessOrEqual(t, record.firstByteAt.Sub(record.sentAt), runDeadline+answerSlack, "%s: its answer is late", id)
 	if record.status == 429 || record.status == 503 {
-		require.True(t, record.class != "once" || writes == 0, "%s: trying again is not harmless", id)
+		require.True(t, record.class != "once" || writes == 0, "%s: rate-limited or refused after a write: a retry could run it twice", id)
 	}
 }
 
-// TestTroublesTogether: the rules hold whichever of the platform's troubles meet, in pairs and in threes.
+// TestFaultCombinations: the rules hold for all pairs and triples of the platform's faults.
 func TestFaultCombinations(t *testing.T) {
 	names := []string{"clients leave", "reload", "SIGTERM", "silent watch", "reset", "hung engine", "cold engine", "draining", "hung prefiller"}
 	var sets [][]string
@@ -336,7 +337,7 @@
 			}
 		}
 	}
-	slots := make(chan struct{}, 16) // of real time: the runs mostly wait
+	slots := make(chan struct{}, 16) // the runs mostly wait, so more of them run at a time than there are cores
 	for n, set := range sets {
 		t.Run(strings.Join(set, ", "), func(t *testing.T) {
 			t.Parallel()
--- a/internal/platform/service/heldstate_test.go
+++ b/internal/platform/service/heldstate_test.go
@@ -12,30 +12,22 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// Symptom: state that a read had left stayed held for four to five seconds, up to the client's deadline, where 0.8 s are allowed.
-//
-// Sequence: the read ended well and the write went out within 5 ms. The decode engine had it 1 to 2 ms later and hung with it, while
-// it answered probes and the writes of others. Elsewhere a prefill engine never got the read: a place that was asked for beside it
-// at a decode engine was answered "not known", and stayed held there.
-//
-// Cause: both times the engine's answers to other calls were taken to show that this call had arrived and ran, which stopped the
-// clock of what was held, to the call's end.
-//
-// What settled it: of the calls in question the writes were recorded as taken by their engine (13.928 to 13.930, 44.243 to 44.244,
-// 45.162 to 45.163), all at one engine, which was listed as ready and served others; so no connection had swallowed them. The reads
-// were recorded as never taken, and nothing but a place can have been held. The router's figures counted eleven such
-// conclusions in doubt beside 47 answers ("unproven_arrivals=11").
+// The tests of this file guard against KV state that stays held for 4 to 5 s, up to the client's deadline, where 0.8 s are
+// allowed. It happened in two ways. A decode engine received a write 1 to 2 ms after it was sent and hung with it, while it
+// answered probes and other writes. Or a prefill engine never received a read, and the reservation made for it at a decode
+// engine, answered with "not known", stayed held there. In both cases the router took the engine's answers to other calls
+// as proof that this call had arrived and was running, and so did not time the held state until the call ended.
 
-// TestHeldState holds the router to the limit of what is held in these and the nearest other sequences.
+// TestHeldState checks the limit on held state in these sequences and the closest others.
 func TestHeldState(t *testing.T) {
-	t.Run("a hung write", testHeldDuringHungWrite)
-	t.Run("a lost read", testHeldAfterLostRead)
-	t.Run("a write that waits, then hangs", testHeldWhileWriteWaits)
-	t.Run("a lost answer", testHeldAfterLostAnswer)
+	t.Run("hung write", testHeldDuringHungWrite)
+	t.Run("lost read", testHeldAfterLostRead)
+	t.Run("write waits, then hangs", testHeldWhileWriteWaits)
+	t.Run("lost answer", testHeldAfterLostAnswer)
 }
 
-// heldBehindAHungWrite: what a read left is let go in time though the engine that has the write answers probes, or everything
-// else.
+// testHeldDuringHungWrite: the state of a read is released in time even if the engine with the hung write answers probes, or
+// all other requests.
 func testHeldDuringHungWrite(t *testing.T) {
 	for name, others := range map[string]int{"it answers probes": 0, "it serves others": 15} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +47,7 @@
 	}
 }
 
-// heldForALostRead: nothing is held past its limit for a read that never arrived, though its engine answers others.
+// testHeldAfterLostRead: nothing is held past the limit for a read that never arrived, even if its engine answers others.
 func testHeldAfterLostRead(t *testing.T) {
 	s := newCluster(t, `"probes":false`, `"probes":true`)
 	s.fleet.Strict = true
@@ -66,7 +58,8 @@
 	require.LessOrEqual(t, s.longestHeld("lost"), maxHoldTime)
 }
 
-// sendBeside sends a call that waits for two seconds, and others meanwhile, which are served; then all is quiet.
+// sendWithOthers sends a request with a deadline of 2 s and meanwhile others, which must be served, then waits until nothing
+// is running or held.
 func (s *cluster) sendWithOthers(id string, others int) {
 	var client sync.WaitGroup
 	client.Go(func() { s.send(chatRequest(id, promptBody(longPromptTokens), "X-Deadline: 2000m")) })
@@ -78,8 +71,8 @@
 	s.awaitQuiet()
 }
 
-// heldWhileAWriteWaits: a release that comes while a write waits for the state lets go of nothing. Where the write's engine
-// hangs later, the state is let go all the same.
+// testHeldWhileWriteWaits: a release that arrives while a write waits for the state has no effect. If the write's engine
+// hangs later, the state is still released in time.
 func testHeldWhileWriteWaits(t *testing.T) {
 	s := newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`)
 	s.fleet.Strict = true
@@ -104,8 +97,8 @@
 	require.LessOrEqual(t, s.longestHeld("waits"), maxHoldTime)
 }
 
-// heldAfterALostAnswer: a read has ended at its engine and the answer never comes. It counts, answered or not, until the router gives
-// it up; what it left is let go in time from then on.
+// testHeldAfterLostAnswer: a read has ended at its engine but the answer is lost. The read counts as running until the router
+// gives up on it; its state must be released in time from then on.
 func testHeldAfterLostAnswer(t *testing.T) {
 	s := newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`)
 	s.fleet.Strict = true
--- a/internal/platform/service/helper_test.go
+++ b/internal/platform/service/helper_test.go
@@ -19,7 +19,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// text is a configuration of the smallest deployment.
+// configJSON returns the configuration of the smallest deployment.
 func configJSON(listen, discovery string) string {
 	return fmt.Sprintf(`{"name":"r1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"seq":0,"whole":true,"hosts":[]},
@@ -32,7 +32,7 @@
 "telemetry":{"columns":["util","queue","x0"]},"tenants":[{"name":"acme","allowance-per-s":1000}]}}`, listen, discovery)
 }
 
-// site is a router before stand-in engines: two readers, two writers.
+// cluster is a router with stand-in engines: two readers and two writers.
 type cluster struct {
 	t         *testing.T
 	fleet     *standin.Fleet
@@ -82,7 +82,7 @@
 	require.Eventually(t, func() bool {
 		status, _, _ := s.send("GET /up HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")
 		return status == 200
-	}, 5*time.Second, 5*time.Millisecond, "the router never got ready")
+	}, 5*time.Second, 5*time.Millisecond, "the router did not become ready")
 	return s
 }
 
@@ -94,12 +94,12 @@
 	return r.Stop(ctx)
 }
 
-// prompt is a body of about so many tokens.
+// promptBody returns a request body with a prompt of about this many tokens.
 func promptBody(tokens int) string {
 	return `{"model":"chat","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"` + strings.Repeat("word", tokens) + `"}]}`
 }
 
-// call is a client's call; fields come beside the usual ones or, of the same name, in their place.
+// chatRequest returns a completion request. headers replace the default ones of the same name or are added to them.
 func chatRequest(id, body string, headers ...string) string {
 	values := map[string]string{"X-Request-Id": id, "X-Class": "chat", "X-Tenant": "acme", "X-Key": "k-" + id, "X-Deadline": "4000m",
 		"X-Extras": fmt.Sprintf("prompt_len=%d,max_out=20", len(body)/4)}
@@ -122,7 +122,7 @@
 	return b.String()
 }
 
-// open makes a client's connection, which ends with the test, and writes bytes on it.
+// dial opens a client connection, which is closed at the end of the test, and writes text to it.
 func (s *cluster) dial(text string) (net.Conn, *bufio.Reader) {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.config.Listen)
@@ -136,8 +136,8 @@
 
 const upRequest = "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"
 
-// send writes bytes on a connection of its own and reads one answer. Status 0: the connection ended without one; err:
-// it ended in the middle.
+// send writes text to a new connection and reads one response. The status is 0 if the connection was closed without a
+// response; err is set if the response is incomplete.
 func (s *cluster) send(text string) (status int, body string, err error) {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.config.Listen)
@@ -162,12 +162,12 @@
 	return resp.StatusCode, string(body), err
 }
 
-// quiet waits until nothing is out and nothing held.
+// awaitQuiet waits until no dispatch is running and no state is held.
 func (s *cluster) awaitQuiet() {
 	s.t.Helper()
-	r := s.router // the last look may come after the test's end
+	r := s.router // the last poll may happen after the end of the test
 	require.Eventually(s.t, func() bool {
 		_, dispatches := r.edge.Active()
 		return dispatches == 0 && s.fleet.HeldCount() == 0 && r.planner.Stats().OpenCompletions == 0
-	}, 5*time.Second, 5*time.Millisecond, "dispatches out, or states held")
+	}, 5*time.Second, 5*time.Millisecond, "dispatches running or states held")
 }
--- a/internal/platform/service/lifecycle_test.go
+++ b/internal/platform/service/lifecycle_test.go
@@ -21,21 +21,21 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// TestConfig: what is wrong is named.
+// TestConfig: the error for an invalid configuration names the field.
 func TestConfig(t *testing.T) {
 	good := configJSON("127.0.0.1:8000", "127.0.0.1:8500")
 	for name, tc := range map[string]struct{ old, new, want string }{
-		"good":          {"", "", ""},
-		"no JSON":       {"{", "", "config"},
-		"seed":          {"8c1f30d27a5be964", "seedy", "seed"},
-		"memory":        {`"memory_mb":64`, `"memory_mb":0`, "limits.memory_mb"},
-		"sockets":       {`"sockets":256`, `"sockets":-1`, "limits.sockets"},
-		"sockets' kind": {`"sockets":256`, `"sockets":"many"`, "limits.sockets"},
-		"role":          {`"read","write"`, `"read","paint"`, "stage-of-kind"},
-		"zone":          {`"my-zone":0`, `"my-zone":7`, "my-zone"},
-		"workloads":     {`"lanes"`, `"planes"`, "lanes"},
-		"listen":        {"127.0.0.1:8000", "nowhere", "listen"},
-		"discovery":     {"127.0.0.1:8500", "nowhere", "discovery"},
+		"good":         {"", "", ""},
+		"no JSON":      {"{", "", "config"},
+		"seed":         {"8c1f30d27a5be964", "seedy", "seed"},
+		"memory":       {`"memory_mb":64`, `"memory_mb":0`, "limits.memory_mb"},
+		"sockets":      {`"sockets":256`, `"sockets":-1`, "limits.sockets"},
+		"sockets type": {`"sockets":256`, `"sockets":"many"`, "limits.sockets"},
+		"role":         {`"read","write"`, `"read","paint"`, "stage-of-kind"},
+		"zone":         {`"my-zone":0`, `"my-zone":7`, "my-zone"},
+		"workloads":    {`"lanes"`, `"planes"`, "lanes"},
+		"listen":       {"127.0.0.1:8000", "nowhere", "listen"},
+		"discovery":    {"127.0.0.1:8500", "nowhere", "discovery"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "config.json")
@@ -55,8 +55,8 @@
 	require.ErrorContains(t, err, "EDGE_CONFIG")
 }
 
-// TestUpByTheKnownList: a router that knows an engine by its configuration serves though discovery is silent; one that
-// knows none is not up.
+// TestReadyFromInitialList: a router whose configuration lists an engine serves even if discovery does not answer; one
+// whose configuration lists none is not ready.
 func TestReadyFromInitialList(t *testing.T) {
 	s := newCluster(t)
 	silent, err := loopback.Listen("127.0.0.1")
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestStopUnderLoad: what still comes for a moment after the signal is answered, what runs ends well, and
-// connections between calls are closed.
+// TestStopUnderLoad: requests that arrive shortly after the stop begins are answered, running ones finish, and idle
+// connections are closed.
 func TestStopUnderLoad(t *testing.T) {
 	s := newCluster(t)
 	s.fleet.EventInterval = 300 * time.Millisecond
@@ -123,13 +123,13 @@
 	require.NoError(t, <-stopped)
 	kept.SetReadDeadline(time.Now().Add(time.Second)) //nolint:errcheck // a test
 	_, err = r.ReadByte()
-	require.True(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "the kept connection stays: %v", err)
+	require.True(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "the kept connection stays open: %v", err)
 	require.Zero(t, s.fleet.HeldCount())
 }
 
-// TestLastCalls: where clients ask for the rest of a stream, a stopping router takes calls on the connections that
-// clients have: they get their first event or an error in time. All streams, those from before the signal too, are cut
-// off before the kill and don't look whole, and what has no event by then gets an error, no silence.
+// TestStopWithResumingClients: if clients resume broken streams, a stopping router accepts requests on existing
+// connections, which get their first event or an error in time. All streams, also those from before the stop, are cut off
+// before the kill and look incomplete to the client. Requests without an event by then get an error.
 func TestStopWithResumingClients(t *testing.T) {
 	s := newCluster(t, `"holds-allowed"`, `"resume":true,"holds-allowed"`)
 	s.fleet.EventInterval, s.fleet.EventCount = 500*time.Millisecond, 12
@@ -169,22 +169,22 @@
 	require.NoError(t, err)
 	status, got, err := readResponse(r)
 	require.Equal(t, 200, status)
-	require.Error(t, err, "a stream that was cut off looks whole")
+	require.Error(t, err, "a stream that was cut off looks complete")
 	require.Contains(t, got, "late 0")
 	cutAnswer := <-before
 	require.Equal(t, 200, cutAnswer.status)
-	require.Error(t, cutAnswer.err, "a stream that was cut off looks whole")
+	require.Error(t, cutAnswer.err, "a stream that was cut off looks complete")
 	require.Contains(t, cutAnswer.body, "before 3", "it was cut off at once")
-	require.True(t, cutAnswer.endedAt.Before(killAt.Add(-time.Second)), "handed over too late")
+	require.True(t, cutAnswer.endedAt.Before(killAt.Add(-time.Second)), "cut off too late")
 	abortAnswer := <-unanswered
-	require.NoError(t, abortAnswer.err, "a call that was taken got no answer")
+	require.NoError(t, abortAnswer.err, "an accepted request got no answer")
 	require.Equal(t, 500, abortAnswer.status)
 	require.True(t, abortAnswer.endedAt.Before(killAt))
 	require.NoError(t, <-stopped)
 	require.Zero(t, s.fleet.HeldCount())
 }
 
-// TestReload: the new discovery is followed at once, what runs goes on, and a bad file changes nothing.
+// TestReload: after a reload the new discovery is followed at once, and running requests continue.
 func TestReload(t *testing.T) {
 	s := newCluster(t)
 	s.fleet.EventInterval = 100 * time.Millisecond
@@ -214,7 +214,7 @@
 	}
 }
 
-// TestDrain: an engine that drains gets nothing new, whatever it is kept for.
+// TestDrain: a draining engine gets no new dispatches, even for sessions that it has served.
 func TestDrain(t *testing.T) {
 	s := newCluster(t)
 	for n := range 4 {
@@ -225,7 +225,7 @@
 	h := hostEntry(s.engines["writer-0"], "writes")
 	h.Health = "Terminating"
 	s.discovery.Update(h)
-	time.Sleep(50 * time.Millisecond) // the grace is a second
+	time.Sleep(50 * time.Millisecond) // the grace period is 1 s
 	drainedAt := time.Now()
 	for n := range 8 {
 		status, _, err := s.send(chatRequest(fmt.Sprintf("then-%d", n), promptBody(20)))
@@ -237,11 +237,11 @@
 	}
 }
 
-// TestBadDiscovery: an answer that can't be read, silence and unknown words leave the list in force, and it is asked
-// again.
+// TestBadDiscovery: after an invalid answer, no answer or an unknown health value the list stays in force, and the request
+// is repeated.
 func TestBadDiscovery(t *testing.T) {
 	for name, broken := range map[string]string{"cut": `{"seq":9,"whole":true,"hosts":[{"host":"x"`, "noise": "\x00\x01",
-		"no hosts": `{"seq":9,"whole":true}`, "nothing": "", "unknown word": `{"seq":9,"whole":false,"hosts":[{"host":"writer-0","dial":"x:1","health":"Sleepy"}]}`} {
+		"no hosts": `{"seq":9,"whole":true}`, "nothing": "", "unknown health": `{"seq":9,"whole":false,"hosts":[{"host":"writer-0","dial":"x:1","health":"Sleepy"}]}`} {
 		t.Run(name, func(t *testing.T) {
 			s := newCluster(t)
 			if broken == "" {
--- a/internal/platform/service/memory_test.go
+++ b/internal/platform/service/memory_test.go
@@ -12,7 +12,7 @@
 	"cherryhub/internal/platform/discovery"
 )
 
-// heap is the live heap, in bytes.
+// liveHeapBytes returns the size of the live heap.
 func liveHeapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -21,10 +21,10 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestMemoryOfAnEngine: what all parts of a router together remember of an engine is a small part of the 4 MB that a
-// thousand may take, also while all of them are being replaced: those that are gone are known for two minutes more.
+// TestMemoryPerEngine: all components of a router together need a small part of the 4 MB allowed per 1,000 engines, also
+// while all engines are being replaced. Engines that are gone are remembered for two more minutes.
 func TestMemoryPerEngine(t *testing.T) {
-	const engines, maxBytesPerEngine = 3200, 2 << 10 // bytes each
+	const engines, maxBytesPerEngine = 3200, 2 << 10
 	s := newCluster(t)
 	list := func(round int) *discovery.List {
 		l := &discovery.List{Version: int64(round), Snapshot: true}
@@ -37,7 +37,7 @@
 	apply := func(round int) {
 		s.router.updateEngines(list(round), decide.ListSnapshot)
 		require.Eventually(t, func() bool { return s.router.planner.Stats().QueuedEvents == 0 }, 5*time.Second, time.Millisecond)
-		time.Sleep(50 * time.Millisecond) // until the planner has it in hand
+		time.Sleep(50 * time.Millisecond) // until the planner has processed it
 	}
 	before := liveHeapBytes()
 	apply(1)
@@ -48,5 +48,5 @@
 	apply(3)
 	last := liveHeapBytes() - before
 	t.Logf("%d bytes for each after all were replaced twice", last/engines)
-	require.Less(t, last, 4*first, "what is gone costs more than what is there")
+	require.Less(t, last, 4*first, "engines that are gone need more memory than listed ones")
 }
--- a/internal/platform/service/mixedfaults_test.go
+++ b/internal/platform/service/mixedfaults_test.go
@@ -12,17 +12,17 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// TestSmallDay plays calls over engines that spoil every third one in some way, one of which drains, and judges the
-// rules by what crossed the sockets: one answer in time, no effect twice, nothing new to a draining engine past the
-// grace, nothing left held.
+// TestMixedFaults sends requests to engines that fail every third dispatch in some way, while one engine starts to drain.
+// It checks the rules by what was sent and received: one answer in time, no effect twice, no new dispatch to a draining
+// engine after the grace period, and no state left held.
 func TestMixedFaults(t *testing.T) {
 	const requests, timeout, drainGrace = 120, 4 * time.Second, time.Second
 	s := newCluster(t)
-	s.fleet.EventInterval = 200 * time.Millisecond // longer than a stand-in takes to note that a call is over
+	s.fleet.EventInterval = 200 * time.Millisecond // longer than a stand-in takes to record the end of a call
 	rnd := rand.New(rand.NewSource(20261201))
 	faults := [...]standin.Fault{standin.ServerError, standin.Unavailable, standin.CloseBeforeAnswer, standin.InvalidHead, standin.BadChunkLength, standin.CloseAfterFirstEvent, standin.Gone}
 	var mu sync.Mutex
-	writeFaults := map[string][]standin.Fault{} // what befell the writes of an id, in turn
+	writeFaults := map[string][]standin.Fault{} // faults of an id's writes, in order
 	s.fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Kind != standin.Read && c.Kind != standin.Write {
 			return standin.None
@@ -53,7 +53,7 @@
 			start := time.Now()
 			status, _, err := s.send(chatRequest(fmt.Sprintf("%s-%d", class, n), promptBody(20+(n%3)*1000), "X-Class: "+class))
 			if status == 0 || time.Since(start) > timeout+time.Second {
-				t.Errorf("call %d: status %d after %v, %v", n, status, time.Since(start), err)
+				t.Errorf("request %d: status %d after %v, %v", n, status, time.Since(start), err)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 	lastEnd := map[string]time.Time{}
 	for _, c := range s.fleet.Calls("") {
 		if c.Kind == standin.Read || c.Kind == standin.Write {
-			require.False(t, c.Ended.IsZero() || c.Received.Before(lastEnd[c.ID].Add(-250*time.Millisecond)), "%s: two dispatches out at once", c.ID)
+			require.False(t, c.Ended.IsZero() || c.Received.Before(lastEnd[c.ID].Add(-250*time.Millisecond)), "%s: two dispatches at once", c.ID)
 			lastEnd[c.ID] = c.Ended
 			require.False(t, c.Engine == "writer-0" && c.Received.After(drainedAt.Add(drainGrace)), "%s: sent to a draining engine", c.ID)
 		}
@@ -75,5 +75,5 @@
 			}
 		}
 	}
-	require.Greater(t, len(writeFaults), requests/2, "few calls were written at all")
+	require.Greater(t, len(writeFaults), requests/2, "too few requests reached a write")
 }
--- a/internal/platform/service/service_test.go
+++ b/internal/platform/service/service_test.go
@@ -12,7 +12,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// whole is what a client gets of an answer of an engine.
+// completeAnswer returns the stream that a client receives for an engine's answer.
 func completeAnswer(engine, id string, events int) string {
 	var b strings.Builder
 	for n := range events {
@@ -21,8 +21,8 @@
 	return b.String() + standin.FinalEvents
 }
 
-// TestServes: a long prompt is read first and written after, a short one is written at once; the prompt goes on byte
-// for byte and the events come back as they were; everything held is let go.
+// TestServesCompletions: a long prompt gets a read and then a write, a short one only a write. The body is passed on byte
+// for byte, the events come back unchanged, and all held state is released.
 func TestServesCompletions(t *testing.T) {
 	for name, tc := range map[string]struct {
 		tokens, reads int
@@ -52,8 +52,7 @@
 	}
 }
 
-// TestIdempotencyKey: the key by which engines know a repeat goes on to each engine as its client sent it, and none goes
-// where none came.
+// TestIdempotencyKey: a client's idempotency key is passed on unchanged to each engine, and none is sent without one.
 func TestIdempotencyKey(t *testing.T) {
 	s := newCluster(t)
 	const key = "18a18016ae64946679a5cab58dab7d14"
@@ -76,8 +75,8 @@
 	require.Equal(t, 2, keyed, "one read and one write")
 }
 
-// TestOutcomes: each way a dispatch can end is told as what it is: what failed before its first event is sent again,
-// and the client gets one whole answer.
+// TestOutcomes: each kind of dispatch failure is recognized. A dispatch that failed before its first event is retried, and
+// the client gets one complete answer.
 func TestOutcomes(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.ServerError, standin.Unavailable, standin.CloseBeforeAnswer, standin.InvalidHead, standin.EndlessHead,
 		standin.BadChunkSize, standin.BadChunkLength, standin.HugeChunk, standin.InterimAnswers, standin.BadReport, standin.SecondAnswer, standin.None} {
@@ -102,7 +101,7 @@
 				case standin.None, standin.InterimAnswers, standin.BadReport, standin.SecondAnswer:
 					retries = 0
 				case standin.BadChunkSize, standin.BadChunkLength, standin.HugeChunk:
-					if kind == standin.Read { // a read's answer has no chunks
+					if kind == standin.Read { // the answer to a read is not chunked
 						retries = 0
 					}
 				}
@@ -112,7 +111,7 @@
 	}
 }
 
-// TestBroken: a stream that breaks after its first event ends the client's connection without the last chunk.
+// TestBrokenStream: if a stream breaks after its first event, the client's connection is closed without the last chunk.
 func TestBrokenStream(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.CloseAfterFirstEvent, standin.LaterBadChunkSize, standin.MissingFinalEvents, standin.Stall} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -126,15 +125,16 @@
 			}
 			status, got, err := s.send(chatRequest("c1", promptBody(50)))
 			require.Equal(t, 200, status)
-			require.Error(t, err, "the last chunk came")
+			require.Error(t, err, "the last chunk was sent")
 			require.True(t, strings.HasPrefix(got, standin.EventText(s.fleet.Calls(standin.Write)[0].Engine, "c1", 0)))
-			require.Len(t, s.fleet.Calls(standin.Write), 1, "what has begun is not sent again")
+			require.Len(t, s.fleet.Calls(standin.Write), 1, "a stream that has begun is not retried")
 			s.awaitQuiet()
 		})
 	}
 }
 
-// TestLittleTime: a call with very little time left is answered at once, and no engine is told of more than it had.
+// TestShortDeadlines: a request with a very short deadline is answered at once, and engines get no longer deadline than it
+// had.
 func TestShortDeadlines(t *testing.T) {
 	s := newCluster(t)
 	for n, deadline := range []string{"1u", "200u", "1m", "5m", "20m"} {
@@ -147,7 +147,7 @@
 	for _, c := range append(s.fleet.Calls(standin.Read), s.fleet.Calls(standin.Write)...) {
 		deadlineSent, _ := (&http1.Head{Fields: c.Fields}).Get("x-deadline")
 		require.Contains(t, []string{"1m", "2m", "3m", "4m", "5m", "6m", "7m", "8m", "9m", "10m", "11m", "12m", "13m", "14m", "15m"}, deadlineSent,
-			"of 20 ms a quarter is kept for the answer's way")
+			"a quarter of 20 ms is reserved for sending the answer")
 	}
 	s.awaitQuiet()
 }
--- a/internal/platform/service/silentconn_test.go
+++ b/internal/platform/service/silentconn_test.go
@@ -15,7 +15,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// behindProxies moves the engines that are known so far behind fault proxies, by engine.
+// moveBehindProxies moves the cluster's engines behind fault proxies, which it returns by engine name.
 func (s *cluster) moveBehindProxies(plan func(n int) faultproxy.Plan) map[string]*faultproxy.Proxy {
 	proxies := map[string]*faultproxy.Proxy{}
 	for name, e := range s.engines {
@@ -30,8 +30,8 @@
 		h.Address = p.Address()
 		s.discovery.Update(h)
 	}
-	for used, n := 0, 0; used < 2; n++ { // until the router calls by the new addresses
-		require.Less(s.t, n, 100, "the router never called by the new addresses")
+	for used, n := 0, 0; used < 2; n++ { // until the router uses the new addresses
+		require.Less(s.t, n, 100, "the router never used the new addresses")
 		status, body, err := s.send(chatRequest(fmt.Sprint("moved-", n), promptBody(longPromptTokens)))
 		require.NoError(s.t, err)
 		require.Equal(s.t, 200, status, body)
@@ -43,10 +43,10 @@
 	return proxies
 }
 
-// longPrompt is one that a reader reads first, in tokens.
+// longPromptTokens is the length of a prompt that gets a read before the write.
 const longPromptTokens = 3000
 
-// longestHeld is the longest that something was held for an id while no attempt that arrived was out.
+// longestHeld returns the longest time that state was held for an id while none of its dispatches was running.
 func (s *cluster) longestHeld(id string) (longest time.Duration) {
 	var attempts []standin.Call
 	for _, c := range s.fleet.Calls("") {
@@ -62,10 +62,10 @@
 	return longest
 }
 
-// oneWriter leaves the site one writer, behind a proxy.
+// keepOneWriter leaves the cluster one writer, behind a proxy.
 func (s *cluster) keepOneWriter() *faultproxy.Proxy { return s.keepOnly("writer-0", "writer-1") }
 
-// only takes another engine off the list, and gives the proxy before one that is left.
+// keepOnly removes one engine from the list and returns the proxy of the other one.
 func (s *cluster) keepOnly(kept, removed string) *faultproxy.Proxy {
 	machine := "writes"
 	if strings.HasPrefix(removed, "reader") {
@@ -78,10 +78,10 @@
 	return s.moveBehindProxies(nil)[kept]
 }
 
-// longPiece is the least size of a call with a long prompt, in bytes.
+// minLongRequestBytes is the size from which a request counts as one with a long prompt.
 const minLongRequestBytes = 4 * longPromptTokens / 2
 
-// sendMany sends calls at once, and wants each served.
+// sendConcurrently sends n requests at the same time and requires each to be served.
 func (s *cluster) sendConcurrently(name string, n int) {
 	var all sync.WaitGroup
 	for i := range n {
@@ -94,14 +94,14 @@
 	all.Wait()
 }
 
-// silentAtTheSend has connections to the only writer fall silent in the very moment in which a write is sent, right after its
-// own was seen to work, while others work: its own alone, or all that are open. others: the writer is used meanwhile. It wants
-// what the read before the write left to be let go in time.
+// testSilentAtSend makes connections to the only writer go silent just as a write is sent, right after its connection was
+// seen to work: only that connection if alone is set, otherwise all open ones. New connections work; if others is set,
+// other requests use them meanwhile. The state of the read before the write must be released in time.
 func (s *cluster) testSilentAtSend(alone, others bool) {
 	s.fleet.Strict = true
-	s.fleet.ServiceTime = func(*standin.Call) time.Duration { return 20 * time.Millisecond } // so that calls sent at once overlap
+	s.fleet.ServiceTime = func(*standin.Call) time.Duration { return 20 * time.Millisecond } // so that concurrent requests overlap
 	writer := s.keepOneWriter()
-	s.sendConcurrently("before", 2) // so many connections are kept: the write takes one, and the next write finds that the other is silent
+	s.sendConcurrently("before", 2) // two connections are kept: the write uses one, and the next write finds the other one silent
 	if alone {
 		writer.SilenceConnOnSend(minLongRequestBytes)
 	} else {
@@ -111,7 +111,7 @@
 	silent.Go(func() { s.send(chatRequest("silent", promptBody(longPromptTokens), "X-Deadline: 2000m")) })
 	require.Eventually(s.t, func() bool {
 		return slices.ContainsFunc(s.fleet.Calls(standin.Read), func(c standin.Call) bool { return c.ID == "silent" && !c.Ended.IsZero() })
-	}, time.Second, time.Millisecond, "its prompt was read")
+	}, time.Second, time.Millisecond, "the read did not finish")
 	for n := 0; others && n < 10; n++ {
 		time.Sleep(30 * time.Millisecond)
 		s.sendConcurrently(fmt.Sprint("beside-", n), 1)
@@ -121,8 +121,8 @@
 	require.LessOrEqual(s.t, s.longestHeld("silent"), maxHoldTime)
 }
 
-// TestOpenConnectionsFallSilentAtTheSend: what is held is let go in time whether or not the writer is used on new connections
-// meanwhile.
+// TestConnectionsSilentAtSend: if all open connections go silent as a write is sent, held state is released in time, whether
+// or not the writer serves requests on new connections meanwhile.
 func TestConnectionsSilentAtSend(t *testing.T) {
 	for name, others := range map[string]bool{"alone": false, "others are served meanwhile": true} {
 		t.Run(name, func(t *testing.T) {
@@ -131,13 +131,13 @@
 	}
 }
 
-// TestOpenConnectionsFallSilentUnasked is that where engines must not be probed.
+// TestConnectionsSilentAtSendWithoutProbes is the same test with probes not allowed.
 func TestConnectionsSilentAtSendWithoutProbes(t *testing.T) {
 	newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`).testSilentAtSend(false, true)
 }
 
-// TestSwallowedWrite: what is held for a write that is swallowed on a connection which was just seen to work is let go in time, while its
-// writer serves others, whether or not writers may be probed.
+// TestLostWrite: if a write is lost on a connection that was just seen to work, held state is released in time while the
+// writer serves other requests, whether or not probes are allowed.
 func TestLostWrite(t *testing.T) {
 	for _, probes := range []string{"true", "false"} {
 		t.Run("probes "+probes, func(t *testing.T) {
@@ -146,20 +146,20 @@
 	}
 }
 
-// TestKeptConnectionFellSilent: a write that goes out on a kept connection which has fallen silent has reached nobody, and
-// the state that it was to take is let go in time, though the writer answers on other connections meanwhile.
+// TestIdleConnectionWentSilent: a write sent on an idle connection that has gone silent never arrives, and the state for it
+// is released in time, although the writer answers on other connections meanwhile.
 func TestIdleConnectionWentSilent(t *testing.T) {
 	s := newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`)
 	s.fleet.Strict = true
 	writer := s.keepOneWriter()
 	require.Equal(t, 1, writer.SilenceOpen(), "one connection is kept")
-	time.Sleep(50 * time.Millisecond) // it is kept a while
+	time.Sleep(50 * time.Millisecond) // the connection is idle for a while
 	var silent sync.WaitGroup
 	silent.Go(func() { s.send(chatRequest("silent", promptBody(longPromptTokens), "X-Deadline: 2000m")) })
 	require.Eventually(t, func() bool {
 		return slices.ContainsFunc(s.fleet.Calls(standin.Read), func(c standin.Call) bool { return c.ID == "silent" })
-	}, time.Second, time.Millisecond, "its prompt was read")
-	for n := range 20 { // the writer answers others
+	}, time.Second, time.Millisecond, "the read did not arrive")
+	for n := range 20 { // the writer answers other requests
 		status, body, err := s.send(chatRequest(fmt.Sprint("other-", n), promptBody(longPromptTokens)))
 		require.NoError(t, err)
 		require.Equal(t, 200, status, body)
