--- a/internal/platform/service/config.go
+++ b/internal/platform/service/config.go
@@ -14,7 +14,7 @@
 // Config is a router's configuration.
 type Config struct {
 	Name, Listen, Discovery string
-	MemoryBytes             int64 // bytes
+	MemoryBytes             int64
 	MaxSockets              int
 	InitialList             json.RawMessage // an engine list in discovery's format to start with, nil if none
 	Settings                settings.Settings
@@ -23,7 +23,7 @@
 // ConfigError reports an invalid configuration and names the field.
 type ConfigError struct{ error }
 
-func (b ConfigError) Unwrap() error { return b.error }
+func (e ConfigError) Unwrap() error { return e.error }
 
 func configErrorf(format string, a ...any) error { return ConfigError{fmt.Errorf(format, a...)} }
 
--- a/internal/platform/service/heldstate_test.go
+++ b/internal/platform/service/heldstate_test.go
@@ -26,8 +26,8 @@
 	t.Run("lost answer", testHeldAfterLostAnswer)
 }
 
-// testHeldDuringHungWrite: the state of a read is released in time even if the engine with the hung write answers probes, or
-// all other requests.
+// testHeldDuringHungWrite: the state of a read is released in time even if the engine with the hung write answers probes,
+// or all other requests.
 func testHeldDuringHungWrite(t *testing.T) {
 	for name, others := range map[string]int{"it answers probes": 0, "it serves others": 15} {
 		t.Run(name, func(t *testing.T) {
@@ -58,8 +58,8 @@
 	require.LessOrEqual(t, s.longestHeld("lost"), maxHoldTime)
 }
 
-// sendWithOthers sends a request with a deadline of 2 s and meanwhile others, which must be served, then waits until nothing
-// is running or held.
+// sendWithOthers sends a request with a deadline of 2 s and meanwhile others, which must be served, then waits until
+// nothing is running or held.
 func (s *cluster) sendWithOthers(id string, others int) {
 	var client sync.WaitGroup
 	client.Go(func() { s.send(chatRequest(id, promptBody(longPromptTokens), "X-Deadline: 2000m")) })
@@ -97,8 +97,8 @@
 	require.LessOrEqual(t, s.longestHeld("waits"), maxHoldTime)
 }
 
-// testHeldAfterLostAnswer: a read has ended at its engine but the answer is lost. The read counts as running until the router
-// gives up on it; its state must be released in time from then on.
+// testHeldAfterLostAnswer: a read has ended at its engine but the answer is lost. The read counts as running until the
+// router gives up on it; its state must be released in time from then on.
 func testHeldAfterLostAnswer(t *testing.T) {
 	s := newCluster(t, `"holds-allowed":true`, `"holds-allowed":false`)
 	s.fleet.Strict = true
--- a/internal/platform/service/mixedfaults_test.go
+++ b/internal/platform/service/mixedfaults_test.go
@@ -12,9 +12,9 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// TestMixedFaults sends requests to engines that fail every third dispatch in some way, while one engine starts to drain.
-// It checks the rules by what was sent and received: one answer in time, no effect twice, no new dispatch to a draining
-// engine after the grace period, and no state left held.
+// TestMixedFaults sends requests to engines that fail about every third dispatch in some way, while one engine starts to
+// drain. It checks the rules by what was sent and received: one answer in time, no effect twice, no new dispatch to a
+// draining engine after the grace period, and no state left held.
 func TestMixedFaults(t *testing.T) {
 	const requests, timeout, drainGrace = 120, 4 * time.Second, time.Second
 	s := newCluster(t)
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -210,7 +210,8 @@
 	stopRefuseAfter = 600 * time.Millisecond // after the signal; from then on requests are refused
 
 	// If clients resume broken streams at other routers, requests on existing connections are accepted for longer. The
-	// kill comes at the earliest after the longest client timeout, capped at maxKillTimeout, plus killGracePeriod.
+	// kill comes at the earliest after the longest client timeout, capped at maxKillTimeout, plus killGracePeriod. The
+	// durations named BeforeKill count back from it.
 	maxKillTimeout       = 3 * time.Second
 	killGracePeriod      = 700 * time.Millisecond
 	refuseBeforeKill     = 2200 * time.Millisecond // until then requests are accepted
--- a/internal/platform/service/silentconn_test.go
+++ b/internal/platform/service/silentconn_test.go
@@ -121,8 +121,8 @@
 	require.LessOrEqual(s.t, s.longestHeld("silent"), maxHoldTime)
 }
 
-// TestConnectionsSilentAtSend: if all open connections go silent as a write is sent, held state is released in time, whether
-// or not the writer serves requests on new connections meanwhile.
+// TestConnectionsSilentAtSend: if all open connections go silent as a write is sent, held state is released in time,
+// whether or not the writer serves requests on new connections meanwhile.
 func TestConnectionsSilentAtSend(t *testing.T) {
 	for name, others := range map[string]bool{"alone": false, "others are served meanwhile": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/platform/service/stats.go
+++ b/internal/platform/service/stats.go
@@ -15,8 +15,8 @@
 // stats counts the edge's events for the log.
 type stats struct {
 	accepted             atomic.Int64
-	answers              [4]atomic.Int64 // by edge.Answer
-	outcomes             [2][9]atomic.Int64
+	answers              [4]atomic.Int64    // by edge.Answer
+	outcomes             [2][9]atomic.Int64 // of reads and of writes, by decide.Outcome
 	releases             atomic.Int64
 	releasesAtLimit      atomic.Int64 // releases because a held state was close to its time limit
 	releasesWhileWriting atomic.Int64 // those of them sent while a write was still running
