--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -1,7 +1,8 @@
-// Package front is the platform's clients' HTTP: it owns the listener and the clients' connections, reads calls
-// strictly, has the edge take them and writes what becomes of them. Nothing of a call that was not wholly read and
-// checked goes further. It decides who keeps a connection (room.go, ids.go) and nothing of routing.
-// internal/platform/service makes it.
+// Package front is the HTTP/1.1 server for clients on the operators' platform. It owns the listener and the client
+// connections, parses requests strictly, passes completions to the edge and writes the responses. A request is passed
+// on only after it has been read and validated completely. The package decides which connections to close when they
+// run out (conntable.go) and which request ids to refuse (requestids.go); it takes no routing decisions.
+// internal/platform/service creates the server.
 package front
 
 import (
@@ -24,102 +25,102 @@
 	"cherryhub/internal/platform/http1"
 )
 
-// Options of a server.
+// Options configure a Server.
 type Options struct {
 	Listener             net.Listener
 	Edge                 *edge.Edge
-	Workloads            []string // names, in decide's order
-	Tenants              []string // as above; none: no tenant is asked for
+	Workloads            []string // names, in the order of their numbers in decide
+	Tenants              []string // likewise; if empty, requests need no tenant
 	MaxConns             int
-	MaxBufferedBodyBytes int64         // bytes of all bodies in memory
-	RetryAfter           time.Duration // the advice to one who was not taken, 0 for none
-	AnswerMargin         time.Duration // of a client timeout, kept for the way of the final answer
+	MaxBufferedBodyBytes int64         // bytes of all request bodies in memory together
+	RetryAfter           time.Duration // Retry-After of refused requests, 0 to send none
+	AnswerMargin         time.Duration // part of the client timeout reserved for sending the final answer
 	MaxStreamDuration    time.Duration
 	Log                  *slog.Logger
 }
 
-// The bounds of a client's call, and of its connection.
+// Limits of a request and of a client connection.
 const (
-	headMost   = 8 << 10
-	fieldsMost = 48
-	bodyMost   = 256 << 10
-	bufferSize = 2 << 10
-
-	callMost  = 2500 * time.Millisecond // from a call's first byte to its last; from connecting for the first call
-	idleMost  = 10 * time.Second        // between two calls
-	writeMost = 5 * time.Second         // a client that doesn't read so long has left
-	flushMost = 16 << 10                // of events that came together
+	maxHeadBytes    = 8 << 10
+	maxFields       = 48
+	maxBodyBytes    = 256 << 10
+	readBufferBytes = 2 << 10
+
+	requestReadTimeout = 2500 * time.Millisecond // from a request's first byte to its last; for a connection's first request, from the accept
+	idleTimeout        = 10 * time.Second        // between two requests
+	writeTimeout       = 5 * time.Second         // a client that accepts no data for so long counts as disconnected
+	maxFlushBytes      = 16 << 10                // of events that arrived together, in bytes
 )
 
-var limits = http1.Limits{HeadBytes: headMost, Fields: fieldsMost, BodyBytes: bodyMost}
+var requestLimits = http1.Limits{HeadBytes: maxHeadBytes, Fields: maxFields, BodyBytes: maxBodyBytes}
 
-// Server serves clients.
+// Server serves client connections.
 type Server struct {
-	o       Options
-	works   map[string]int
-	tenants map[string]int
-	ready   atomic.Bool
-	leaving atomic.Bool // answers say that their connection closes, and it does
-	closing atomic.Bool // nothing is taken
-	bodies  atomic.Int64
-	active  atomic.Int64    // calls whose first byte came and that are not answered
-	again   atomic.Int64    // calls for the rest of a broken stream
-	refused [6]atomic.Int64 // answers by the hundreds of their status
-
-	last     atomic.Pointer[StopSchedule] // nil until a stop that takes some more
-	base     context.Context              // of all calls
-	end      context.CancelFunc
-	streams  context.Context // ends when streams are handed over
-	handOver context.CancelFunc
-
-	mu    sync.Mutex
-	next  uint64
-	room  *room
-	conns map[uint64]net.Conn // of all that are not yet closed
-	left  bool                // every connection is closed after its call
-	ids   *ids
-	buf   sync.Pool
+	options           Options
+	workloads         map[string]int
+	tenants           map[string]int
+	ready             atomic.Bool
+	announceClose     atomic.Bool // responses carry Connection: close
+	refusing          atomic.Bool // all further requests are answered with 503
+	bufferedBodyBytes atomic.Int64
+	activeRequests    atomic.Int64    // first byte received, not yet answered
+	resumeRequests    atomic.Int64    // requests for the rest of a broken stream
+	errorsByClass     [6]atomic.Int64 // error responses by the first digit of their status
+
+	stopSchedule atomic.Pointer[StopSchedule] // nil until ScheduleStop
+	baseCtx      context.Context              // parent of all request contexts
+	cancelBase   context.CancelFunc
+	streamsCtx   context.Context // canceled when running streams are cut so that clients resume them at another router
+	cutStreams   context.CancelFunc
+
+	mu         sync.Mutex
+	lastConnID uint64
+	connTable  *connTable
+	conns      map[uint64]net.Conn // all connections not yet closed, by id
+	draining   bool                // connections are closed after their current request
+	requestIDs *requestIDs
+	readerPool sync.Pool
 }
 
-// New makes a server.
+// New returns a server; Serve starts it.
 func New(o Options) *Server {
-	places := max(1, o.MaxConns-max(drainLeast, o.MaxConns/drainPart))
-	s := &Server{o: o, works: map[string]int{}, tenants: map[string]int{}, room: newRoom(places), conns: map[uint64]net.Conn{}, ids: newIDs()}
-	s.base, s.end = context.WithCancel(context.Background())
-	s.streams, s.handOver = context.WithCancel(context.Background())
+	maxOpen := max(1, o.MaxConns-max(minClosingReserve, o.MaxConns/closingReserveDivisor))
+	s := &Server{options: o, workloads: map[string]int{}, tenants: map[string]int{}, connTable: newConnTable(maxOpen), conns: map[uint64]net.Conn{}, requestIDs: newRequestIDs()}
+	s.baseCtx, s.cancelBase = context.WithCancel(context.Background())
+	s.streamsCtx, s.cutStreams = context.WithCancel(context.Background())
 	for i, name := range o.Workloads {
-		s.works[name] = i
+		s.workloads[name] = i
 	}
 	for i, name := range o.Tenants {
 		s.tenants[name] = i
 	}
-	s.buf.New = func() any { return bufio.NewReaderSize(nil, bufferSize) }
+	s.readerPool.New = func() any { return bufio.NewReaderSize(nil, readBufferBytes) }
 	return s
 }
 
-// Ready has GET /up answer 200.
+// SetReady makes GET /up answer 200.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
-// Active is how many calls have begun to come and are not answered.
-func (s *Server) ActiveRequests() int { return int(s.active.Load()) }
+// ActiveRequests returns the number of requests whose first byte was received and that are not yet answered.
+func (s *Server) ActiveRequests() int { return int(s.activeRequests.Load()) }
 
-// Leave has each connection closed after its call, those between two calls at once.
+// DrainConns closes idle connections at once and every other connection after its current request.
 func (s *Server) DrainConns() {
-	s.leaving.Store(true)
+	s.announceClose.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = true
-	for id, more := s.room.resting(); more; id, more = s.room.resting() {
+	s.draining = true
+	for id, found := s.connTable.takeIdle(); found; id, found = s.connTable.takeIdle() {
 		s.evict(id)
 	}
 }
 
-// Close has all connections closed, each after its call if it has one, and waits until they are or the context ends. The
-// listener must be closed before.
+// Close closes all connections, busy ones after their current request, and waits until all are closed or ctx is done.
+// The listener must be closed first.
 func (s *Server) Close(ctx context.Context) error {
 	s.DrainConns()
 	s.mu.Lock()
-	for id, more := s.room.oldest(s.room.silent); more; id, more = s.room.oldest(s.room.silent) {
+	for id, found := s.connTable.takeOldest(s.connTable.noRequestYet); found; id, found = s.connTable.takeOldest(s.connTable.noRequestYet) {
 		s.evict(id)
 	}
 	s.mu.Unlock()
@@ -127,153 +128,153 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("front: %d connections left: %w", s.Conns(), context.Cause(ctx))
-		case <-time.After(closePoll):
+		case <-time.After(closePollInterval):
 		}
 	}
 	return nil
 }
 
-// LastCalls is what holds while a router stops whose clients ask another one for the rest of a stream.
+// StopSchedule sets the times of a router's stop for clients that resume broken streams at another router.
 type StopSchedule struct {
-	LateFrom     time.Time // calls that come later have their first event by FirstBy, or an error
+	LateFrom     time.Time // requests that arrive later get their first event or an error by FirstEventBy
 	FirstEventBy time.Time
-	CutStreamsAt time.Time // all streams are cut off then, those that begin later after their first events
-	AbortAt      time.Time // what has no event by then is aborted
+	CutStreamsAt time.Time // all streams are cut off then; those that start later, after their first write
+	AbortAt      time.Time // requests without an event by then are aborted
 }
 
-// TakeLast has calls be taken until Refuse, and all that runs be ended, by these times.
-func (s *Server) ScheduleStop(l StopSchedule) {
-	s.last.Store(&l)
-	time.AfterFunc(time.Until(l.CutStreamsAt), s.handOver)
-	time.AfterFunc(time.Until(l.AbortAt), s.end)
+// ScheduleStop keeps accepting requests until RefuseRequests and ends all running ones at the given times.
+func (s *Server) ScheduleStop(schedule StopSchedule) {
+	s.stopSchedule.Store(&schedule)
+	time.AfterFunc(time.Until(schedule.CutStreamsAt), s.cutStreams)
+	time.AfterFunc(time.Until(schedule.AbortAt), s.cancelBase)
 }
 
-// Refuse has every call that comes from now on answered with 503.
-func (s *Server) RefuseRequests() { s.closing.Store(true) }
+// RefuseRequests answers all further requests with 503.
+func (s *Server) RefuseRequests() { s.refusing.Store(true) }
 
-func (s *Server) after() float64 { return s.o.RetryAfter.Seconds() }
+func (s *Server) retryAfterSeconds() float64 { return s.options.RetryAfter.Seconds() }
 
-// call reads one call and answers it.
-func (c *client) call(arrived time.Time) {
-	h, err := http1.ReadRequest(c.r, limits)
+// handleRequest reads one request and answers it.
+func (c *clientConn) handleRequest(arrived time.Time) {
+	h, err := http1.ReadRequest(c.reader, requestLimits)
 	if err != nil {
-		c.unread(err)
+		c.writeReadError(err)
 		return
 	}
 	if h.Close {
-		c.last = true
+		c.closeAfter = true
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
 	switch {
 	case path == "/up" && h.Method == http.MethodGet && h.Length == 0:
-		if c.s.ready.Load() && !c.s.closing.Load() {
-			c.write(append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"...)) //nolint:errcheck // the connection ends if it fails
+		if c.server.ready.Load() && !c.server.refusing.Load() {
+			c.write(append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"...)) //nolint:errcheck // a failed write closes the connection
 			return
 		}
-		c.refuse(&refusal{503, "not ready", 0, false})
+		c.writeError(&errorResponse{503, "not ready", 0, false})
 	case path != chatPath:
-		c.refuse(&refusal{404, "unknown call", 0, h.Length != 0})
+		c.writeError(&errorResponse{404, "unknown call", 0, h.Length != 0})
 	case h.Method != http.MethodPost:
-		c.refuse(&refusal{405, "wanted POST", 0, h.Length != 0})
+		c.writeError(&errorResponse{405, "wanted POST", 0, h.Length != 0})
 	default:
-		c.chat(h, arrived)
+		c.handleChat(h, arrived)
 	}
 }
 
-// unread answers a message that could not be read to its end.
-func (c *client) unread(err error) {
+// writeReadError answers a request that could not be read completely.
+func (c *clientConn) writeReadError(err error) {
 	if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrTooLarge) {
-		c.refuse(unreadable(err))
+		c.writeError(readErrorResponse(err))
 		return
 	}
 	if isTimeout(err) {
-		c.refuse(&refusal{408, "the call did not come whole in time", 0, true})
+		c.writeError(&errorResponse{408, "the call did not come whole in time", 0, true})
 		return
 	}
-	c.last, c.gone = true, true // it left, or broke off
+	c.closeAfter, c.disconnected = true, true // the client disconnected
 }
 
-var errNoRoom = errors.New("no memory for the body")
+var errBodyMemory = errors.New("no memory for the body")
 
-func (c *client) chat(h *http1.Head, arrived time.Time) {
-	s := c.s
-	w, fault := s.parse(h)
-	if fault == nil && h.NoLength {
-		fault = bad(411, "a length is wanted")
+func (c *clientConn) handleChat(h *http1.Head, arrived time.Time) {
+	s := c.server
+	req, errResp := s.parseHeader(h)
+	if errResp == nil && h.NoLength {
+		errResp = errorResponsef(411, "a length is wanted")
 	}
-	if fault != nil {
-		fault.last = fault.last || h.Length != 0 // its body is not read
-		c.refuse(fault)
+	if errResp != nil {
+		errResp.closeConn = errResp.closeConn || h.Length != 0 // its body has not been read
+		c.writeError(errResp)
 		return
 	}
-	if v, times := h.Get("expect"); times > 0 {
+	if v, count := h.Get("expect"); count > 0 {
 		if v != "100-continue" {
-			c.refuse(&refusal{417, "unknown expectation", 0, true})
+			c.writeError(&errorResponse{417, "unknown expectation", 0, true})
 			return
 		}
 		if c.write(append(c.out[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)) != nil {
 			return
 		}
 	}
-	if w.prompt.Resumed {
-		s.again.Add(1)
+	if req.prompt.Resumed {
+		s.resumeRequests.Add(1)
 	}
-	held := int64(0)
-	giveBack := func() { s.bodies.Add(-held) }
-	body, err := http1.ReadBody(c.r, h, limits, func(n int) error {
-		if s.bodies.Add(int64(n)) > s.o.MaxBufferedBodyBytes {
-			s.bodies.Add(-int64(n))
-			return errNoRoom
+	reserved := int64(0)
+	releaseMemory := func() { s.bufferedBodyBytes.Add(-reserved) }
+	body, err := http1.ReadBody(c.reader, h, requestLimits, func(n int) error {
+		if s.bufferedBodyBytes.Add(int64(n)) > s.options.MaxBufferedBodyBytes {
+			s.bufferedBodyBytes.Add(-int64(n))
+			return errBodyMemory
 		}
-		held += int64(n)
+		reserved += int64(n)
 		return nil
 	})
 	if err != nil {
-		giveBack()
-		if errors.Is(err, errNoRoom) {
-			c.refuse(&refusal{503, err.Error(), s.after(), true})
+		releaseMemory()
+		if errors.Is(err, errBodyMemory) {
+			c.writeError(&errorResponse{503, err.Error(), s.retryAfterSeconds(), true})
 			return
 		}
-		c.unread(err)
+		c.writeReadError(err)
 		return
 	}
-	if fault = w.read(body); fault == nil && s.closing.Load() {
-		fault = &refusal{503, "this router is stopping", s.after(), true}
+	if errResp = req.parseBody(body); errResp == nil && s.refusing.Load() {
+		errResp = &errorResponse{503, "this router is stopping", s.retryAfterSeconds(), true}
 	}
-	if fault == nil {
+	if errResp == nil {
 		s.mu.Lock()
-		fresh := s.ids.begin(w.id)
-		if fresh {
-			s.room.taken(c.id)
+		unused := s.requestIDs.begin(req.id)
+		if unused {
+			s.connTable.completionAccepted(c.id)
 		}
 		s.mu.Unlock()
-		if !fresh {
-			fault = bad(409, "x-request-id: %.80q is another call's", w.id)
+		if !unused {
+			errResp = errorResponsef(409, "x-request-id: %.80q is another call's", req.id)
 		}
 	}
-	if fault != nil {
-		giveBack()
-		c.refuse(fault)
+	if errResp != nil {
+		releaseMemory()
+		c.writeError(errResp)
 		return
 	}
-	if last := s.last.Load(); last != nil && !arrived.Before(last.LateFrom) {
-		w.timeout = max(time.Millisecond, min(w.timeout, last.FirstEventBy.Sub(arrived)))
+	if schedule := s.stopSchedule.Load(); schedule != nil && !arrived.Before(schedule.LateFrom) {
+		req.clientTimeout = max(time.Millisecond, min(req.clientTimeout, schedule.FirstEventBy.Sub(arrived)))
 	}
-	over := sync.OnceFunc(func() {
-		giveBack()
+	onDone := sync.OnceFunc(func() {
+		releaseMemory()
 		s.mu.Lock()
-		s.ids.end(time.Now(), w.id)
+		s.requestIDs.end(time.Now(), req.id)
 		s.mu.Unlock()
 	})
-	c.take(&edge.Request{ID: s.o.Edge.NextID(), ExternalID: w.id, IdempotencyKey: w.key, Target: h.Target, Prompt: w.prompt, ArrivedAt: arrived, FirstTokenTimeout: w.timeout,
-		AnswerMargin: min(s.o.AnswerMargin, w.timeout/4), TotalTimeout: s.o.MaxStreamDuration, BuildBody: func(bool, []byte) []byte { return body }, OnDone: over})
+	c.handleCompletion(&edge.Request{ID: s.options.Edge.NextID(), ExternalID: req.id, IdempotencyKey: req.idempotencyKey, Target: h.Target, Prompt: req.prompt, ArrivedAt: arrived, FirstTokenTimeout: req.clientTimeout,
+		AnswerMargin: min(s.options.AnswerMargin, req.clientTimeout/4), TotalTimeout: s.options.MaxStreamDuration, BuildBody: func(bool, []byte) []byte { return body }, OnDone: onDone})
 }
 
-// Relay is of edge.Client, as are the methods below: the events go on as they came, and a stream that broke ends
-// the connection without its last chunk.
-func (c *client) Relay(ctx, _ context.Context, stream edge.Stream) edge.Answer {
+// Relay implements edge.Client, as do the methods below. Events are passed on unchanged. If the stream breaks, the
+// connection is closed without the last chunk, so that the client sees an incomplete response.
+func (c *clientConn) Relay(ctx, _ context.Context, stream edge.Stream) edge.Answer {
 	out := append(c.out[:0], "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n"...)
-	if c.lastAnswer() {
+	if c.isLastResponse() {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	out = append(out, "\r\n"...)
@@ -283,7 +284,7 @@
 		switch {
 		case err == nil:
 			events = append(events, event.Raw...)
-			if stream.HasBufferedEvent() && len(events) < flushMost {
+			if stream.HasBufferedEvent() && len(events) < maxFlushBytes {
 				continue
 			}
 			out = strconv.AppendInt(out, int64(len(events)), 16)
@@ -292,92 +293,93 @@
 		case errors.Is(err, io.EOF):
 			out = append(out, "0\r\n\r\n"...)
 		case ctx.Err() != nil:
-			c.last = true
+			c.closeAfter = true
 			return edge.ClientLeft
 		default:
-			c.s.o.Log.Info("answer broke", "err", err)
-			c.last = true
+			c.server.options.Log.Info("answer stream broke", "err", err)
+			c.closeAfter = true
 			return edge.Aborted
 		}
-		first := !c.told
+		first := !c.responseStarted
 		if c.write(out) != nil {
 			return edge.ClientLeft
 		}
 		if err != nil {
 			return edge.Finished
 		}
-		if first { // not before: a call whose connection closes without an answer is lost
-			defer context.AfterFunc(c.s.streams, c.cut)()
+		if first { // only after the first write: a connection closed without a response loses the request
+			defer context.AfterFunc(c.server.streamsCtx, c.cancelRequest)()
 		}
 		out = c.out[:0]
 	}
 }
 
-// RateLimit is of edge.Client.
-func (c *client) RateLimit(comeBack float64) {
-	c.refuse(&refusal{429, "rate-limited: trying again is harmless", comeBack, false})
+// RateLimit implements edge.Client.
+func (c *clientConn) RateLimit(retryAfterSeconds float64) {
+	c.writeError(&errorResponse{429, "rate-limited: trying again is harmless", retryAfterSeconds, false})
 }
 
-// Abort is of edge.Client.
-func (c *client) Abort(late bool) {
-	if late {
-		c.refuse(&refusal{504, "aborted: the client timeout is spent", 0, false})
+// Abort implements edge.Client.
+func (c *clientConn) Abort(timedOut bool) {
+	if timedOut {
+		c.writeError(&errorResponse{504, "aborted: the client timeout is spent", 0, false})
 		return
 	}
-	c.refuse(&refusal{500, "aborted: it is not known what was done", 0, false})
+	c.writeError(&errorResponse{500, "aborted: it is not known what was done", 0, false})
 }
 
-// Fault is of edge.Client.
-func (c *client) EngineError(status int, body []byte) {
-	c.refuse(&refusal{status, string(body), 0, false})
+// EngineError implements edge.Client.
+func (c *clientConn) EngineError(status int, body []byte) {
+	c.writeError(&errorResponse{status, string(body), 0, false})
 }
 
-func (c *client) write(b []byte) error {
-	c.out, c.told = b, true
-	c.conn.SetWriteDeadline(time.Now().Add(writeMost)) //nolint:errcheck // a connection that is closed fails in writing
+func (c *clientConn) write(b []byte) error {
+	c.out, c.responseStarted = b, true
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // on a closed connection the write fails
 	_, err := c.conn.Write(b)
 	if err != nil {
-		c.last, c.gone = true, true
+		c.closeAfter, c.disconnected = true, true
 	}
 	return err
 }
 
-// refuse answers with an error.
-func (c *client) refuse(r *refusal) {
-	c.last = c.last || r.last
-	r.last = c.lastAnswer()
-	if c.s.o.Log.Enabled(context.Background(), slog.LevelDebug) { // floods come by here
-		c.s.o.Log.Debug("error answer", "conn", c.id, "status", r.status, "message", r.message, "last", c.last)
+// writeError sends an error response.
+func (c *clientConn) writeError(r *errorResponse) {
+	c.closeAfter = c.closeAfter || r.closeConn
+	r.closeConn = c.isLastResponse()
+	if c.server.options.Log.Enabled(context.Background(), slog.LevelDebug) { // errors may come in floods
+		c.server.options.Log.Debug("error answer", "conn", c.id, "status", r.status, "message", r.message, "last", c.closeAfter)
 	}
-	c.s.refused[min(5, r.status/100)].Add(1)
-	c.write(r.bytes()) //nolint:errcheck // the connection ends if it fails
+	c.server.errorsByClass[min(5, r.status/100)].Add(1)
+	c.write(r.encode()) //nolint:errcheck // a failed write closes the connection
 }
 
-func (r *refusal) bytes() []byte {
+func (r *errorResponse) encode() []byte {
 	body, err := json.Marshal(map[string]any{"error": map[string]string{"message": r.message}})
-	if err != nil { // a string always is
+	if err != nil { // cannot happen: the value holds only strings
 		body = []byte("{}")
 	}
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", r.status, http.StatusText(r.status), len(body))
-	if r.after > 0 {
-		b = fmt.Appendf(b, "Retry-After: %.3f\r\n", r.after)
+	if r.retryAfterSeconds > 0 {
+		b = fmt.Appendf(b, "Retry-After: %.3f\r\n", r.retryAfterSeconds)
 	}
-	if r.last {
+	if r.closeConn {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(append(b, "\r\n"...), body...)
 }
 
-// Linger has answers say that their connection closes, so that clients go elsewhere. One whose last answer had begun
-// before and did not say so stays until Leave: closed at once it would cross the client's next call.
-func (s *Server) AnnounceClose() { s.leaving.Store(true) }
+// AnnounceClose makes responses carry Connection: close, so that clients go to other routers. A connection whose last
+// response began earlier, without that header, stays open until DrainConns: closing it at once could race with the
+// client's next request.
+func (s *Server) AnnounceClose() { s.announceClose.Store(true) }
 
-// Counts are the calls for the rest of a stream, the answers of 4xx and those of 5xx so far.
-func (s *Server) Counts() (again, faulty, failed int64) {
-	return s.again.Load(), s.refused[4].Load(), s.refused[5].Load()
+// Counts returns how many requests asked for the rest of a stream and how many responses were 4xx and 5xx.
+func (s *Server) Counts() (resumed, clientErrors, serverErrors int64) {
+	return s.resumeRequests.Load(), s.errorsByClass[4].Load(), s.errorsByClass[5].Load()
 }
 
-// Conns is how many connections are open.
+// Conns returns the number of open connections.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
