--- a/cmd/cherryhub/admin.go
+++ b/cmd/cherryhub/admin.go
@@ -17,10 +17,10 @@
 )
 
 // adminMost bounds an answer of an admin address, in bytes.
-const adminMost = 64 << 20
+const maxAdminResponseBytes = 64 << 20
 
 // ask reads JSON from a running router's admin address.
-func ask(address, path string, into any) error {
+func getAdminJSON(address, path string, into any) error {
 	client := &http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -30,7 +30,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("ask %s%s: status %d", address, path, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, adminMost)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAdminResponseBytes)).Decode(into); err != nil {
 		return fmt.Errorf("ask %s%s: %w", address, path, err)
 	}
 	return nil
@@ -42,7 +42,7 @@
 	var asJSON bool
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		var all T
-		if err := ask(address, path, &all); err != nil {
+		if err := getAdminJSON(address, path, &all); err != nil {
 			return err
 		}
 		if asJSON {
@@ -59,7 +59,7 @@
 	return c
 }
 
-func yes(so bool) string {
+func yesOrDash(so bool) string {
 	if so {
 		return "yes"
 	}
@@ -70,7 +70,7 @@
 	return adminCommand("peers", "Show the routers that a running router knows", "/peers", func(w io.Writer, all []router.PeerStatus) {
 		fmt.Fprintln(w, "name\tzone\tweight\tself\tin sight\ton the roster")
 		for _, p := range all {
-			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\n", p.Name, p.Zone, p.Weight, yes(p.Self), yes(p.Alive), yes(p.OnRoster))
+			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\n", p.Name, p.Zone, p.Weight, yesOrDash(p.Self), yesOrDash(p.Alive), yesOrDash(p.OnRoster))
 		}
 	})
 }
@@ -111,7 +111,7 @@
 			}
 			fmt.Fprintln(w, "\nholder\tknown\tconnections\tanteroom\tcompletions")
 			for _, h := range s.Holders {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", h.Name, yes(h.Known), h.Connections, h.Provisional, h.Completions)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", h.Name, yesOrDash(h.Known), h.Connections, h.Provisional, h.Completions)
 			}
 		})
 }
--- a/cmd/cherryhub/bench.go
+++ b/cmd/cherryhub/bench.go
@@ -54,7 +54,7 @@
 	return c
 }
 
-func crowdCommand() *cobra.Command {
+func floodCommand() *cobra.Command {
 	var o bench.FloodOptions
 	c := &cobra.Command{Use: "crowd", Short: "Measure admission while everybody connects at once, with stand-in engines and clients", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
--- a/cmd/cherryhub/day.go
+++ b/cmd/cherryhub/day.go
@@ -29,7 +29,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			d := &pb.Day{}
 			if err := config.Load(args[0], d); err != nil {
-				return usage{err}
+				return usageError{err}
 			}
 			dir, err := os.MkdirTemp("", "cherryhub-day-")
 			if err != nil {
@@ -43,24 +43,24 @@
 			if err != nil {
 				return fmt.Errorf("day: %w", err)
 			}
-			o := day.Options{Router: []string{self, "serve", "--config"}, Dir: dir, Record: out}
+			o := day.Options{RouterCommand: []string{self, "serve", "--config"}, WorkDir: dir, RecordPath: out}
 			if isTerminal(os.Stderr) {
-				o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
+				o.OnProgress = func(text string) { fmt.Fprintln(os.Stderr, text) }
 			}
 			if logs != "" {
 				f, err := os.Create(logs)
 				if err != nil {
-					return usage{fmt.Errorf("--logs: %w", err)}
+					return usageError{fmt.Errorf("--logs: %w", err)}
 				}
 				defer f.Close()
-				o.Logs = f
+				o.RouterLogs = f
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			if err := day.Play(ctx, d, o); err != nil {
+			if err := day.Run(ctx, d, o); err != nil {
 				return err
 			}
-			return judge(os.Stdout, out, asJSON)
+			return checkRecord(os.Stdout, out, asJSON)
 		}}
 	c.Flags().StringVar(&out, "record", "", "keep the record in this file")
 	c.Flags().StringVar(&logs, "logs", "", "keep the routers' logs in this file")
@@ -71,7 +71,7 @@
 func checkCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{Use: "check RECORD", Short: "Check the rules again from a record alone", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return judge(os.Stdout, args[0], asJSON) }}
+		RunE: func(_ *cobra.Command, args []string) error { return checkRecord(os.Stdout, args[0], asJSON) }}
 	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
 	return c
 }
@@ -82,10 +82,10 @@
 }
 
 // judge prints the verdict on a record.
-func judge(w io.Writer, file string, asJSON bool) error {
+func checkRecord(w io.Writer, file string, asJSON bool) error {
 	entries, err := record.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
-		return usage{err}
+		return usageError{err}
 	}
 	if err != nil {
 		return err
@@ -100,39 +100,39 @@
 		if err := e.Encode(report); err != nil {
 			return err
 		}
-	} else if err := table(w, report); err != nil {
+	} else if err := printTable(w, report); err != nil {
 		return err
 	}
-	if len(report.Breaches) > 0 {
-		return errBroken
+	if len(report.Violations) > 0 {
+		return errCheckFailed
 	}
 	return nil
 }
 
 // breachesMost is how many breaches of a rule the table shows; JSON has all.
-const breachesMost = 5
+const maxViolationsShown = 5
 
-func table(w io.Writer, r *rules.Report) error {
+func printTable(w io.Writer, r *rules.Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "day %s\ttaken\tfinished\trate-limited\taborted\tleft\tlate\tvalue served\n", r.Day)
-	for _, one := range r.Works {
+	for _, one := range r.Workloads {
 		share := "-"
-		if one.Asked > 0 {
-			share = fmt.Sprintf("%.1f%% of %.0f", 100*one.Served/one.Asked, one.Asked)
+		if one.OfferedValue > 0 {
+			share = fmt.Sprintf("%.1f%% of %.0f", 100*one.ServedValue/one.OfferedValue, one.OfferedValue)
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", one.Name, one.Taken, one.Finished, one.RateLimited, one.Aborted, one.Left, one.Late, share)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", one.Name, one.Accepted, one.Finished, one.RateLimited, one.Aborted, one.ClientLeft, one.Late, share)
 	}
 	fmt.Fprintln(t, strings.Repeat("\t", 1))
-	for _, rule := range rules.Rules() {
+	for _, rule := range rules.AllRules() {
 		verdict := "kept"
-		if !r.Kept(rule) {
+		if !r.Passed(rule) {
 			verdict = "BROKEN"
 		}
 		fmt.Fprintf(t, "rule: %v\t%s\t%d checked\n", rule, verdict, r.Checked[rule])
 		shown := 0
-		for _, b := range r.Breaches {
-			if b.Rule == rule && shown < breachesMost {
-				fmt.Fprintf(t, "  %.3f s, %s:\t%s\n", b.At, b.Exchange, b.Text)
+		for _, b := range r.Violations {
+			if b.Rule == rule && shown < maxViolationsShown {
+				fmt.Fprintf(t, "  %.3f s, %s:\t%s\n", b.At, b.Exchange, b.Message)
 				shown++
 			}
 		}
--- a/cmd/cherryhub/lab.go
+++ b/cmd/cherryhub/lab.go
@@ -25,23 +25,23 @@
 	run := &cobra.Command{Use: "run EXPERIMENT", Short: "Play days by variants by seeds, and compare each variant with the first", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			x := &pb.Experiment{}
-			if err := settings(args[0], "", x); err != nil {
+			if err := loadSettings(args[0], "", x); err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
-			e := config.Experiment(x)
+			e := config.LabExperiment(x)
 			e.Workers = workers
 			o, err := e.Run(ctx)
 			if err != nil {
 				return err
 			}
 			if save != "" {
-				if err := config.SaveResults(save, config.Results(x, o)); err != nil {
+				if err := config.SaveResults(save, config.LabResults(x, o)); err != nil {
 					return err
 				}
 			}
-			return printOutcome(os.Stdout, o, asJSON)
+			return printExperiment(os.Stdout, o, asJSON)
 		}}
 	run.Flags().StringVar(&save, "save", "", "keep the results in a file, for lab compare")
 	run.Flags().BoolVar(&asJSON, "json", false, "print JSON")
@@ -52,7 +52,7 @@
 			for i, file := range args {
 				var err error
 				if both[i], err = config.LoadResults(file); err != nil {
-					return usage{err}
+					return usageError{err}
 				}
 			}
 			all, err := config.CompareResults(both[0], both[1])
@@ -95,7 +95,7 @@
 	Compared    *lab.Difference `json:"score_compared_to_first,omitempty"`
 }
 
-func printOutcome(to io.Writer, o *lab.Outcome, asJSON bool) error {
+func printExperiment(to io.Writer, o *lab.ExperimentResults, asJSON bool) error {
 	differences := o.Compare((*lab.Result).Score)
 	var rows []labRow
 	for v, name := range o.Variants {
@@ -104,8 +104,8 @@
 		n := 0
 		for _, day := range o.Results {
 			for _, r := range day[v] {
-				if r.Open+r.Twice+r.Late > 0 {
-					return fmt.Errorf("lab: variant %s breaks a rule: %d completions have no final answer, %d two, %d a late one", name, r.Open, r.Twice, r.Late)
+				if r.Unanswered+r.DuplicateAnswers+r.LateAnswers > 0 {
+					return fmt.Errorf("lab: variant %s breaks a rule: %d completions have no final answer, %d two, %d a late one", name, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
 				}
 				n++
 				row.Score += r.Score()
--- a/cmd/cherryhub/main_test.go
+++ b/cmd/cherryhub/main_test.go
@@ -73,7 +73,7 @@
 
 func TestTable(t *testing.T) {
 	var out bytes.Buffer
-	assert.ErrorIs(t, judge(&out, written(t, pb.ClientEvent_GAVE_UP), false), errBroken)
+	assert.ErrorIs(t, checkRecord(&out, written(t, pb.ClientEvent_GAVE_UP), false), errCheckFailed)
 	for _, want := range []string{"day d", "taken", "finished", "rate-limited", "aborted", "late", "value served",
 		"one final answer in time", "BROKEN", "client's completion 1", "no final answer within the client timeout of 5.000 s",
 		"nothing left pinned", "kept"} {
--- a/cmd/cherryhub/run.go
+++ b/cmd/cherryhub/run.go
@@ -21,7 +21,7 @@
 			signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 			c, err := service.Load(os.Getenv)
 			if err != nil {
-				return usage{err}
+				return usageError{err}
 			}
 			service.ApplyLimits(c)
 			// Standard error goes to the platform, as a pipe: a reader that stands still or has gone must not hold up or end the
--- a/cmd/cherryhub/serve.go
+++ b/cmd/cherryhub/serve.go
@@ -23,7 +23,7 @@
 )
 
 // isUse tells cobra's own errors of use, which have no type.
-func isUse(err error) bool {
+func isCobraUsageError(err error) bool {
 	for _, begin := range [...]string{"unknown command", "unknown flag", "accepts ", "required flag", "requires "} {
 		if strings.HasPrefix(err.Error(), begin) {
 			return true
@@ -33,10 +33,10 @@
 }
 
 // settings reads a file, or an embedded example where none is named.
-func settings(file, example string, m proto.Message) error {
+func loadSettings(file, example string, m proto.Message) error {
 	if file != "" {
 		if err := config.Load(file, m); err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		return nil
 	}
@@ -48,7 +48,7 @@
 }
 
 // untilSignal waits for an interrupt or for a part that ended by itself.
-func untilSignal(fault <-chan error) error {
+func waitForSignal(fault <-chan error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	select {
@@ -66,11 +66,11 @@
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			signal.Ignore(syscall.SIGPIPE) // its log's reader may end before it
-			memory.Tune()
+			memory.TuneGC()
 			err := router.Serve(ctx, file, os.Stderr)
-			var bad config.Problem
+			var bad config.FileError
 			if errors.As(err, &bad) || errors.Is(err, fs.ErrNotExist) {
-				return usage{err}
+				return usageError{err}
 			}
 			return err
 		}}
@@ -85,7 +85,7 @@
 	c := &cobra.Command{Use: "engines --config FILE", Short: "Start stand-in engines and their list until a signal", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			f := &pb.Fleet{}
-			if err := settings(file, "", f); err != nil {
+			if err := loadSettings(file, "", f); err != nil {
 				return err
 			}
 			var all []*pb.Workload
@@ -97,7 +97,7 @@
 				return err
 			}
 			fmt.Printf("%v, list at %s\n", fleet, fleet.List.URL())
-			return errors.Join(untilSignal(nil), fleet.Close())
+			return errors.Join(waitForSignal(nil), fleet.Close())
 		}}
 	c.Flags().StringVar(&file, "config", "", "settings of the fleet, protobuf text format")
 	c.Flags().StringSliceVar(&workloads, "models", []string{"chat", "notes"}, "models that the engines serve")
@@ -109,7 +109,7 @@
 	return &cobra.Command{Use: "demo", Short: "Start stand-in engines and a router on free loopback ports", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			r, f := &pb.Router{}, &pb.Fleet{}
-			if err := errors.Join(settings("", "examples/router.textproto", r), settings("", "examples/fleet.textproto", f)); err != nil {
+			if err := errors.Join(loadSettings("", "examples/router.textproto", r), loadSettings("", "examples/fleet.textproto", f)); err != nil {
 				return err
 			}
 			f.ListListen = proto.String("127.0.0.1:0")
@@ -119,13 +119,13 @@
 			}
 			r.Listen, r.AdminListen = proto.String("127.0.0.1:0"), proto.String("")
 			r.List = &pb.EngineList{Url: proto.String(fleet.List.URL())}
-			one, err := router.Start(r, telemetry.Log(os.Stderr, r.GetLog()))
+			one, err := router.Start(r, telemetry.NewLogger(os.Stderr, r.GetLog()))
 			if err != nil {
 				return errors.Join(err, fleet.Close())
 			}
 			fmt.Printf("%v and a router at http://%s. Try:\n\n  curl -N http://%s/v1/chat/completions -d "+
 				`'{"model":"chat","stream":true,"messages":[{"role":"user","content":"Hello"}]}'`+"\n\n", fleet, one.Address(), one.Address())
-			return errors.Join(untilSignal(one.Errors()), one.Stop(), fleet.Close())
+			return errors.Join(waitForSignal(one.Errors()), one.Stop(), fleet.Close())
 		}}
 }
 
@@ -135,9 +135,9 @@
 	load := func(file string) (proto.Message, error) {
 		m := map[string]proto.Message{"router": &pb.Router{}, "fleet": &pb.Fleet{}, "day": &pb.Day{}, "admission": &pb.Admission{}, "lab": &pb.Experiment{}}[kind]
 		if m == nil {
-			return nil, usage{fmt.Errorf("--kind %q: wanted router, fleet, day, admission or lab", kind)}
+			return nil, usageError{fmt.Errorf("--kind %q: wanted router, fleet, day, admission or lab", kind)}
 		}
-		return m, settings(file, "", m)
+		return m, loadSettings(file, "", m)
 	}
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of settings", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -153,7 +153,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Print(config.Text(config.Effective(m)))
+			fmt.Print(config.Format(config.WithDefaults(m)))
 			return nil
 		}}
 	c.PersistentFlags().StringVar(&kind, "kind", "router", "what the file holds: router, fleet, day, admission or lab")
--- a/cmd/cherryhub/soak.go
+++ b/cmd/cherryhub/soak.go
@@ -37,7 +37,7 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return playSoak(ctx, o, asJSON, os.Stdout)
+			return runSoak(ctx, o, asJSON, os.Stdout)
 		}}
 	f := c.Flags()
 	f.Uint64Var(&o.FirstSeed, "seed", 1, "the first seed")
@@ -51,7 +51,7 @@
 }
 
 // playSoak plays and prints a line a seed, the timeline of a broken rule, and the sum.
-func playSoak(ctx context.Context, o soak.Options, asJSON bool, out io.Writer) error {
+func runSoak(ctx context.Context, o soak.Options, asJSON bool, out io.Writer) error {
 	var sum soak.Summary
 	err := soak.Run(ctx, o, func(v *soak.Result) {
 		sum.Add(v)
@@ -68,22 +68,22 @@
 		}
 	})
 	if errors.Is(err, soak.ErrUnknownFault) || errors.Is(err, soak.ErrSeedCount) || errors.Is(err, soak.ErrParallel) || errors.Is(err, soak.ErrProgram) {
-		return usage{err}
+		return usageError{err}
 	}
 	if err != nil {
 		return err
 	}
-	if err := printSum(out, &sum, asJSON); err != nil {
+	if err := printSummary(out, &sum, asJSON); err != nil {
 		return err
 	}
 	if !sum.Passed() {
-		return errBroken
+		return errCheckFailed
 	}
 	return nil
 }
 
 // printSum prints what a run came to, in a line.
-func printSum(out io.Writer, sum *soak.Summary, asJSON bool) error {
+func printSummary(out io.Writer, sum *soak.Summary, asJSON bool) error {
 	if !asJSON {
 		_, err := fmt.Fprintln(out, sum)
 		return err
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -236,7 +236,7 @@
 	router, proxy := &Target{Name: "router"}, &Target{Name: "proxy"}
 	var err error
 	for _, address := range []*string{&router.address, &router.admin, &proxy.address} {
-		if *address, err = loopback.Address("127.0.0.1"); err != nil {
+		if *address, err = loopback.FreeAddress("127.0.0.1"); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/bench/flood.go
+++ b/internal/bench/flood.go
@@ -89,7 +89,7 @@
 	router := &Target{Name: "router"}
 	var err error
 	for _, address := range []*string{&router.address, &router.admin} {
-		if *address, err = loopback.Address("127.0.0.1"); err != nil {
+		if *address, err = loopback.FreeAddress("127.0.0.1"); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -16,27 +16,27 @@
 // Where the settings say nothing, clients get this part of what descriptors are left, and no more than most: the
 // other half is for engines, two a completion.
 const (
-	connectionsPart = 2
-	connectionsMost = 10000
-	reservePart     = 5
-	anteroomPart    = 8
-	anteroomMost    = 256
-	leavingPart     = 16
-	leavingMost     = 512
+	connectionsDivisor    = 2
+	maxDefaultConnections = 10000
+	reservedDivisor       = 5
+	provisionalDivisor    = 8
+	maxDefaultProvisional = 256
+	closingDivisor        = 16
+	maxDefaultClosing     = 512
 )
 
 // lingerFor is how long a refused connection is read on.
-const lingerFor = 200 * time.Millisecond
+const lingerTimeout = 200 * time.Millisecond
 
 // Rules are what a door goes by, and how the process's descriptors are divided with it. a is the router's own
 // admission or that of its file.
-func Rules(r *pb.Router, a *pb.Admission, limit int) (door.AdmissionConfig, admit.DescriptorBudget, error) {
+func AdmissionConfig(r *pb.Router, a *pb.Admission, limit int) (door.AdmissionConfig, admit.DescriptorBudget, error) {
 	peers := 0
 	if r.GetPeers() != nil {
 		peers = int(r.GetDescriptors().GetPeers())
 	}
 	admin := int(r.GetDescriptors().GetAdmin())
-	entries, tenants := clients(r, a)
+	entries, tenants := knownClients(r, a)
 	or := func(set int32, otherwise int) int {
 		if set > 0 {
 			return int(set)
@@ -48,12 +48,12 @@
 		ProvisionalFloodRate: a.GetFloodNewPerS(), MaxRetryAfter: a.GetMaxWaitS(), ProvisionalTimeout: a.GetAnteroomS(), HeaderTimeout: a.GetHeaderS(),
 		IdleTimeout: r.GetTiming().GetIdleS(), MaxRequestsPerConnection: int(a.GetCallsPerConnection()), MaxCompletionsPerClient: int(a.GetClientCompletions()),
 		MaxCompletionsPerAddress: int(a.GetAddressCompletions()), MaxRememberedRateLimits: int(a.GetRememberedReturns()), MaxCompletions: int(r.GetLimits().GetMaxCompletions())}
-	s.MaxClosing = or(a.GetLeaving(), min(limit/leavingPart, leavingMost))
+	s.MaxClosing = or(a.GetLeaving(), min(limit/closingDivisor, maxDefaultClosing))
 	left := limit - admit.ProcessDescriptors - admin - peers - s.MaxClosing
-	s.MaxConnections = or(a.GetMaxConnections(), min(left/connectionsPart, connectionsMost))
+	s.MaxConnections = or(a.GetMaxConnections(), min(left/connectionsDivisor, maxDefaultConnections))
 	if len(entries) > 0 {
-		s.ReservedConnections = or(a.GetReserveConnections(), s.MaxConnections/reservePart)
-		s.MaxProvisional = or(a.GetAnteroom(), min(s.MaxConnections/anteroomPart, anteroomMost))
+		s.ReservedConnections = or(a.GetReserveConnections(), s.MaxConnections/reservedDivisor)
+		s.MaxProvisional = or(a.GetAnteroom(), min(s.MaxConnections/provisionalDivisor, maxDefaultProvisional))
 	}
 	d, err := admit.DivideDescriptors(limit, admin, peers, s)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	s.MaxCompletions = d.MaxCompletions
 	if len(entries) > 0 {
-		s.ReservedCompletions = min(or(a.GetReserveCompletions(), s.MaxCompletions/reservePart), s.MaxCompletions-1)
+		s.ReservedCompletions = min(or(a.GetReserveCompletions(), s.MaxCompletions/reservedDivisor), s.MaxCompletions-1)
 	}
 	var seed [8]byte
 	rand.Read(seed[:]) //nolint:errcheck // never fails
@@ -72,19 +72,19 @@
 }
 
 // clients are the known ones: tenants by their keys, and those of the admission.
-func clients(r *pb.Router, a *pb.Admission) ([]admit.ClientConfig, []int) {
+func knownClients(r *pb.Router, a *pb.Admission) ([]admit.ClientConfig, []int) {
 	var entries []admit.ClientConfig
 	var tenants []int
 	byName := map[string]int{}
 	for i, t := range r.GetTenants() {
 		byName[t.GetName()] = i
 		if len(t.GetKeySha256()) > 0 {
-			entries = append(entries, admit.ClientConfig{Name: t.GetName(), KeyHashes: sums(t.GetKeySha256())})
+			entries = append(entries, admit.ClientConfig{Name: t.GetName(), KeyHashes: decodeKeyHashes(t.GetKeySha256())})
 			tenants = append(tenants, i)
 		}
 	}
 	for _, k := range a.GetClients() {
-		e := admit.ClientConfig{Name: k.GetName(), KeyHashes: sums(k.GetKeySha256()), CertificateNames: slices.Clone(k.GetCertificates())}
+		e := admit.ClientConfig{Name: k.GetName(), KeyHashes: decodeKeyHashes(k.GetKeySha256()), CertificateNames: slices.Clone(k.GetCertificates())}
 		for _, text := range k.GetRanges() {
 			if p, err := netip.ParsePrefix(text); err == nil { // checked with the settings
 				e.AddressRanges = append(e.AddressRanges, p)
@@ -104,7 +104,7 @@
 	return entries, tenants
 }
 
-func sums(hexes []string) [][32]byte {
+func decodeKeyHashes(hexes []string) [][32]byte {
 	var all [][32]byte
 	for _, k := range hexes {
 		var sum [32]byte
@@ -115,9 +115,9 @@
 }
 
 // Door are a door's options; listener, rules and log are the caller's to add.
-func Door(r *pb.Router, a *pb.Admission) door.Options {
+func ListenerOptions(r *pb.Router, a *pb.Admission) door.Options {
 	l := r.GetLimits()
-	o := door.Options{MaxUnreadBytes: int(l.GetMaxBodyBytes()+l.GetMaxHeaderBytes()) + unreadMore, LingerTimeout: lingerFor}
+	o := door.Options{MaxUnreadBytes: int(l.GetMaxBodyBytes()+l.GetMaxHeaderBytes()) + extraUnreadBytes, LingerTimeout: lingerTimeout}
 	rand.Read(o.KeyHashSecret[:]) //nolint:errcheck // never fails
 	if t := r.GetTls(); t != nil {
 		o.TLS = &door.TLSOptions{CertificateFile: t.GetCertificateFile(), KeyFile: t.GetKeyFile(), ClientCAFile: t.GetClientCaFile(), MinVersion: tls.VersionTLS12,
@@ -130,4 +130,4 @@
 }
 
 // unreadMore is what a client may send ahead besides a whole call, in bytes: the next call's beginning.
-const unreadMore = 64 << 10
+const extraUnreadBytes = 64 << 10
--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -15,7 +15,7 @@
 	pb "cherryhub/proto"
 )
 
-func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
+func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
 // Seconds is a number of seconds as a duration.
 func Seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
@@ -31,7 +31,7 @@
 }
 
 // figures are where load reports are found: where the settings say nothing, vLLM's names.
-func figures(r *pb.LoadReports) engine.LoadMetrics {
+func loadMetrics(r *pb.LoadReports) engine.LoadMetrics {
 	if r == nil {
 		r = &pb.LoadReports{
 			Waiting:    &pb.Figure{Orca: proto.String("named_metrics.num_requests_waiting"), Prometheus: proto.String("vllm:num_requests_waiting")},
@@ -53,10 +53,10 @@
 }
 
 // Decide are the settings that the planner's module is told.
-func Decide(r *pb.Router) decide.Settings {
+func DecideSettings(r *pb.Router) decide.Settings {
 	a, cold := r.GetAllowed(), r.GetCold()
 	s := decide.Settings{Seed: r.GetSeed(), Routers: int(r.GetRouters()), OverShareValue: r.GetOverShareValue(),
-		ReportColumns: figures(r.GetReports()).Columns(), ProbesAllowed: a.GetProbes(), ReservationsAllowed: a.GetPlaces(), WriterReadsAllowed: a.GetWritersRead(),
+		ReportColumns: loadMetrics(r.GetReports()).Columns(), ProbesAllowed: a.GetProbes(), ReservationsAllowed: a.GetPlaces(), WriterReadsAllowed: a.GetWritersRead(),
 		CancelAllowed: a.GetCancels(), MaxDispatches: int(a.GetMaxDispatches()), MaxRetryAfter: a.GetMaxComeBackS(),
 		ColdStartShare: cold.GetStartShare(), WarmUpTime: cold.GetWarmS(), OverloadMultiple: cold.GetFallMultiple(), OverloadWindow: cold.GetFallWindowS(),
 		Tick: r.GetTiming().GetTickMs() / 1000, CrossCellPrice: r.GetPrices().GetFarState(), CrossZonePrice: r.GetPrices().GetCrossZone()}
@@ -70,7 +70,7 @@
 	for _, w := range r.GetWorkloads() {
 		s.Workloads = append(s.Workloads, decide.Workload{LatencyTarget: w.GetLatencyTargetS(),
 			LatencyTargetPerToken: w.GetLatencyTargetSPer_1000Tokens() / 1000, InterTokenTarget: w.GetTokenTargetMs() / 1000, Value: w.GetValue(),
-			Idempotency: effectOf(w.GetEffect()), DedupScope: groupOf(w.GetGroup()), DedupWindow: w.GetRememberedS()})
+			Idempotency: idempotencyOf(w.GetEffect()), DedupScope: dedupScopeOf(w.GetGroup()), DedupWindow: w.GetRememberedS()})
 	}
 	for _, t := range r.GetTenants() {
 		s.Tenants = append(s.Tenants, decide.Tenant{Rate: t.GetSharePerS()})
@@ -78,7 +78,7 @@
 	return s
 }
 
-func effectOf(e pb.Effect) decide.Idempotency {
+func idempotencyOf(e pb.Effect) decide.Idempotency {
 	switch e {
 	case pb.Effect_IDEMPOTENT:
 		return decide.Idempotent
@@ -88,7 +88,7 @@
 	return decide.NonIdempotent
 }
 
-func groupOf(g pb.Group) decide.DedupScope {
+func dedupScopeOf(g pb.Group) decide.DedupScope {
 	switch g {
 	case pb.Group_ZONE:
 		return decide.DedupZone
@@ -99,7 +99,7 @@
 }
 
 // Planner are the planner's options; its log is the caller's to add.
-func Planner(r *pb.Router) planner.Options {
+func PlannerOptions(r *pb.Router) planner.Options {
 	o := planner.Options{Zone: r.GetZone(), MaxEngines: int(r.GetList().GetMaxEngines()), MaxQueuedCompletions: int(r.GetLimits().GetMailbox()),
 		MaxOpenCompletions: int(r.GetLimits().GetMaxCompletions())}
 	for _, m := range r.GetMachines() {
@@ -109,16 +109,16 @@
 }
 
 // Engine are the engine client's options.
-func Engine(r *pb.Router) engine.Options {
+func EngineOptions(r *pb.Router) engine.Options {
 	t := r.GetTiming()
-	return engine.Options{ConnectTimeout: ms(t.GetConnectTimeoutMs()), ProbeTimeout: ms(t.GetProbeTimeoutMs()),
+	return engine.Options{ConnectTimeout: milliseconds(t.GetConnectTimeoutMs()), ProbeTimeout: milliseconds(t.GetProbeTimeoutMs()),
 		IdleConnTimeout: Seconds(t.GetEngineIdleS()), StreamIdleTimeout: Seconds(t.GetStreamIdleS()),
-		MaxEventBytes: int(r.GetLimits().GetMaxEventBytes()), SourceAddress: r.GetSourceAddress(), LoadMetrics: figures(r.GetReports())}
+		MaxEventBytes: int(r.GetLimits().GetMaxEventBytes()), SourceAddress: r.GetSourceAddress(), LoadMetrics: loadMetrics(r.GetReports())}
 }
 
 // Edge are the edge's options; listener, engines, log and observer are the caller's to add. a is the router's own
 // admission or that of its file.
-func Edge(r *pb.Router, a *pb.Admission) edge.Options {
+func EdgeOptions(r *pb.Router, a *pb.Admission) edge.Options {
 	l, t, id := r.GetLimits(), r.GetTiming(), r.GetIdentity()
 	o := edge.Options{
 		Limits: edge.Limits{MaxBodyBytes: int(l.GetMaxBodyBytes()), MaxHeaderBytes: int(l.GetMaxHeaderBytes()),
@@ -126,7 +126,7 @@
 		Identity: edge.Identity{SessionFields: id.GetSessionFrom(), LeadingMessagesShared: id.GetSharedFromLeading(),
 			BytesPerToken: id.GetBytesPerToken()},
 		MaxBodyLag: Seconds(a.GetBodyWaitS()), MinBodyRate: a.GetBodyBytesPerS(), MinClientReadRate: a.GetReadBytesPerS(),
-		AnswerMargin: ms(t.GetAnswerMarginMs()), HoldLimit: Seconds(r.GetLetGoS()), MaxStreamDuration: Seconds(t.GetStreamMostS()),
+		AnswerMargin: milliseconds(t.GetAnswerMarginMs()), HoldLimit: Seconds(r.GetLetGoS()), MaxStreamDuration: Seconds(t.GetStreamMostS()),
 		ClientWriteTimeout: Seconds(t.GetClientWriteS()), IdleTimeout: Seconds(t.GetIdleS()), RetryAfter: Seconds(r.GetAllowed().GetMaxComeBackS()),
 	}
 	if len(o.Identity.SessionFields) == 0 {
@@ -138,23 +138,23 @@
 			models = []string{w.GetName()}
 		}
 		o.Workloads = append(o.Workloads, edge.Workload{Name: w.GetName(), Models: models, ClientTimeout: Seconds(w.GetClientTimeoutS()),
-			Idempotency: effectOf(w.GetEffect()), DefaultMaxTokens: int(w.GetMaxAnswerTokens())})
+			Idempotency: idempotencyOf(w.GetEffect()), DefaultMaxTokens: int(w.GetMaxAnswerTokens())})
 	}
 	for _, t := range r.GetTenants() {
-		o.Tenants = append(o.Tenants, edge.Tenant{Name: t.GetName(), Anonymous: t.GetAnonymous(), KeyHashes: sums(t.GetKeySha256())})
+		o.Tenants = append(o.Tenants, edge.Tenant{Name: t.GetName(), Anonymous: t.GetAnonymous(), KeyHashes: decodeKeyHashes(t.GetKeySha256())})
 	}
 	return o
 }
 
 // Peer are the options of a router among others, nil where it is alone. What it does and tells are the caller's
 // to add.
-func Peer(r *pb.Router) *peer.Options {
+func PeerOptions(r *pb.Router) *peer.Options {
 	p := r.GetPeers()
 	if p == nil {
 		return nil
 	}
 	self := duty.Member{Name: r.GetName(), Incarnation: uint64(time.Now().UnixMilli()), Zone: r.GetZone(), Weight: p.GetWeight()}
 	return &peer.Options{Duty: duty.Settings{Self: self, SettleTime: p.GetSettleS(), LeaseTime: p.GetLeaseS(), HandoverDelay: p.GetHandOverS(), MaxJoins: int(p.GetMoves())},
-		ProbeInterval: p.GetProbeIntervalS(), Candidates: int(p.GetCandidates()), OwnProbesPerSecond: p.GetOwnProbesPerS(), ReportColumns: figures(r.GetReports()).Columns(),
+		ProbeInterval: p.GetProbeIntervalS(), Candidates: int(p.GetCandidates()), OwnProbesPerSecond: p.GetOwnProbesPerS(), ReportColumns: loadMetrics(r.GetReports()).Columns(),
 		Membership: member.Options{Self: self, Listen: p.GetListen(), Seeds: p.GetSeeds(), KeyHex: p.GetKeyHex()}}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -117,8 +117,8 @@
 		m := empty()
 		require.NoError(t, Parse(name, text, m))
 		again := empty()
-		require.NoError(t, Parse(name, []byte(Text(Effective(m))), again))
-		assert.True(t, proto.Equal(Effective(m), again), name)
+		require.NoError(t, Parse(name, []byte(Format(WithDefaults(m))), again))
+		assert.True(t, proto.Equal(WithDefaults(m), again), name)
 		return nil
 	}))
 	assert.GreaterOrEqual(t, seen, 6)
@@ -131,7 +131,7 @@
 workloads { name: "c" }
 tenants { name: "t" anonymous: true share_per_s: 4 }
 routers: 3 seed: 5 cold { warm_s: 9 } prices { far_state: 0.5 } allowed { probes: false }`), r))
-	s := Decide(r)
+	s := DecideSettings(r)
 	assert.Equal(t, []decide.Role{decide.Writer, decide.Reader}, s.Roles)
 	assert.Equal(t, []float64{150000, 5000}, s.Memory)
 	assert.Equal(t, decide.Workload{LatencyTarget: 1.5, LatencyTargetPerToken: 0.0005, InterTokenTarget: 0.08, Value: 2, Idempotency: decide.Tokened, DedupScope: decide.DedupCell, DedupWindow: 9}, s.Workloads[1])
@@ -154,11 +154,11 @@
 			require.ErrorContains(t, err, "file")
 			return
 		}
-		_, err := decide.New(Decide(r), nil)
+		_, err := decide.New(DecideSettings(r), nil)
 		require.NoError(t, err)
-		Edge(r, r.GetAdmission())
-		Engine(r)
-		Planner(r)
+		EdgeOptions(r, r.GetAdmission())
+		EngineOptions(r)
+		PlannerOptions(r)
 	})
 }
 
@@ -167,7 +167,7 @@
 	r := &pb.Router{}
 	require.NoError(t, Parse("f", []byte(good+fmt.Sprintf(`tenants { name: "t" key_sha256: %q } tenants { name: "all" anonymous: true }
 admission { clients { name: "office" tenant: "t" ranges: "10.1.0.0/16" } clients { name: "guest" certificates: "g.example" } }`, sum)), r))
-	rules, d, err := Rules(r, r.GetAdmission(), 20000)
+	rules, d, err := AdmissionConfig(r, r.GetAdmission(), 20000)
 	require.NoError(t, err)
 	assert.Equal(t, 20000, d.Process+d.Admin+d.Peers+d.Connections+d.Closing+d.Engines)
 	s := rules.Settings
@@ -183,16 +183,16 @@
 	assert.Equal(t, []int{0, 0, -1}, rules.ClientTenants)
 
 	for _, limit := range []int{256, 1024, 4096, 1 << 20} { // the defaults fit whatever a machine gives
-		_, d, err := Rules(r, nil, limit)
+		_, d, err := AdmissionConfig(r, nil, limit)
 		require.NoError(t, err, "%d", limit)
 		assert.Positive(t, d.MaxCompletions)
 	}
-	_, _, err = Rules(r, &pb.Admission{MaxConnections: proto.Int32(5000)}, 1024)
+	_, _, err = AdmissionConfig(r, &pb.Admission{MaxConnections: proto.Int32(5000)}, 1024)
 	assert.ErrorContains(t, err, "1024 descriptors = 64 own + 32 admin + 0 peers + 5000 client connections")
 	assert.ErrorContains(t, err, "nothing is left for engines")
 
 	r.AdmissionFile, r.Admission = proto.String("x"), nil
-	assert.NoError(t, Parse("f", []byte(Text(Effective(r))), &pb.Router{}), "what is printed can be read")
+	assert.NoError(t, Parse("f", []byte(Format(WithDefaults(r))), &pb.Router{}), "what is printed can be read")
 }
 
 func TestExperiment(t *testing.T) {
@@ -200,15 +200,15 @@
 router { machines { name: "m" role: MIXED } workloads { name: "w" value: 2 client_timeout_s: 4 } list {} } }`
 	x := &pb.Experiment{}
 	require.NoError(t, Parse("f", []byte(good), x))
-	e := Experiment(x)
+	e := LabExperiment(x)
 	assert.Len(t, e.Seeds, 6)
-	assert.Equal(t, 4.0, e.Days[0].Loads[0].Timeout)
+	assert.Equal(t, 4.0, e.Days[0].Loads[0].ClientTimeout)
 	assert.Equal(t, 0.002, e.Days[0].Loads[0].ValuePerToken)
 	o, err := e.Run(t.Context())
 	require.NoError(t, err)
 	assert.Positive(t, o.Results[0][0][0].Finished)
 	file := filepath.Join(t.TempDir(), "results")
-	kept := Results(x, o)
+	kept := LabResults(x, o)
 	require.NoError(t, SaveResults(file, kept))
 	again, err := LoadResults(file)
 	require.NoError(t, err)
@@ -237,12 +237,12 @@
 	} {
 		assert.ErrorContains(t, Parse("f", []byte(text), &pb.Experiment{}), want)
 	}
-	for p, b := range map[pb.LabVariant_Policy]lab.Baseline{pb.LabVariant_DECIDE: lab.None, pb.LabVariant_RANDOM: lab.Random,
-		pb.LabVariant_LEAST_OWN: lab.LeastOwn, pb.LabVariant_TWO_CHOICES: lab.TwoChoices, pb.LabVariant_PREFIX_ONLY: lab.PrefixOnly} {
+	for p, b := range map[pb.LabVariant_Policy]lab.Baseline{pb.LabVariant_DECIDE: lab.NoBaseline, pb.LabVariant_RANDOM: lab.Random,
+		pb.LabVariant_LEAST_OWN: lab.LeastOutstanding, pb.LabVariant_TWO_CHOICES: lab.TwoChoices, pb.LabVariant_PREFIX_ONLY: lab.PrefixOnly} {
 		assert.Equal(t, b, lab.Baseline(p), "numbered alike")
 	}
-	for p, k := range map[pb.LabTrouble_Kind]lab.Kind{pb.LabTrouble_PAUSE: lab.Pause, pb.LabTrouble_SLOW: lab.Slow, pb.LabTrouble_CREEP: lab.Creep,
+	for p, k := range map[pb.LabTrouble_Kind]lab.TroubleKind{pb.LabTrouble_PAUSE: lab.Pause, pb.LabTrouble_SLOW: lab.Slow, pb.LabTrouble_CREEP: lab.Creep,
 		pb.LabTrouble_DIE: lab.Die, pb.LabTrouble_SITE_OUT: lab.SiteOut, pb.LabTrouble_DRAINED: lab.Drained} {
-		assert.Equal(t, k, lab.Kind(p), "numbered alike")
+		assert.Equal(t, k, lab.TroubleKind(p), "numbered alike")
 	}
 }
--- a/internal/config/lab.go
+++ b/internal/config/lab.go
@@ -11,64 +11,64 @@
 )
 
 // experiment checks what a schema can't say of an experiment.
-func (c *checker) experiment(x *pb.Experiment) {
+func (c *checker) checkExperiment(x *pb.Experiment) {
 	days, variants := map[string]bool{}, map[string]bool{}
 	for i, v := range x.GetVariants() {
-		c.differ(variants, fmt.Sprintf("variants[%d].name", i), v.GetName())
+		c.checkUnique(variants, fmt.Sprintf("variants[%d].name", i), v.GetName())
 		if p := v.GetPeers(); p != nil && p.GetLeaseS() <= p.GetSettleS() {
-			c.add(fmt.Sprintf("variants[%d].peers.lease_s", i), "%v is not above settle_s, %v", p.GetLeaseS(), p.GetSettleS())
+			c.addError(fmt.Sprintf("variants[%d].peers.lease_s", i), "%v is not above settle_s, %v", p.GetLeaseS(), p.GetSettleS())
 		}
 	}
 	for i, d := range x.GetDays() {
 		at := fmt.Sprintf("days[%d].", i)
-		c.differ(days, at+"name", d.GetName())
-		c.router(d.GetRouter(), at+"router.", false)
+		c.checkUnique(days, at+"name", d.GetName())
+		c.checkRouter(d.GetRouter(), at+"router.", false)
 		workloads := map[string]bool{}
 		for _, w := range d.GetRouter().GetWorkloads() {
 			workloads[w.GetName()] = true
 		}
 		for j, l := range d.GetLoads() {
 			if !workloads[l.GetWorkload()] {
-				c.add(fmt.Sprintf("%sloads[%d].workload", at, j), "%q is none of the router's workloads", l.GetWorkload())
+				c.addError(fmt.Sprintf("%sloads[%d].workload", at, j), "%q is none of the router's workloads", l.GetWorkload())
 			}
 		}
 		writes := false
 		for j, g := range d.GetGroups() {
 			if g.GetRole() == pb.Role_ROLE_UNSPECIFIED {
-				c.add(fmt.Sprintf("%sgroups[%d].role", at, j), "must be READER, WRITER or MIXED")
+				c.addError(fmt.Sprintf("%sgroups[%d].role", at, j), "must be READER, WRITER or MIXED")
 			}
 			if g.GetStepMs() == 0 && (g.GetReadUs() == 0 || g.GetWriteUs() == 0) {
-				c.add(fmt.Sprintf("%sgroups[%d].step_ms", at, j), "0: a step would take no time, wanted it or read_us and write_us above 0")
+				c.addError(fmt.Sprintf("%sgroups[%d].step_ms", at, j), "0: a step would take no time, wanted it or read_us and write_us above 0")
 			}
 			writes = writes || g.GetRole() != pb.Role_READER
 		}
 		if !writes {
-			c.add(at+"groups", "none can write: a WRITER or a MIXED one is wanted")
+			c.addError(at+"groups", "none can write: a WRITER or a MIXED one is wanted")
 		}
 		for j, t := range d.GetTroubles() {
 			field := fmt.Sprintf("%stroubles[%d].", at, j)
 			switch groups := d.GetGroups(); {
 			case t.GetKind() == pb.LabTrouble_SITE_OUT:
 			case int(t.GetGroup()) >= len(groups):
-				c.add(field+"group", "%d is none of %d, from 0", t.GetGroup(), len(groups))
+				c.addError(field+"group", "%d is none of %d, from 0", t.GetGroup(), len(groups))
 			case t.GetFirst()+t.GetCount() > groups[t.GetGroup()].GetCount():
-				c.add(field+"count", "engines %d to %d are more than the group's %d", t.GetFirst(), t.GetFirst()+t.GetCount()-1, groups[t.GetGroup()].GetCount())
+				c.addError(field+"count", "engines %d to %d are more than the group's %d", t.GetFirst(), t.GetFirst()+t.GetCount()-1, groups[t.GetGroup()].GetCount())
 			}
 		}
 	}
 }
 
 // Experiment is one as the laboratory plays it.
-func Experiment(x *pb.Experiment) *lab.Experiment {
+func LabExperiment(x *pb.Experiment) *lab.Experiment {
 	o := &lab.Experiment{}
 	for _, d := range x.GetDays() {
-		o.Days = append(o.Days, labDay(d))
+		o.Days = append(o.Days, labSettings(d))
 	}
 	for i := range x.GetSeeds() {
 		o.Seeds = append(o.Seeds, uint64(i+1))
 	}
 	for _, v := range x.GetVariants() {
-		o.Variants = append(o.Variants, lab.Variant{Name: v.GetName(), Change: func(s *lab.Settings) {
+		o.Variants = append(o.Variants, lab.Variant{Name: v.GetName(), Apply: func(s *lab.Settings) {
 			s.Baseline = lab.Baseline(v.GetPolicy()) // numbered alike
 			if n := v.GetRouters(); n > 0 {
 				s.Routers = int(n)
@@ -92,15 +92,15 @@
 	return o
 }
 
-func labDay(d *pb.LabDay) lab.Settings {
+func labSettings(d *pb.LabDay) lab.Settings {
 	r := proto.CloneOf(d.GetRouter())
 	r.Seed = proto.Uint64(1) // the experiment's seeds count
-	s := lab.Settings{Length: d.GetLengthS(), Routers: int(d.GetRouters()), Zones: int(d.GetZones()), Way: d.GetWayMs() / 1000,
-		Link: d.GetLinkTokensPerS(), ListLate: d.GetListLateS(), Decide: Decide(r)}
+	s := lab.Settings{Duration: d.GetLengthS(), Routers: int(d.GetRouters()), Zones: int(d.GetZones()), OneWayDelay: d.GetWayMs() / 1000,
+		LinkTokensPerSecond: d.GetLinkTokensPerS(), ListDelay: d.GetListLateS(), Decide: DecideSettings(r)}
 	s.Decide.ReservationsAllowed = false // not played
 	cold := r.GetCold()
 	for _, g := range d.GetGroups() {
-		s.Groups = append(s.Groups, lab.Group{Role: roleOf(g.GetRole()), Count: int(g.GetCount()), Zone: int(g.GetZone()), Cell: int(g.GetCell()),
+		s.Groups = append(s.Groups, lab.EngineGroup{Role: roleOf(g.GetRole()), Count: int(g.GetCount()), Zone: int(g.GetZone()), Cell: int(g.GetCell()),
 			Model: emulate.Model{Slots: int(g.GetSlots()), Queue: int(g.GetQueue()), BlockTokens: int(g.GetBlockTokens()), Blocks: int(g.GetBlocks()),
 				StepTokens: int(g.GetStepTokens()), StepBase: g.GetStepMs() / 1e3, ReadToken: g.GetReadUs() / 1e6, WriteToken: g.GetWriteUs() / 1e6,
 				ContextToken: g.GetContextUs() / 1e6, StartShare: cold.GetStartShare(), Warm: cold.GetWarmS()}})
@@ -108,15 +108,15 @@
 	for _, l := range d.GetLoads() {
 		for i, w := range r.GetWorkloads() {
 			if w.GetName() == l.GetWorkload() {
-				s.Loads = append(s.Loads, lab.Load{Rate: l.GetPerS(), Workload: i, Prompt: l.GetPromptTokens(), Shared: int(l.GetSharedTokens()),
-					Answer: l.GetAnswerTokens(), Timeout: w.GetClientTimeoutS(), MaxAnswer: int(w.GetMaxAnswerTokens()), KeptTurns: int(l.GetTurns()),
-					TurnsApart: l.GetTurnsApartS(), ValuePerToken: w.GetValue() / 1000})
+				s.Loads = append(s.Loads, lab.Load{Rate: l.GetPerS(), Workload: i, MeanPromptTokens: l.GetPromptTokens(), SharedPrefixTokens: int(l.GetSharedTokens()),
+					MeanOutputTokens: l.GetAnswerTokens(), ClientTimeout: w.GetClientTimeoutS(), MaxOutputTokens: int(w.GetMaxAnswerTokens()), Turns: int(l.GetTurns()),
+					MeanTurnGap: l.GetTurnsApartS(), ValuePerToken: w.GetValue() / 1000})
 			}
 		}
 	}
 	for _, t := range d.GetTroubles() {
-		s.Troubles = append(s.Troubles, lab.Trouble{Kind: lab.Kind(t.GetKind()), At: t.GetAtS(), Length: t.GetLengthS(), Group: int(t.GetGroup()), // numbered alike
-			First: int(t.GetFirst()), Count: int(t.GetCount()), Zone: int(t.GetZone()), Times: t.GetTimes()})
+		s.Troubles = append(s.Troubles, lab.Trouble{Kind: lab.TroubleKind(t.GetKind()), At: t.GetAtS(), Duration: t.GetLengthS(), Group: int(t.GetGroup()), // numbered alike
+			FirstEngine: int(t.GetFirst()), EngineCount: int(t.GetCount()), Zone: int(t.GetZone()), Slowdown: t.GetTimes()})
 	}
 	return s
 }
--- a/internal/config/labresults.go
+++ b/internal/config/labresults.go
@@ -16,8 +16,8 @@
 )
 
 // Results are an experiment's, to be kept.
-func Results(x *pb.Experiment, o *lab.Outcome) *pb.LabResults {
-	all := &pb.LabResults{Experiment: x, Revision: proto.String(revision())}
+func LabResults(x *pb.Experiment, o *lab.ExperimentResults) *pb.LabResults {
+	all := &pb.LabResults{Experiment: x, Revision: proto.String(buildRevision())}
 	for d, by := range o.Results {
 		for v, seeds := range by {
 			for s, r := range seeds {
@@ -33,7 +33,7 @@
 }
 
 // revision is the commit that this program was built from, with a mark where files differed.
-func revision() string {
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
@@ -76,7 +76,7 @@
 }
 
 // resultsMost bounds a file of results once it is unpacked, in bytes.
-const resultsMost = 256 << 20
+const maxResultsBytes = 256 << 20
 
 // LoadResults reads a file that SaveResults wrote.
 func LoadResults(file string) (*pb.LabResults, error) {
@@ -87,15 +87,15 @@
 	defer f.Close()
 	r, err := gzip.NewReader(f)
 	if err != nil {
-		return nil, Problem{File: file, Text: "no results of lab run --save: " + err.Error()}
+		return nil, FileError{File: file, Message: "no results of lab run --save: " + err.Error()}
 	}
-	text, err := io.ReadAll(io.LimitReader(r, resultsMost+1))
-	if err == nil && len(text) > resultsMost {
-		err = fmt.Errorf("longer than %d bytes unpacked", resultsMost)
+	text, err := io.ReadAll(io.LimitReader(r, maxResultsBytes+1))
+	if err == nil && len(text) > maxResultsBytes {
+		err = fmt.Errorf("longer than %d bytes unpacked", maxResultsBytes)
 	}
 	all := &pb.LabResults{}
 	if err = errors.Join(err, proto.Unmarshal(text, all)); err != nil {
-		return nil, Problem{File: file, Text: "no results of lab run --save: " + err.Error()}
+		return nil, FileError{File: file, Message: "no results of lab run --save: " + err.Error()}
 	}
 	return all, nil
 }
@@ -126,7 +126,7 @@
 	}
 	var all []lab.Difference
 	for _, v := range variants {
-		all = append(all, lab.Differ(v, pairs[v]))
+		all = append(all, lab.NewDifference(v, pairs[v]))
 	}
 	return all, nil
 }
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -25,46 +25,46 @@
 )
 
 // load is a day's clients.
-type load struct {
-	p      *player
-	client *http.Client
-	next   atomic.Int64 // completions
-	turn   atomic.Int64 // of routers
-	works  map[string]int
+type clientLoad struct {
+	run           *dayRun
+	httpClient    *http.Client
+	lastID        atomic.Int64 // completions
+	nextRouter    atomic.Int64 // of routers
+	workloadIndex map[string]int
 }
 
-func newLoad(p *player) *load {
-	l := &load{p: p, works: map[string]int{}, client: &http.Client{Transport: &http.Transport{
+func newClientLoad(p *dayRun) *clientLoad {
+	l := &clientLoad{run: p, workloadIndex: map[string]int{}, httpClient: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 256, DisableCompression: true, IdleConnTimeout: 10 * time.Second}}}
 	for i, w := range p.day.GetRouter().GetWorkloads() {
-		l.works[w.GetName()] = i
+		l.workloadIndex[w.GetName()] = i
 	}
 	return l
 }
 
 // session is one client's talk, drawn before the day begins.
 type session struct {
-	at    float64 // seconds
-	c     *pb.Clients
-	seed  uint64
-	turns int
+	startsAt float64 // seconds
+	clients  *pb.Clients
+	seed     uint64
+	turns    int
 }
 
 // draw draws all sessions: a Poisson process whose rate follows the script.
-func (l *load) draw() (all []session) {
-	d := l.p.day
+func (l *clientLoad) drawSessions() (all []session) {
+	d := l.run.day
 	for i, c := range d.GetClients() {
 		rng := rand.New(rand.NewPCG(d.GetSeed(), 1000+uint64(i)))
-		highest := c.GetSessionsPerS() * l.most()
+		highest := c.GetSessionsPerS() * l.maxOverloadFactor()
 		if highest <= 0 {
 			continue
 		}
 		for at := rng.ExpFloat64() / highest; at < d.GetLengthS(); at += rng.ExpFloat64() / highest {
-			s := session{at: at, c: c, seed: rng.Uint64(), turns: 1}
+			s := session{startsAt: at, clients: c, seed: rng.Uint64(), turns: 1}
 			for rng.Float64() > 1/c.GetTurns() && s.turns < maxTurns {
 				s.turns++
 			}
-			if rng.Float64()*l.most() < l.overload(at) {
+			if rng.Float64()*l.maxOverloadFactor() < l.overloadFactor(at) {
 				all = append(all, s)
 			}
 		}
@@ -74,17 +74,17 @@
 
 const maxTurns = 20
 
-func (l *load) overload(at float64) float64 {
+func (l *clientLoad) overloadFactor(at float64) float64 {
 	times := 1.0
-	if t := l.trouble(pb.Kind_OVERLOAD, at); t != nil {
+	if t := l.activeTrouble(pb.Kind_OVERLOAD, at); t != nil {
 		times = max(1, t.GetSize())
 	}
 	return times
 }
 
-func (l *load) most() float64 {
+func (l *clientLoad) maxOverloadFactor() float64 {
 	most := 1.0
-	for _, t := range l.p.day.GetTroubles() {
+	for _, t := range l.run.day.GetTroubles() {
 		if t.GetKind() == pb.Kind_OVERLOAD {
 			most = max(most, t.GetSize())
 		}
@@ -93,8 +93,8 @@
 }
 
 // trouble is the clients' trouble of a kind that is in force, nil for none.
-func (l *load) trouble(kind pb.Kind, at float64) *pb.Trouble {
-	for _, t := range l.p.day.GetTroubles() {
+func (l *clientLoad) activeTrouble(kind pb.Kind, at float64) *pb.Trouble {
+	for _, t := range l.run.day.GetTroubles() {
 		if t.GetKind() == kind && at >= t.GetAtS() && at < t.GetAtS()+t.GetLengthS() {
 			return t
 		}
@@ -103,19 +103,19 @@
 }
 
 // run plays all sessions and waits for their ends.
-func (l *load) run(ctx context.Context) {
-	all := l.draw()
+func (l *clientLoad) runSessions(ctx context.Context) {
+	all := l.drawSessions()
 	start := time.Now()
 	var wg sync.WaitGroup
 	for _, s := range all {
 		wg.Go(func() {
-			if sleep(ctx, time.Until(start.Add(config.Seconds(s.at)))) {
-				l.talk(ctx, s, start)
+			if sleep(ctx, time.Until(start.Add(config.Seconds(s.startsAt)))) {
+				l.runSession(ctx, s, start)
 			}
 		})
 	}
 	wg.Wait()
-	l.client.CloseIdleConnections()
+	l.httpClient.CloseIdleConnections()
 }
 
 type message struct {
@@ -124,7 +124,7 @@
 }
 
 // text is so many tokens of text, the same for the same seed.
-func text(seed uint64, tokens int) string {
+func randomText(seed uint64, tokens int) string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var b strings.Builder
 	for b.Len() < tokens*4 {
@@ -137,24 +137,24 @@
 var words = strings.Fields("bore flange quote lathe steel part drawing weld order price sheet gauge thread batch shift pallet")
 
 // talk plays one session.
-func (l *load) talk(ctx context.Context, s session, start time.Time) {
+func (l *clientLoad) runSession(ctx context.Context, s session, start time.Time) {
 	rng := rand.New(rand.NewPCG(s.seed, 9))
 	var talk []message
-	if hot := l.trouble(pb.Kind_HOT_BEGINNING, s.at); hot != nil && rng.Float64() < hot.GetSize() {
-		talk = append(talk, message{"system", text(uint64(1e9*hot.GetAtS())+1, int(s.c.GetBeginningTokens())*2)})
-	} else if rng.Float64() < s.c.GetBeginningShare() && s.c.GetBeginnings() > 0 {
-		talk = append(talk, message{"system", text(uint64(rng.IntN(int(s.c.GetBeginnings())))+100, int(s.c.GetBeginningTokens()))})
+	if hot := l.activeTrouble(pb.Kind_HOT_BEGINNING, s.startsAt); hot != nil && rng.Float64() < hot.GetSize() {
+		talk = append(talk, message{"system", randomText(uint64(1e9*hot.GetAtS())+1, int(s.clients.GetBeginningTokens())*2)})
+	} else if rng.Float64() < s.clients.GetBeginningShare() && s.clients.GetBeginnings() > 0 {
+		talk = append(talk, message{"system", randomText(uint64(rng.IntN(int(s.clients.GetBeginnings())))+100, int(s.clients.GetBeginningTokens()))})
 	}
 	for turn := range s.turns {
-		if turn > 0 && !sleep(ctx, config.Seconds(rng.ExpFloat64()*s.c.GetThinkS())) {
+		if turn > 0 && !sleep(ctx, config.Seconds(rng.ExpFloat64()*s.clients.GetThinkS())) {
 			return
 		}
-		tokens := float64(s.c.GetNewTokens()) * (0.3 + 0.7*rng.ExpFloat64())
+		tokens := float64(s.clients.GetNewTokens()) * (0.3 + 0.7*rng.ExpFloat64())
 		now := time.Since(start).Seconds()
-		if t := l.trouble(pb.Kind_LONG_PROMPTS, now); t != nil && rng.Float64() < 0.1 {
+		if t := l.activeTrouble(pb.Kind_LONG_PROMPTS, now); t != nil && rng.Float64() < 0.1 {
 			tokens *= max(1, t.GetSize())
 		}
-		talk = append(talk, message{"user", text(rng.Uint64(), int(math.Min(tokens, 200e3)))})
+		talk = append(talk, message{"user", randomText(rng.Uint64(), int(math.Min(tokens, 200e3)))})
 		answer, ok := l.complete(ctx, s, talk, start, rng)
 		if !ok {
 			return
@@ -164,26 +164,26 @@
 }
 
 // complete plays one completion with its tries.
-func (l *load) complete(ctx context.Context, s session, talk []message, start time.Time, rng *rand.Rand) (answer string, ok bool) {
-	work := l.works[s.c.GetWorkload()]
-	w := l.p.day.GetRouter().GetWorkloads()[work]
-	c := &call{l: l, w: w, work: work, streamed: rng.Float64() < s.c.GetStreamed(), talk: talk, session: strconv.FormatUint(s.seed, 36),
-		most: int(s.c.GetAnswerTokens()), rng: rng}
-	most := int(s.c.GetRetries())
+func (l *clientLoad) complete(ctx context.Context, s session, talk []message, start time.Time, rng *rand.Rand) (answer string, ok bool) {
+	work := l.workloadIndex[s.clients.GetWorkload()]
+	w := l.run.day.GetRouter().GetWorkloads()[work]
+	c := &completionCall{load: l, workload: w, workloadIndex: work, streamed: rng.Float64() < s.clients.GetStreamed(), messages: talk, session: strconv.FormatUint(s.seed, 36),
+		maxTokens: int(s.clients.GetAnswerTokens()), rng: rng}
+	most := int(s.clients.GetRetries())
 	for try := 0; ; try++ {
-		c.timeout, c.stated, c.leaveAt = w.GetClientTimeoutS(), false, 0
-		if rng.Float64() < s.c.GetStatesTimeout() {
-			c.timeout, c.stated = c.timeout*(0.5+rng.Float64()/2), true
+		c.timeout, c.timeoutStated, c.leaveAfter = w.GetClientTimeoutS(), false, 0
+		if rng.Float64() < s.clients.GetStatesTimeout() {
+			c.timeout, c.timeoutStated = c.timeout*(0.5+rng.Float64()/2), true
 		}
-		if rng.Float64() < s.c.GetLeaves() {
-			c.leaveAt = rng.Float64() * 1.5
+		if rng.Float64() < s.clients.GetLeaves() {
+			c.leaveAfter = rng.Float64() * 1.5
 		}
-		kind, wait := c.try(ctx)
-		hard := l.trouble(pb.Kind_CLIENTS_RETRY_HARD, time.Since(start).Seconds())
+		kind, wait := c.attempt(ctx)
+		hard := l.activeTrouble(pb.Kind_CLIENTS_RETRY_HARD, time.Since(start).Seconds())
 		if hard != nil {
 			most, wait = max(most, int(hard.GetSize())), 0
 		} else {
-			wait = max(wait, s.c.GetRetryWaitS()) * (0.75 + rng.Float64()/2)
+			wait = max(wait, s.clients.GetRetryWaitS()) * (0.75 + rng.Float64()/2)
 		}
 		again := kind == pb.ClientEvent_RATE_LIMITED || kind == pb.ClientEvent_NO_CONNECTION ||
 			w.GetEffect() == pb.Effect_IDEMPOTENT && (kind == pb.ClientEvent_ABORTED || kind == pb.ClientEvent_CUT)
@@ -197,59 +197,59 @@
 }
 
 // call is a completion as its client makes it.
-type call struct {
-	l        *load
-	w        *pb.Workload
-	work     int
-	talk     []message
-	session  string
-	most     int
-	streamed bool
-	rng      *rand.Rand
+type completionCall struct {
+	load          *clientLoad
+	workload      *pb.Workload
+	workloadIndex int
+	messages      []message
+	session       string
+	maxTokens     int
+	streamed      bool
+	rng           *rand.Rand
 
-	timeout float64
-	stated  bool
-	leaveAt float64 // 0: it stays
-	id      int64
-	first   int64
-	answer  string
-	prompt  int
+	timeout       float64
+	timeoutStated bool
+	leaveAfter    float64 // 0: it stays
+	id            int64
+	firstTry      int64
+	answer        string
+	promptTokens  int
 }
 
-func (c *call) note(kind pb.ClientEvent_Kind, change func(*pb.ClientEvent)) {
+func (c *completionCall) record(kind pb.ClientEvent_Kind, change func(*pb.ClientEvent)) {
 	e := &pb.ClientEvent{Kind: kind.Enum(), Completion: proto.Int64(c.id)}
 	if change != nil {
 		change(e)
 	}
-	c.l.p.rec.Write(&pb.Entry{What: &pb.Entry_Client{Client: e}})
+	c.load.run.recorder.Write(&pb.Entry{What: &pb.Entry_Client{Client: e}})
 }
 
 // errTimeout ends a try whose client timeout passed.
 var (
-	errTimeout = errors.New("client timeout")
-	errLeft    = errors.New("client left")
+	errClientTimeout = errors.New("client timeout")
+	errClientLeft    = errors.New("client left")
 )
 
 // try makes one try and tells how it ended and how long to wait before the next.
-func (c *call) try(ctx context.Context) (kind pb.ClientEvent_Kind, wait float64) {
-	l := c.l
-	c.id = l.next.Add(1)
-	if c.first == 0 {
-		c.first = c.id
+func (c *completionCall) attempt(ctx context.Context) (kind pb.ClientEvent_Kind, wait float64) {
+	l := c.load
+	c.id = l.lastID.Add(1)
+	if c.firstTry == 0 {
+		c.firstTry = c.id
 	}
-	r := l.p.routers[int(l.turn.Add(1))%len(l.p.routers)]
-	body, err := json.Marshal(map[string]any{"model": c.w.GetName(), "messages": c.talk, "stream": c.streamed, "max_tokens": c.most,
+	r := l.run.routers[int(l.nextRouter.Add(1))%len(l.run.routers)]
+	body, err := json.Marshal(map[string]any{"model": c.workload.GetName(), "messages": c.messages, "stream": c.streamed, "max_tokens": c.maxTokens,
 		"prompt_cache_key": c.session})
 	if err != nil {
 		return pb.ClientEvent_REFUSED, 0
 	}
-	c.prompt = len(body) / 4
+	c.promptTokens = len(body) / 4
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := time.AfterFunc(config.Seconds(c.timeout), func() { cancel(errTimeout) })
+	timer := time.AfterFunc(config.Seconds(c.timeout), func() { cancel(errClientTimeout) })
 	defer timer.Stop()
-	if c.leaveAt > 0 {
-		defer time.AfterFunc(config.Seconds(c.leaveAt), func() { cancel(errLeft) }).Stop()
+	if c.leaveAfter > 0 {
+		defer time.AfterFunc(config.Seconds(c.leaveAfter), func() { cancel(errClientLeft) }).Stop()
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -257,66 +257,66 @@
 	}
 	req.GetBody = nil // net/http would send a call with a key again by itself
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", l.p.day.GetSeed(), c.first))
-	if c.stated {
+	req.Header.Set("Idempotency-Key", fmt.Sprintf("k%d-%d", l.run.day.GetSeed(), c.firstTry))
+	if c.timeoutStated {
 		req.Header.Set("Cherryhub-Timeout", strconv.FormatFloat(c.timeout, 'f', 3, 64))
 	}
-	c.note(pb.ClientEvent_SENT, func(e *pb.ClientEvent) {
-		e.FirstTry, e.Router, e.Workload = proto.Int64(c.first), proto.String(r.name), proto.Int32(int32(c.work))
+	c.record(pb.ClientEvent_SENT, func(e *pb.ClientEvent) {
+		e.FirstTry, e.Router, e.Workload = proto.Int64(c.firstTry), proto.String(r.name), proto.Int32(int32(c.workloadIndex))
 		e.Key, e.TimeoutS, e.Streamed = proto.String(req.Header.Get("Idempotency-Key")), proto.Float64(c.timeout), proto.Bool(c.streamed)
-		e.PromptTokens = proto.Int32(int32(c.prompt))
+		e.PromptTokens = proto.Int32(int32(c.promptTokens))
 	})
-	resp, err := l.client.Do(req)
+	resp, err := l.httpClient.Do(req)
 	if err != nil {
-		return c.failed(ctx, err), 0
+		return c.recordFailure(ctx, err), 0
 	}
 	defer resp.Body.Close()
 	name := resp.Header.Get("X-Request-Id")
 	if resp.StatusCode != http.StatusOK {
 		text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 		if err != nil {
-			return c.failed(ctx, err), 0
+			return c.recordFailure(ctx, err), 0
 		}
-		return c.refused(resp, text, name)
+		return c.recordRefusal(resp, text, name)
 	}
 	if c.streamed {
-		return c.stream(ctx, resp, name, timer), 0
+		return c.readStream(ctx, resp, name, timer), 0
 	}
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return c.failed(ctx, err), 0
+		return c.recordFailure(ctx, err), 0
 	}
 	if !gjson.GetBytes(text, "choices.0.finish_reason").Exists() {
-		c.note(pb.ClientEvent_CUT, func(e *pb.ClientEvent) { e.Detail = proto.String("no whole answer") })
+		c.record(pb.ClientEvent_CUT, func(e *pb.ClientEvent) { e.Detail = proto.String("no whole answer") })
 		return pb.ClientEvent_CUT, 0
 	}
 	c.answer = gjson.GetBytes(text, "choices.0.message.content").Str
-	return c.finished(name), 0
+	return c.recordFinished(name), 0
 }
 
-func (c *call) finished(name string) pb.ClientEvent_Kind {
-	c.note(pb.ClientEvent_FINISHED, func(e *pb.ClientEvent) {
+func (c *completionCall) recordFinished(name string) pb.ClientEvent_Kind {
+	c.record(pb.ClientEvent_FINISHED, func(e *pb.ClientEvent) {
 		e.Detail, e.AnswerTokens, e.Status = proto.String(name), proto.Int32(int32(len(strings.Fields(c.answer)))), proto.Int32(200)
 	})
 	return pb.ClientEvent_FINISHED
 }
 
 // failed is a try that ended without an answer.
-func (c *call) failed(ctx context.Context, err error) pb.ClientEvent_Kind {
+func (c *completionCall) recordFailure(ctx context.Context, err error) pb.ClientEvent_Kind {
 	kind := pb.ClientEvent_CUT
 	switch cause := context.Cause(ctx); {
-	case errors.Is(cause, errTimeout):
+	case errors.Is(cause, errClientTimeout):
 		kind = pb.ClientEvent_GAVE_UP
 	case cause != nil:
 		kind = pb.ClientEvent_LEFT
 	case strings.Contains(err.Error(), "connection refused"):
 		kind = pb.ClientEvent_NO_CONNECTION
 	}
-	c.note(kind, func(e *pb.ClientEvent) { e.Detail = proto.String(err.Error()) })
+	c.record(kind, func(e *pb.ClientEvent) { e.Detail = proto.String(err.Error()) })
 	return kind
 }
 
-func (c *call) refused(resp *http.Response, text []byte, name string) (pb.ClientEvent_Kind, float64) {
+func (c *completionCall) recordRefusal(resp *http.Response, text []byte, name string) (pb.ClientEvent_Kind, float64) {
 	kind := pb.ClientEvent_REFUSED
 	switch {
 	case resp.StatusCode == http.StatusTooManyRequests:
@@ -328,17 +328,17 @@
 	if err != nil {
 		wait = 0
 	}
-	c.note(kind, func(e *pb.ClientEvent) {
+	c.record(kind, func(e *pb.ClientEvent) {
 		e.Status, e.Detail, e.ComeBackS = proto.Int32(int32(resp.StatusCode)), proto.String(name), proto.Float64(wait/1000)
 	})
 	if kind == pb.ClientEvent_REFUSED {
-		c.l.p.o.Progress(fmt.Sprintf("refused: %d %.200s", resp.StatusCode, text))
+		c.load.run.options.OnProgress(fmt.Sprintf("refused: %d %.200s", resp.StatusCode, text))
 	}
 	return kind, wait / 1000
 }
 
 // stream reads a streamed answer to the connection's end, so that anything after the final event is seen.
-func (c *call) stream(ctx context.Context, resp *http.Response, name string, timer *time.Timer) pb.ClientEvent_Kind {
+func (c *completionCall) readStream(ctx context.Context, resp *http.Response, name string, timer *time.Timer) pb.ClientEvent_Kind {
 	end := pb.ClientEvent_UNKNOWN
 	var answer strings.Builder
 	lines := bufio.NewScanner(resp.Body)
@@ -353,18 +353,18 @@
 		}
 		switch {
 		case end != pb.ClientEvent_UNKNOWN:
-			c.note(pb.ClientEvent_AFTER, func(e *pb.ClientEvent) { e.Detail = proto.String(data[:min(len(data), 200)]) })
+			c.record(pb.ClientEvent_AFTER, func(e *pb.ClientEvent) { e.Detail = proto.String(data[:min(len(data), 200)]) })
 		case data == "[DONE]":
 			c.answer = answer.String()
-			end = c.finished(name)
+			end = c.recordFinished(name)
 		case gjson.Get(data, "error").Exists():
 			end = pb.ClientEvent_ABORTED
-			c.note(end, func(e *pb.ClientEvent) { e.Detail, e.Status = proto.String(name), proto.Int32(200) })
+			c.record(end, func(e *pb.ClientEvent) { e.Detail, e.Status = proto.String(name), proto.Int32(200) })
 		default:
 			if text := gjson.Get(data, "choices.0.delta.content").Str; text != "" {
 				if answer.Len() == 0 {
-					c.note(pb.ClientEvent_FIRST, nil)
-					if !c.stated {
+					c.record(pb.ClientEvent_FIRST, nil)
+					if !c.timeoutStated {
 						timer.Stop()
 					}
 				}
@@ -379,5 +379,5 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return c.failed(ctx, err)
+	return c.recordFailure(ctx, err)
 }
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -27,69 +27,69 @@
 )
 
 // valueUnit is the work, in tokens, that a workload's value is for.
-const valueUnit = 1000
+const valueUnitTokens = 1000
 
 // Options of a play.
 type Options struct {
-	Router   []string          // how a router is started; the settings' path is added as the last argument
-	Env      []string          // and in what environment besides ours
-	Dir      string            // for settings and, with Logs, logs
-	Record   string            // the record's path
-	Logs     io.Writer         // of the routers, nil for none
-	Progress func(text string) // nil for none
+	RouterCommand []string          // how a router is started; the settings' path is added as the last argument
+	RouterEnv     []string          // and in what environment besides ours
+	WorkDir       string            // for settings and, with Logs, logs
+	RecordPath    string            // the record's path
+	RouterLogs    io.Writer         // of the routers, nil for none
+	OnProgress    func(text string) // nil for none
 }
 
 // player is a day that is played.
-type player struct {
-	day     *pb.Day
-	o       Options
-	rec     *record.Writer
-	fleet   *standin.Fleet
-	routers []*process
-	load    *load
-	wg      sync.WaitGroup
+type dayRun struct {
+	day      *pb.Day
+	options  Options
+	recorder *record.Writer
+	fleet    *standin.Fleet
+	routers  []*routerProcess
+	clients  *clientLoad
+	wg       sync.WaitGroup
 }
 
 // process is a router's process.
-type process struct {
+type routerProcess struct {
 	name, zone, address, source string
-	settings                    string // path
+	settingsFile                string // path
 	mu                          sync.Mutex
 	cmd                         *exec.Cmd
-	done                        chan error
+	exited                      chan error
 }
 
 // Play plays a day that was checked. Its error is of the play, not of broken rules.
-func Play(ctx context.Context, d *pb.Day, o Options) (err error) {
-	d = config.Effective(d)
-	p := &player{day: d, o: o}
-	if p.o.Progress == nil {
-		p.o.Progress = func(string) {}
+func Run(ctx context.Context, d *pb.Day, o Options) (err error) {
+	d = config.WithDefaults(d)
+	p := &dayRun{day: d, options: o}
+	if p.options.OnProgress == nil {
+		p.options.OnProgress = func(string) {}
 	}
 	rt := d.GetRouter()
-	p.rec, err = record.Create(o.Record, &pb.Head{Day: proto.String(d.GetName()), Workloads: rt.GetWorkloads(), DrainGraceS: proto.Float64(rt.GetDrainGraceS()),
-		LetGoS: proto.Float64(rt.GetLetGoS()), Cold: rt.GetCold(), ValueUnitTokens: proto.Float64(valueUnit)})
+	p.recorder, err = record.Create(o.RecordPath, &pb.Head{Day: proto.String(d.GetName()), Workloads: rt.GetWorkloads(), DrainGraceS: proto.Float64(rt.GetDrainGraceS()),
+		LetGoS: proto.Float64(rt.GetLetGoS()), Cold: rt.GetCold(), ValueUnitTokens: proto.Float64(valueUnitTokens)})
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, p.rec.Close()) }()
+	defer func() { err = errors.Join(err, p.recorder.Close()) }()
 	f := proto.Clone(d.GetFleet()).(*pb.Fleet)
 	f.ListListen = proto.String("127.0.0.1:0")
 	f.Cold = rt.GetCold()
-	if p.fleet, err = standin.Start(f, rt.GetWorkloads(), p.rec); err != nil {
+	if p.fleet, err = standin.Start(f, rt.GetWorkloads(), p.recorder); err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, p.fleet.Close()) }()
 	if err := p.startRouters(); err != nil {
 		return errors.Join(err, p.stopRouters())
 	}
-	p.load = newLoad(p)
+	p.clients = newClientLoad(p)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	troubled := make(chan error, 1)
-	go func() { troubled <- p.troubles(ctx) }()
-	p.load.run(ctx)
-	p.o.Progress("clients have ended, routers stop")
+	go func() { troubled <- p.runTroubles(ctx) }()
+	p.clients.runSessions(ctx)
+	p.options.OnProgress("clients have ended, routers stop")
 	cancel()
 	err = errors.Join(<-troubled, p.stopRouters())
 	time.Sleep(config.Seconds(rt.GetLetGoS())) // what is held past the stop is to be seen
@@ -97,11 +97,11 @@
 }
 
 // startRouters starts all routers, each dialling from an address of its own.
-func (p *player) startRouters() error {
+func (p *dayRun) startRouters() error {
 	var peers []string
 	if p.day.GetRouter().GetPeers() != nil {
 		for range p.day.GetRouters() {
-			address, err := loopback.Address("127.0.0.1")
+			address, err := loopback.FreeAddress("127.0.0.1")
 			if err != nil {
 				return err
 			}
@@ -109,7 +109,7 @@
 		}
 	}
 	for i, place := range p.day.GetRouters() {
-		address, err := loopback.Address("127.0.0.1")
+		address, err := loopback.FreeAddress("127.0.0.1")
 		if err != nil {
 			return err
 		}
@@ -122,37 +122,37 @@
 		if peers != nil {
 			r.Peers.Listen, r.Peers.Seeds = proto.String(peers[i]), append(append([]string(nil), peers[:i]...), peers[i+1:]...)
 		}
-		one := &process{name: place.GetName(), zone: place.GetZone(), address: address, source: source,
-			settings: filepath.Join(p.o.Dir, place.GetName()+".textproto")}
-		if err := os.WriteFile(one.settings, []byte(config.Text(r)), 0o600); err != nil {
+		one := &routerProcess{name: place.GetName(), zone: place.GetZone(), address: address, source: source,
+			settingsFile: filepath.Join(p.options.WorkDir, place.GetName()+".textproto")}
+		if err := os.WriteFile(one.settingsFile, []byte(config.Format(r)), 0o600); err != nil {
 			return fmt.Errorf("day: settings of %s: %w", one.name, err)
 		}
 		p.fleet.RegisterRouter(source, one.name, one.zone)
 		p.routers = append(p.routers, one)
-		if err := p.start(one); err != nil {
+		if err := p.startProcess(one); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *player) start(r *process) error {
-	args := append(append([]string(nil), p.o.Router[1:]...), r.settings)
-	cmd := exec.Command(p.o.Router[0], args...)
-	cmd.Env = append(os.Environ(), p.o.Env...)
-	cmd.Stdout, cmd.Stderr = p.o.Logs, p.o.Logs
+func (p *dayRun) startProcess(r *routerProcess) error {
+	args := append(append([]string(nil), p.options.RouterCommand[1:]...), r.settingsFile)
+	cmd := exec.Command(p.options.RouterCommand[0], args...)
+	cmd.Env = append(os.Environ(), p.options.RouterEnv...)
+	cmd.Stdout, cmd.Stderr = p.options.RouterLogs, p.options.RouterLogs
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("day: start %s: %w", r.name, err)
 	}
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
 	r.mu.Lock()
-	r.cmd, r.done = cmd, done
+	r.cmd, r.exited = cmd, done
 	r.mu.Unlock()
-	for until := time.Now().Add(startMost); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if conn, err := net.DialTimeout("tcp", r.address, time.Second); err == nil {
 			conn.Close() //nolint:errcheck // it was only a try
-			p.rec.Write(&pb.Entry{What: &pb.Entry_Router{Router: &pb.RouterEvent{Router: proto.String(r.name), Address: proto.String(r.source), Up: proto.Bool(true)}}})
+			p.recorder.Write(&pb.Entry{What: &pb.Entry_Router{Router: &pb.RouterEvent{Router: proto.String(r.name), Address: proto.String(r.source), Up: proto.Bool(true)}}})
 			return nil
 		}
 		select {
@@ -162,18 +162,18 @@
 		default:
 		}
 	}
-	return fmt.Errorf("day: %s does not listen at %s after %v", r.name, r.address, startMost)
+	return fmt.Errorf("day: %s does not listen at %s after %v", r.name, r.address, startTimeout)
 }
 
 // startMost is how long a router may take to listen; a test's build with the race detector is slow.
-const startMost = 15 * time.Second
+const startTimeout = 15 * time.Second
 
 // kill ends a router outright.
-func (p *player) kill(r *process) error {
+func (p *dayRun) killProcess(r *routerProcess) error {
 	r.mu.Lock()
-	cmd, done := r.cmd, r.done
+	cmd, done := r.cmd, r.exited
 	r.mu.Unlock()
-	p.rec.Write(&pb.Entry{What: &pb.Entry_Router{Router: &pb.RouterEvent{Router: proto.String(r.name), Address: proto.String(r.source), Up: proto.Bool(false)}}})
+	p.recorder.Write(&pb.Entry{What: &pb.Entry_Router{Router: &pb.RouterEvent{Router: proto.String(r.name), Address: proto.String(r.source), Up: proto.Bool(false)}}})
 	if err := cmd.Process.Kill(); err != nil {
 		return fmt.Errorf("day: kill %s: %w", r.name, err)
 	}
@@ -182,7 +182,7 @@
 }
 
 // stopRouters stops routers as an operator does; one that ends badly is an error.
-func (p *player) stopRouters() (err error) {
+func (p *dayRun) stopRouters() (err error) {
 	for _, r := range p.routers {
 		if r.cmd != nil {
 			err = errors.Join(err, r.cmd.Process.Signal(syscall.SIGTERM))
@@ -193,22 +193,22 @@
 			continue
 		}
 		select {
-		case end := <-r.done:
+		case end := <-r.exited:
 			if end != nil {
 				err = errors.Join(err, fmt.Errorf("day: %s ended badly: %w", r.name, end))
 			}
-		case <-time.After(stopMost):
-			err = errors.Join(err, fmt.Errorf("day: %s does not stop within %v", r.name, stopMost), r.cmd.Process.Kill())
+		case <-time.After(stopTimeout):
+			err = errors.Join(err, fmt.Errorf("day: %s does not stop within %v", r.name, stopTimeout), r.cmd.Process.Kill())
 		}
 	}
 	return err
 }
 
 // stopMost is how long a router may take to stop: its own stop_s and what comes after.
-const stopMost = 30 * time.Second
+const stopTimeout = 30 * time.Second
 
 // troubles plays the script until all are over or the context ends; what is in force then is mended.
-func (p *player) troubles(ctx context.Context) error {
+func (p *dayRun) runTroubles(ctx context.Context) error {
 	var mu sync.Mutex
 	var all error
 	var wg sync.WaitGroup
@@ -218,13 +218,13 @@
 			if !sleep(ctx, config.Seconds(t.GetAtS())) {
 				return
 			}
-			p.o.Progress(fmt.Sprintf("%.1f s: %v begins", p.rec.Now(), t.GetKind()))
-			if err := p.trouble(ctx, t, rng); err != nil {
+			p.options.OnProgress(fmt.Sprintf("%.1f s: %v begins", p.recorder.Now(), t.GetKind()))
+			if err := p.runTrouble(ctx, t, rng); err != nil {
 				mu.Lock()
 				all = errors.Join(all, fmt.Errorf("day: %v: %w", t.GetKind(), err))
 				mu.Unlock()
 			}
-			p.o.Progress(fmt.Sprintf("%.1f s: %v is over", p.rec.Now(), t.GetKind()))
+			p.options.OnProgress(fmt.Sprintf("%.1f s: %v is over", p.recorder.Now(), t.GetKind()))
 		})
 	}
 	wg.Wait()
@@ -244,7 +244,7 @@
 }
 
 // engines are those a trouble is for: the named ones, else one by chance.
-func (p *player) engines(t *pb.Trouble, rng *rand.Rand) (all []*standin.Engine) {
+func (p *dayRun) affectedEngines(t *pb.Trouble, rng *rand.Rand) (all []*standin.Engine) {
 	for _, name := range t.GetEngines() {
 		all = append(all, p.fleet.FindEngines(name)...)
 	}
@@ -255,7 +255,7 @@
 }
 
 // trouble plays one trouble from its onset to its end.
-func (p *player) trouble(ctx context.Context, t *pb.Trouble, rng *rand.Rand) (err error) {
+func (p *dayRun) runTrouble(ctx context.Context, t *pb.Trouble, rng *rand.Rand) (err error) {
 	length, size := config.Seconds(t.GetLengthS()), t.GetSize()
 	during := func(on, off func()) {
 		on()
@@ -263,7 +263,7 @@
 		off()
 	}
 	each := func(on, off func(*standin.Engine)) {
-		engines := p.engines(t, rng)
+		engines := p.affectedEngines(t, rng)
 		during(func() {
 			for _, e := range engines {
 				on(e)
@@ -297,7 +297,7 @@
 	case pb.Kind_DEATH:
 		each(engine.Kill, func(e engine) { err = errors.Join(err, e.Restart()) })
 	case pb.Kind_DRAIN_WAVE:
-		err = p.drainWave(ctx, t, rng)
+		err = p.runDrainWave(ctx, t, rng)
 	case pb.Kind_ZONE_CUT:
 		during(func() { p.fleet.IsolateZone(t.GetZone()) }, p.fleet.EndIsolation)
 	case pb.Kind_LINKS_SLOW:
@@ -318,8 +318,8 @@
 }
 
 // drainWave has engines drain one after another, go halfway through their share of the time and return cold.
-func (p *player) drainWave(ctx context.Context, t *pb.Trouble, rng *rand.Rand) (err error) {
-	engines := p.engines(t, rng)
+func (p *dayRun) runDrainWave(ctx context.Context, t *pb.Trouble, rng *rand.Rand) (err error) {
+	engines := p.affectedEngines(t, rng)
 	each := config.Seconds(t.GetLengthS()) / time.Duration(len(engines))
 	for _, e := range engines {
 		e.Drain()
@@ -331,28 +331,28 @@
 	return err
 }
 
-func (p *player) killRouter(ctx context.Context, t *pb.Trouble) error {
+func (p *dayRun) killRouter(ctx context.Context, t *pb.Trouble) error {
 	for _, r := range p.routers {
 		if r.name != t.GetRouter() {
 			continue
 		}
-		if err := p.kill(r); err != nil {
+		if err := p.killProcess(r); err != nil {
 			return err
 		}
 		sleep(ctx, config.Seconds(t.GetLengthS()))
-		return p.start(r)
+		return p.startProcess(r)
 	}
 	return fmt.Errorf("no router %q", t.GetRouter())
 }
 
 // pauseRouter stops a router's process and lets it go on. While it stands still it counts as down.
-func (p *player) pauseRouter(ctx context.Context, t *pb.Trouble) error {
+func (p *dayRun) pauseRouter(ctx context.Context, t *pb.Trouble) error {
 	for _, r := range p.routers {
 		if r.name != t.GetRouter() {
 			continue
 		}
 		note := func(up bool) {
-			p.rec.Write(&pb.Entry{What: &pb.Entry_Router{Router: &pb.RouterEvent{Router: proto.String(r.name), Address: proto.String(r.source), Up: proto.Bool(up)}}})
+			p.recorder.Write(&pb.Entry{What: &pb.Entry_Router{Router: &pb.RouterEvent{Router: proto.String(r.name), Address: proto.String(r.source), Up: proto.Bool(up)}}})
 		}
 		r.mu.Lock()
 		process := r.cmd.Process
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -51,7 +51,7 @@
 	require.NoError(t, err)
 	defer logs.Close()
 	file := filepath.Join(dir, "record")
-	err = Play(t.Context(), d, Options{Router: []string{os.Args[0]}, Env: []string{asRouter + "=1"}, Dir: dir, Record: file, Logs: logs})
+	err = Run(t.Context(), d, Options{RouterCommand: []string{os.Args[0]}, RouterEnv: []string{asRouter + "=1"}, WorkDir: dir, RecordPath: file, RouterLogs: logs})
 	if err != nil {
 		text, _ := os.ReadFile(logs.Name())
 		t.Fatalf("%v\n%s", err, text[max(0, len(text)-8000):])
@@ -70,15 +70,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, report := play(t, name)
-			for _, rule := range rules.Rules() {
-				assert.True(t, report.Kept(rule), "%v", rule)
+			for _, rule := range rules.AllRules() {
+				assert.True(t, report.Passed(rule), "%v", rule)
 				assert.Greater(t, report.Checked[rule], 10, "%v was checked", rule)
 			}
-			for _, b := range report.Breaches {
-				t.Logf("%.3f s: %s: %s: %s", b.At, b.Name, b.Exchange, b.Text)
+			for _, b := range report.Violations {
+				t.Logf("%.3f s: %s: %s: %s", b.At, b.Name, b.Exchange, b.Message)
 			}
-			for _, w := range report.Works {
-				assert.Greater(t, w.Finished, w.Taken/2, "%s: %+v", w.Name, w)
+			for _, w := range report.Workloads {
+				assert.Greater(t, w.Finished, w.Accepted/2, "%s: %+v", w.Name, w)
 			}
 		})
 	}
@@ -89,16 +89,16 @@
 func TestPeers(t *testing.T) {
 	t.Parallel()
 	entries, report := play(t, "days/peers.textproto")
-	for _, rule := range rules.Rules() {
-		assert.True(t, report.Kept(rule), "%v", rule)
+	for _, rule := range rules.AllRules() {
+		assert.True(t, report.Passed(rule), "%v", rule)
 	}
 	const interval, candidates, handOver = 0.5, 2, 0.15
 	// On the engines' sockets probes come some milliseconds early or late: a tenth of the window is for that.
 	probes := rules.CountProbes(entries, 5, 17, interval*0.9)
 	require.Len(t, probes, 12)
 	for _, p := range probes {
-		assert.LessOrEqual(t, p.Longest, interval*1.05+candidates*handOver+0.5, "%+v", p)
-		assert.LessOrEqual(t, p.Most, candidates, "%+v", p)
+		assert.LessOrEqual(t, p.LongestGap, interval*1.05+candidates*handOver+0.5, "%+v", p)
+		assert.LessOrEqual(t, p.MaxInWindow, candidates, "%+v", p)
 		assert.Greater(t, p.Count, 18, "%+v", p)
 	}
 }
@@ -111,8 +111,8 @@
 		d.Troubles = []*pb.Trouble{{Kind: pb.Kind_DEATH.Enum(), AtS: proto.Float64(7), LengthS: proto.Float64(30), Engines: []string{"writer-0"}},
 			{Kind: pb.Kind_ROUTER_KILLED.Enum(), AtS: proto.Float64(9), LengthS: proto.Float64(30), Router: proto.String("router-a")}}
 	})
-	for _, rule := range rules.Rules() {
-		assert.True(t, report.Kept(rule), "%v", rule)
+	for _, rule := range rules.AllRules() {
+		assert.True(t, report.Passed(rule), "%v", rule)
 	}
 	asked, last := map[string]int{}, map[string]float64{}
 	calls := 0
@@ -126,7 +126,7 @@
 		}
 	}
 	assert.InDelta(t, 20, calls, 8, "one in half a second, by all together: %v", asked)
-	for _, w := range report.Works {
-		assert.Greater(t, w.Finished, w.Taken*9/10, "all routers have the list: %+v", w)
+	for _, w := range report.Workloads {
+		assert.Greater(t, w.Finished, w.Accepted*9/10, "all routers have the list: %+v", w)
 	}
 }
--- a/internal/edge/rules_test.go
+++ b/internal/edge/rules_test.go
@@ -195,7 +195,7 @@
 		}}
 	}},
 	// List updates that an engine is draining or gone are lost.
-	rules.DrainsKept: {sequenceSpec{30, 80, 40, []int{0, 1, 2}, 2000, true, []string{"drains", "drains", "dies", "list late", "list gone", "planner stalled", "router killed", "slow"}, 6}, func() faults {
+	rules.DrainsRespected: {sequenceSpec{30, 80, 40, []int{0, 1, 2}, 2000, true, []string{"drains", "drains", "dies", "list late", "list gone", "planner stalled", "router killed", "slow"}, 6}, func() faults {
 		return faults{engineList: func(ev link.Event) link.Event {
 			l := *ev.EngineList
 			l.Kind, l.Entries = decide.ListDelta, nil
@@ -209,7 +209,7 @@
 		}}
 	}},
 	// List updates that an engine has just started are lost.
-	rules.ColdNotPushed: {sequenceSpec{250, 400, 12, []int{0}, 3000, false, []string{"dies", "dies", "drains", "router killed", "list late", "slow", "fails"}, 6}, func() faults {
+	rules.ColdNotOverloaded: {sequenceSpec{250, 400, 12, []int{0}, 3000, false, []string{"dies", "dies", "drains", "router killed", "list late", "slow", "fails"}, 6}, func() faults {
 		return faults{engineList: func(ev link.Event) link.Event {
 			l := *ev.EngineList
 			l.Entries = nil
@@ -222,7 +222,7 @@
 		}}
 	}},
 	// Release commands are lost, and the edge's own hold limit is far too long.
-	rules.NothingPinned: {sequenceSpec{20, 60, 60, []int{0, 1, 2}, 4000, true, allDisturbances, 8}, func() faults {
+	rules.NothingHeldPastLimit: {sequenceSpec{20, 60, 60, []int{0, 1, 2}, 4000, true, allDisturbances, 8}, func() faults {
 		return faults{routerConfig: func(settings *pb.Router) { *settings.LetGoS = 10 }, command: func(e link.Edge, cmd link.Command) {
 			if cmd.Kind != link.Release {
 				e.Execute(cmd)
@@ -238,7 +238,7 @@
 		rapid.Check(t, func(rt *rapid.T) {
 			report := playSequence(t, p.draw().Draw(rt, "sequence"), faults{})
 			checked += report.Checked[rule]
-			for _, b := range report.Breaches { // violations of any rule
+			for _, b := range report.Violations { // violations of any rule
 				rt.Fatalf("%+v", b)
 			}
 		})
@@ -246,7 +246,7 @@
 	})
 	t.Run("detects a planted fault", func(t *testing.T) {
 		for seed := range 50 {
-			for _, b := range playSequence(t, p.draw().Example(seed), p.fault()).Breaches {
+			for _, b := range playSequence(t, p.draw().Example(seed), p.fault()).Violations {
 				if b.Rule == rule {
 					t.Logf("seed %d: %+v", seed, b)
 					return
@@ -257,11 +257,17 @@
 	})
 }
 
-func TestOneAnswer(t *testing.T)                { t.Parallel(); testProperty(t, rules.OneAnswer) }
-func TestNoEffectTwice(t *testing.T)            { t.Parallel(); testProperty(t, rules.NoEffectTwice) }
-func TestDrainsRespected(t *testing.T)          { t.Parallel(); testProperty(t, rules.DrainsKept) }
-func TestColdEnginesNotOverloaded(t *testing.T) { t.Parallel(); testProperty(t, rules.ColdNotPushed) }
-func TestNothingHeldPastLimit(t *testing.T)     { t.Parallel(); testProperty(t, rules.NothingPinned) }
+func TestOneAnswer(t *testing.T)       { t.Parallel(); testProperty(t, rules.OneAnswer) }
+func TestNoEffectTwice(t *testing.T)   { t.Parallel(); testProperty(t, rules.NoEffectTwice) }
+func TestDrainsRespected(t *testing.T) { t.Parallel(); testProperty(t, rules.DrainsRespected) }
+func TestColdEnginesNotOverloaded(t *testing.T) {
+	t.Parallel()
+	testProperty(t, rules.ColdNotOverloaded)
+}
+func TestNothingHeldPastLimit(t *testing.T) {
+	t.Parallel()
+	testProperty(t, rules.NothingHeldPastLimit)
+}
 
 // TestReleaseReachesRecoveredEngine checks that an engine that accepted requests without answering any receives the
 // release within the hold limit after it has recovered, however long it was silent.
@@ -271,8 +277,8 @@
 		report := playSequence(t, sequence{Calls: []clientCall{{PromptTokens: 2500, Stream: true, LeaveAfterSeconds: 0.25}}, GapsMs: []int{0}, // the client leaves while the state is fetched
 			Disturbances: []disturbance{{Kind: "links slow", Severity: 1, DurationMs: 2000}, {Kind: "silent", DelayMs: 200, Engine: 0, DurationMs: durationMs}, {Kind: "silent", Engine: 1, DurationMs: durationMs}}},
 			faults{})
-		require.Empty(t, report.Breaches, "silent for %d ms", durationMs)
-		held += report.Checked[rules.NothingPinned]
+		require.Empty(t, report.Violations, "silent for %d ms", durationMs)
+		held += report.Checked[rules.NothingHeldPastLimit]
 	}
 	assert.Positive(t, held)
 }
@@ -307,8 +313,8 @@
 			}
 		}
 	})
-	require.Empty(t, report.Breaches)
-	assert.Positive(t, report.Works[0].RateLimited, "there must be an overload")
+	require.Empty(t, report.Violations)
+	assert.Positive(t, report.Workloads[0].RateLimited, "there must be an overload")
 	finished, writes := 0, 0.0
 	for _, kind := range outcomes {
 		if kind == pb.ClientEvent_FINISHED {
--- a/internal/edge/virtual_test.go
+++ b/internal/edge/virtual_test.go
@@ -213,7 +213,7 @@
 	require.NoError(t, config.Parse("router", []byte(clusterRouterConfig), settings))
 	require.NoError(t, config.Parse("fleet", []byte(clusterFleetConfig), fleetSettings))
 	tc := &testCluster{t: t, settings: settings, network: &pipeNetwork{listeners: map[string]*pipeListener{}}, faults: f}
-	tc.recorder = record.New(&tc.buf, io.NopCloser(nil), &pb.Head{Workloads: settings.GetWorkloads(), LetGoS: proto.Float64(settings.GetLetGoS()),
+	tc.recorder = record.NewWriter(&tc.buf, io.NopCloser(nil), &pb.Head{Workloads: settings.GetWorkloads(), LetGoS: proto.Float64(settings.GetLetGoS()),
 		DrainGraceS: proto.Float64(settings.GetDrainGraceS()), Cold: settings.GetCold(), ValueUnitTokens: proto.Float64(1000)})
 	tc.routerSettings = proto.CloneOf(settings)
 	if f.routerConfig != nil {
@@ -258,24 +258,24 @@
 	r := &testRouter{cluster: tc, index: i, name: name, caller: &dialer{network: tc.network, localAddress: fmt.Sprint("10.1.0.", i+1)}}
 	tc.fleet.RegisterRouter(r.caller.localAddress, name, tc.routerSettings.GetZone())
 	log := slog.New(slog.DiscardHandler)
-	co := config.Engine(tc.routerSettings)
+	co := config.EngineOptions(tc.routerSettings)
 	co.Dial = r.caller.dial
 	var err error
 	r.client, err = engine.NewClient(co)
 	require.NoError(tc.t, err)
-	eo := config.Edge(tc.routerSettings, tc.routerSettings.GetAdmission())
+	eo := config.EdgeOptions(tc.routerSettings, tc.routerSettings.GetAdmission())
 	eo.Listener, err = tc.network.Listen(net.JoinHostPort(r.caller.localAddress, "0"))
 	require.NoError(tc.t, err)
 	eo.Engines, eo.Log, eo.Observer = edge.VLLMEngines(r.client), log, noopObserver{}
 	r.edge = edge.New(eo)
-	po := config.Planner(tc.routerSettings)
+	po := config.PlannerOptions(tc.routerSettings)
 	po.Log = log
 	po.ObserveDelay = func(float64) { // blocks the planner's goroutine while it is stalled
 		for r.plannerStalled.Load() {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	s := config.Decide(tc.routerSettings)
+	s := config.DecideSettings(tc.routerSettings)
 	s.Seed += uint64(i)
 	r.planner, err = planner.New(s, po, &commandInterceptor{r.edge, tc.faults.command})
 	require.NoError(tc.t, err)
@@ -493,12 +493,12 @@
 			}
 			reports[i] = tc.finish()
 		})
-		require.Empty(t, reports[i].Breaches)
+		require.Empty(t, reports[i].Violations)
 		finished := 0
-		for _, work := range reports[i].Works {
+		for _, work := range reports[i].Workloads {
 			finished += work.Finished
 		}
 		require.Equal(t, 60, finished)
 	}
-	require.Equal(t, reports[0].Works, reports[1].Works)
+	require.Equal(t, reports[0].Workloads, reports[1].Workloads)
 }
--- a/internal/emulate/clock.go
+++ b/internal/emulate/clock.go
@@ -16,16 +16,16 @@
 // Clock is virtual time: it stands still while something is done, and jumps to what is due next. What is due at
 // the same time comes in the order in which it was asked for.
 type Clock struct {
-	now    float64
-	events eventHeap
-	asked  uint64
-	done   uint64
+	now        float64
+	events     eventHeap
+	lastSeq    uint64
+	eventCount uint64
 }
 
 type event struct {
 	at        float64
 	seq       uint64
-	f         func()
+	run       func()
 	cancelled bool
 }
 
@@ -34,39 +34,39 @@
 
 // After is of Scheduler.
 func (c *Clock) After(d float64, f func()) func() {
-	c.asked++
-	e := &event{at: c.now + max(0, d), seq: c.asked, f: f}
+	c.lastSeq++
+	e := &event{at: c.now + max(0, d), seq: c.lastSeq, run: f}
 	heap.Push(&c.events, e)
-	return func() { e.cancelled, e.f = true, nil }
+	return func() { e.cancelled, e.run = true, nil }
 }
 
 // Run plays all that is due until a time, and stands there.
 func (c *Clock) Run(until float64) {
 	for len(c.events) > 0 && c.events[0].at <= until {
-		c.next()
+		c.runNext()
 	}
 	c.now = max(c.now, until)
 }
 
 // Drain plays until nothing is due any more, or so many events were played; it tells whether nothing is left.
 func (c *Clock) Drain(most uint64) bool {
-	for end := c.done + most; len(c.events) > 0 && c.done < end; {
-		c.next()
+	for end := c.eventCount + most; len(c.events) > 0 && c.eventCount < end; {
+		c.runNext()
 	}
 	return len(c.events) == 0
 }
 
 // Played is how many events there were.
-func (c *Clock) Played() uint64 { return c.done }
+func (c *Clock) EventCount() uint64 { return c.eventCount }
 
-func (c *Clock) next() {
+func (c *Clock) runNext() {
 	e := heap.Pop(&c.events).(*event) //nolint:forcetypeassert // it holds nothing else
 	if e.cancelled {
 		return
 	}
 	c.now = e.at
-	c.done++
-	e.f()
+	c.eventCount++
+	e.run()
 }
 
 type eventHeap []*event
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -41,16 +41,16 @@
 	note := func(format string, a ...any) {
 		*out = append(*out, fmt.Sprintf("%.9f %d ", c.Now(), j.ID)+fmt.Sprintf(format, a...))
 	}
-	j.Begun = func(kept int) { note("begun %d", kept) }
-	j.Token = func(n int) { note("token %d", n) }
-	j.Ended = func(how End) { note("%v", how) }
+	j.OnStart = func(kept int) { note("begun %d", kept) }
+	j.OnToken = func(n int) { note("token %d", n) }
+	j.OnEnd = func(how Outcome) { note("%v", how) }
 	return j
 }
 
 func TestOneJobTakesItsSteps(t *testing.T) {
 	c, e := engine(t, usual())
 	var out []string
-	e.Submit(log(&out, c, &Job{ID: 1, Kind: Write, Prompt: 600, Answer: 2}))
+	e.Submit(log(&out, c, &Job{ID: 1, Kind: Write, PromptTokens: 600, OutputTokens: 2}))
 	require.True(t, c.Drain(100))
 	m := usual()
 	first := 2*m.StepBase + 600*m.ReadToken // 512 and 88 tokens
@@ -78,7 +78,7 @@
 			}
 			began, answer := c.Now(), 1+int(r.ExpFloat64()*mean)
 			tokens += answer
-			e.Submit(&Job{ID: uint64(i), Kind: Fetch, Prompt: 1, Answer: answer, Ended: func(End) {
+			e.Submit(&Job{ID: uint64(i), Kind: Fetch, PromptTokens: 1, OutputTokens: answer, OnEnd: func(Outcome) {
 				if i > jobs/10 {
 					sum += c.Now() - began
 					n++
@@ -107,7 +107,7 @@
 			return
 		}
 		began := c.Now()
-		e.Submit(&Job{ID: uint64(i), Kind: Fetch, Prompt: 1, Answer: 1, Ended: func(End) { sum += c.Now() - began - service }})
+		e.Submit(&Job{ID: uint64(i), Kind: Fetch, PromptTokens: 1, OutputTokens: 1, OnEnd: func(Outcome) { sum += c.Now() - began - service }})
 		c.After(r.ExpFloat64()*service/load, func() { arrive(i + 1) })
 	}
 	arrive(0)
@@ -121,9 +121,9 @@
 	m.Blocks = 80 // 1,280 tokens
 	c, e := engine(t, m)
 	var out []string
-	e.Submit(log(&out, c, &Job{ID: 1, Kind: Write, Prompt: 900, Answer: 300}))
+	e.Submit(log(&out, c, &Job{ID: 1, Kind: Write, PromptTokens: 900, OutputTokens: 300}))
 	c.Run(0.05)
-	e.Submit(log(&out, c, &Job{ID: 2, Kind: Write, Prompt: 200, Answer: 100}))
+	e.Submit(log(&out, c, &Job{ID: 2, Kind: Write, PromptTokens: 200, OutputTokens: 100}))
 	require.True(t, c.Drain(10000))
 	assert.Positive(t, e.Preemptions())
 	tokens, done := map[string]int{}, 0
@@ -149,18 +149,18 @@
 		m.WriteToken = 0.005
 		c, e := engine(t, m)
 		last, sum, k := 0.0, 0.0, 0
-		e.Submit(&Job{ID: 1, Kind: Write, Prompt: 64, Answer: 50, Token: func(int) {
+		e.Submit(&Job{ID: 1, Kind: Write, PromptTokens: 64, OutputTokens: 50, OnToken: func(int) {
 			if last > 0 {
 				sum += c.Now() - last
 				k++
 			}
 			last = c.Now()
-		}, Ended: func(End) {}})
+		}, OnEnd: func(Outcome) {}})
 		for i := range n {
-			e.Submit(&Job{ID: uint64(2 + i), Kind: Write, Prompt: 32, Answer: 60, Ended: func(End) {}})
+			e.Submit(&Job{ID: uint64(2 + i), Kind: Write, PromptTokens: 32, OutputTokens: 60, OnEnd: func(Outcome) {}})
 		}
 		if n > 10 {
-			assert.Equal(t, 8, e.m.Slots)
+			assert.Equal(t, 8, e.model.Slots)
 			assert.Equal(t, n+1-1, e.Report().Waiting, "one steps already, the rest waits for the next step")
 		}
 		c.Run(0.5)
@@ -172,32 +172,32 @@
 func TestSharedBeginningsAreReadOnce(t *testing.T) {
 	c, e := engine(t, usual())
 	var out []string
-	e.Submit(log(&out, c, &Job{ID: 1, Kind: Read, Hashes: hashes(1, 320, 16, 10), Prompt: 320}))
+	e.Submit(log(&out, c, &Job{ID: 1, Kind: Read, BlockHashes: hashes(1, 320, 16, 10), PromptTokens: 320}))
 	require.True(t, c.Drain(100))
-	assert.Equal(t, 320, e.Held(1))
-	e.Submit(log(&out, c, &Job{ID: 2, Kind: Write, Hashes: hashes(2, 320, 16, 10), Prompt: 320, Answer: 1}))
-	e.Submit(log(&out, c, &Job{ID: 3, Kind: Write, Hashes: hashes(1, 320, 16, 10), Prompt: 320, Answer: 1}))
+	assert.Equal(t, 320, e.HeldTokens(1))
+	e.Submit(log(&out, c, &Job{ID: 2, Kind: Write, BlockHashes: hashes(2, 320, 16, 10), PromptTokens: 320, OutputTokens: 1}))
+	e.Submit(log(&out, c, &Job{ID: 3, Kind: Write, BlockHashes: hashes(1, 320, 16, 10), PromptTokens: 320, OutputTokens: 1}))
 	require.True(t, c.Drain(100))
 	text := fmt.Sprint(out)
 	assert.Contains(t, text, " 2 begun 160")
 	assert.Contains(t, text, " 3 begun 304", "the last block is read: it gives the first token")
 	assert.True(t, e.Release(1))
 	assert.False(t, e.Release(1))
-	assert.Zero(t, e.Report().Memory, "what is kept is room")
+	assert.Zero(t, e.Report().MemoryUsed, "what is kept is room")
 }
 
 func TestPauseFailsNothing(t *testing.T) {
 	c, e := engine(t, usual())
 	var out []string
-	e.Submit(log(&out, c, &Job{ID: 1, Kind: Write, Prompt: 16, Answer: 3}))
+	e.Submit(log(&out, c, &Job{ID: 1, Kind: Write, PromptTokens: 16, OutputTokens: 3}))
 	c.Run(0.007)
-	e.Pause(true)
+	e.SetPaused(true)
 	c.Run(5)
 	before := len(out)
-	e.Submit(log(&out, c, &Job{ID: 2, Kind: Write, Prompt: 16, Answer: 1}))
+	e.Submit(log(&out, c, &Job{ID: 2, Kind: Write, PromptTokens: 16, OutputTokens: 1}))
 	c.Run(6)
 	assert.Equal(t, before, len(out), "it stands still")
-	e.Pause(false)
+	e.SetPaused(false)
 	require.True(t, c.Drain(100))
 	assert.Contains(t, fmt.Sprint(out), "1 done")
 	assert.Contains(t, fmt.Sprint(out), "2 done")
@@ -208,9 +208,9 @@
 	m.StartShare, m.Warm = 0.25, 10
 	took := func(at float64) float64 {
 		c, e := engine(t, m)
-		e.Start()
+		e.Restart()
 		c.Run(at)
-		e.Submit(&Job{ID: 1, Kind: Write, Prompt: 16, Answer: 1, Ended: func(End) {}})
+		e.Submit(&Job{ID: 1, Kind: Write, PromptTokens: 16, OutputTokens: 1, OnEnd: func(Outcome) {}})
 		c.Drain(100)
 		return c.Now() - at
 	}
@@ -233,12 +233,12 @@
 	require.Len(t, ends, 2)
 	assert.InDelta(t, 1.6, ends[0], 1e-9)
 	assert.InDelta(t, 2.1, ends[1], 1e-9)
-	assert.Zero(t, l.Busy())
+	assert.Zero(t, l.ActiveTransfers())
 }
 
 // check counts blocks, slots and states from the engine's own records.
 func check(t *rapid.T, e *Engine) {
-	m := e.mem
+	m := e.memory
 	refs := make([]int, len(m.blocks))
 	use := func(blocks []int32) {
 		for _, at := range blocks {
@@ -247,8 +247,8 @@
 	}
 	for _, s := range e.batch {
 		use(s.blocks)
-		if len(s.blocks) < e.need(s.tokens()) && !s.over {
-			t.Fatalf("job %d has %d blocks for %d tokens", s.ID, len(s.blocks), s.tokens())
+		if len(s.blocks) < e.blocksFor(s.tokensInMemory()) && !s.finished {
+			t.Fatalf("job %d has %d blocks for %d tokens", s.ID, len(s.blocks), s.tokensInMemory())
 		}
 	}
 	for _, s := range e.waiting {
@@ -256,7 +256,7 @@
 			t.Fatalf("job %d waits with blocks", s.ID)
 		}
 	}
-	for _, blocks := range e.held {
+	for _, blocks := range e.heldStates {
 		use(blocks)
 	}
 	used := 0
@@ -269,17 +269,17 @@
 		}
 	}
 	listed := 0
-	for at := m.oldest; at >= 0; at = m.blocks[at].next {
+	for at := m.oldestUnused; at >= 0; at = m.blocks[at].next {
 		listed++
 		if m.blocks[at].refs != 0 || m.byHash[m.blocks[at].hash] != at {
 			t.Fatalf("block %d is among the unused: %+v", at, m.blocks[at])
 		}
 	}
-	if listed != m.unused || used+listed+len(m.free) != len(m.blocks) {
-		t.Fatalf("blocks: %d used, %d kept (%d counted), %d free of %d", used, listed, m.unused, len(m.free), len(m.blocks))
+	if listed != m.unusedCount || used+listed+len(m.free) != len(m.blocks) {
+		t.Fatalf("blocks: %d used, %d kept (%d counted), %d free of %d", used, listed, m.unusedCount, len(m.free), len(m.blocks))
 	}
-	if len(e.batch) > e.m.Slots {
-		t.Fatalf("%d in %d slots", len(e.batch), e.m.Slots)
+	if len(e.batch) > e.model.Slots {
+		t.Fatalf("%d in %d slots", len(e.batch), e.model.Slots)
 	}
 }
 
@@ -290,26 +290,26 @@
 		c, e := engine(t, m)
 		type record struct {
 			tokens, answer int
-			kind           Kind
+			kind           JobKind
 			ended          bool
-			how            End
+			how            Outcome
 		}
 		jobs := map[uint64]*record{}
 		var ids []uint64
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
 				id := uint64(len(ids) + 1)
-				r := &record{answer: rapid.IntRange(1, 120).Draw(t, "answer"), kind: Kind(rapid.IntRange(0, 2).Draw(t, "kind"))}
+				r := &record{answer: rapid.IntRange(1, 120).Draw(t, "answer"), kind: JobKind(rapid.IntRange(0, 2).Draw(t, "kind"))}
 				prompt := rapid.IntRange(1, 400).Draw(t, "prompt")
 				ids, jobs[id] = append(ids, id), r
-				e.Submit(&Job{ID: id, Kind: r.kind, Hashes: hashes(uint64(rapid.IntRange(1, 3).Draw(t, "text")), prompt, 16, 5), Prompt: prompt, Answer: r.answer,
-					Token: func(n int) {
+				e.Submit(&Job{ID: id, Kind: r.kind, BlockHashes: hashes(uint64(rapid.IntRange(1, 3).Draw(t, "text")), prompt, 16, 5), PromptTokens: prompt, OutputTokens: r.answer,
+					OnToken: func(n int) {
 						if r.ended || n != r.tokens {
 							t.Fatalf("job %d: token %d after %d, ended %v", id, n, r.tokens, r.ended)
 						}
 						r.tokens++
 					},
-					Ended: func(how End) {
+					OnEnd: func(how Outcome) {
 						if r.ended {
 							t.Fatalf("job %d ended twice", id)
 						}
@@ -330,15 +330,15 @@
 					e.Release(rapid.SampledFrom(ids).Draw(t, "id"))
 				}
 			},
-			"pause": func(t *rapid.T) { e.Pause(rapid.Bool().Draw(t, "so")) },
+			"pause": func(t *rapid.T) { e.SetPaused(rapid.Bool().Draw(t, "so")) },
 			"die": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "seldom") == 0 {
-					e.Die()
+					e.Kill()
 				}
 			},
 			"": func(t *rapid.T) { check(t, e) },
 		})
-		e.Pause(false)
+		e.SetPaused(false)
 		for _, id := range ids { // held states may fill the memory: they go, and all ends
 			c.Run(c.Now() + 100)
 			e.Release(id)
@@ -365,7 +365,7 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		for i := range 400 {
 			c.After(r.Float64()*20, func() {
-				e.Submit(log(&out, c, &Job{ID: uint64(i), Kind: Write, Hashes: hashes(uint64(1+i%7), 64+i%300, 16, 4), Prompt: 64 + i%300, Answer: 1 + i%90}))
+				e.Submit(log(&out, c, &Job{ID: uint64(i), Kind: Write, BlockHashes: hashes(uint64(1+i%7), 64+i%300, 16, 4), PromptTokens: 64 + i%300, OutputTokens: 1 + i%90}))
 			})
 		}
 		require.True(t, c.Drain(1<<20))
--- a/internal/emulate/memory.go
+++ b/internal/emulate/memory.go
@@ -6,12 +6,12 @@
 // shared by sequences that begin alike. A block that no sequence uses stays until its room is wanted, the one
 // unused longest first. Left out: blocks of answers are not shared; blocks are not swapped to the host.
 type memory struct {
-	blocks []block
-	free   []int32
-	byHash map[uint64]int32
-	oldest int32 // of those kept and unused, -1 for none
-	newest int32
-	unused int
+	blocks       []block
+	free         []int32
+	byHash       map[uint64]int32
+	oldestUnused int32 // of those kept and unused, -1 for none
+	newestUnused int32
+	unusedCount  int
 }
 
 type block struct {
@@ -21,7 +21,7 @@
 }
 
 func newMemory(n int) *memory {
-	m := &memory{blocks: make([]block, n), byHash: map[uint64]int32{}, oldest: -1, newest: -1}
+	m := &memory{blocks: make([]block, n), byHash: map[uint64]int32{}, oldestUnused: -1, newestUnused: -1}
 	for i := n - 1; i >= 0; i-- {
 		m.free = append(m.free, int32(i))
 	}
@@ -29,13 +29,13 @@
 }
 
 // room is how many blocks a sequence could have now without anyone's preemption.
-func (m *memory) room() int { return len(m.free) + m.unused }
+func (m *memory) available() int { return len(m.free) + m.unusedCount }
 
 // used is the share of blocks that sequences and held states use.
-func (m *memory) used() float64 { return 1 - float64(m.room())/float64(len(m.blocks)) }
+func (m *memory) usedShare() float64 { return 1 - float64(m.available())/float64(len(m.blocks)) }
 
 // kept is how many of the first blocks are there.
-func (m *memory) kept(hashes []uint64) int {
+func (m *memory) countCached(hashes []uint64) int {
 	for i, h := range hashes {
 		if _, there := m.byHash[h]; !there {
 			return i
@@ -45,7 +45,7 @@
 }
 
 // keptUnused is how many of those are used by nobody: taking them lessens the room.
-func (m *memory) keptUnused(hashes []uint64) (n int) {
+func (m *memory) countCachedUnused(hashes []uint64) (n int) {
 	for _, h := range hashes {
 		if at, there := m.byHash[h]; there && m.blocks[at].refs == 0 {
 			n++
@@ -55,24 +55,24 @@
 }
 
 // share takes a block that is kept.
-func (m *memory) share(hash uint64) int32 {
+func (m *memory) acquireCached(hash uint64) int32 {
 	at := m.byHash[hash]
 	if m.blocks[at].refs == 0 {
-		m.unlink(at)
+		m.removeUnused(at)
 	}
 	m.blocks[at].refs++
 	return at
 }
 
 // take takes a block for something new, -1 if there is none.
-func (m *memory) take() int32 {
+func (m *memory) allocate() int32 {
 	var at int32
 	switch n := len(m.free); {
 	case n > 0:
 		at, m.free = m.free[n-1], m.free[:n-1]
-	case m.oldest >= 0:
-		at = m.oldest
-		m.unlink(at)
+	case m.oldestUnused >= 0:
+		at = m.oldestUnused
+		m.removeUnused(at)
 		delete(m.byHash, m.blocks[at].hash)
 	default:
 		return -1
@@ -82,7 +82,7 @@
 }
 
 // name gives a block the hash of what was read into it, unless another has it already.
-func (m *memory) name(at int32, hash uint64) {
+func (m *memory) setHash(at int32, hash uint64) {
 	if _, there := m.byHash[hash]; there || m.blocks[at].hash != 0 {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // drop gives a block back. One with a name stays until its room is wanted.
-func (m *memory) drop(at int32) {
+func (m *memory) release(at int32) {
 	b := &m.blocks[at]
 	if b.refs--; b.refs > 0 {
 		return
@@ -100,28 +100,28 @@
 		m.free = append(m.free, at)
 		return
 	}
-	b.prev, b.next = m.newest, -1
-	if m.newest >= 0 {
-		m.blocks[m.newest].next = at
+	b.prev, b.next = m.newestUnused, -1
+	if m.newestUnused >= 0 {
+		m.blocks[m.newestUnused].next = at
 	} else {
-		m.oldest = at
+		m.oldestUnused = at
 	}
-	m.newest = at
-	m.unused++
+	m.newestUnused = at
+	m.unusedCount++
 }
 
-func (m *memory) unlink(at int32) {
+func (m *memory) removeUnused(at int32) {
 	b := &m.blocks[at]
 	if b.prev >= 0 {
 		m.blocks[b.prev].next = b.next
 	} else {
-		m.oldest = b.next
+		m.oldestUnused = b.next
 	}
 	if b.next >= 0 {
 		m.blocks[b.next].prev = b.prev
 	} else {
-		m.newest = b.prev
+		m.newestUnused = b.prev
 	}
 	b.prev, b.next = -1, -1
-	m.unused--
+	m.unusedCount--
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -14,8 +14,8 @@
 
 // Variant is one way to set a day.
 type Variant struct {
-	Name   string
-	Change func(*Settings) // nil: the day as it is
+	Name  string
+	Apply func(*Settings) // nil: the day as it is
 }
 
 // Experiment plays variants of days with seeds. The first variant is what the others are compared to.
@@ -27,17 +27,17 @@
 }
 
 // Outcome is the results of an experiment, by day, variant and seed.
-type Outcome struct {
+type ExperimentResults struct {
 	Variants []string
 	Results  [][][]*Result
 }
 
 // Run plays an experiment. The result does not depend on how many days are played at once. Errors tell the day.
-func (x *Experiment) Run(ctx context.Context) (*Outcome, error) {
+func (x *Experiment) Run(ctx context.Context) (*ExperimentResults, error) {
 	if len(x.Days) == 0 || len(x.Variants) == 0 || len(x.Seeds) == 0 {
 		return nil, fmt.Errorf("lab: an experiment of %d days, %d variants, %d seeds: wanted one of each at least", len(x.Days), len(x.Variants), len(x.Seeds))
 	}
-	o := &Outcome{}
+	o := &ExperimentResults{}
 	type task struct{ day, variant, seed int }
 	tasks := make(chan task)
 	for _, v := range x.Variants {
@@ -63,7 +63,7 @@
 				s := x.Days[k.day]
 				s.Groups, s.Loads = slices.Clone(s.Groups), slices.Clone(s.Loads)
 				s.Decide.Workloads = slices.Clone(s.Decide.Workloads)
-				if change := x.Variants[k.variant].Change; change != nil {
+				if change := x.Variants[k.variant].Apply; change != nil {
 					change(&s)
 				}
 				s.Seed = x.Seeds[k.seed]
@@ -106,11 +106,11 @@
 }
 
 // bootstraps is how many times pairs are drawn anew.
-const bootstraps = 4000
+const bootstrapSamples = 4000
 
 // Compare tells the differences of a figure, such as (*Result).Score. Chance for the bootstrap is of a fixed seed,
 // so that the same results give the same intervals.
-func (o *Outcome) Compare(figure func(*Result) float64) []Difference {
+func (o *ExperimentResults) Compare(figure func(*Result) float64) []Difference {
 	var all []Difference
 	for v := 1; v < len(o.Variants); v++ {
 		var pairs []float64
@@ -119,30 +119,30 @@
 				pairs = append(pairs, figure(by[v][s])-figure(by[0][s]))
 			}
 		}
-		all = append(all, Differ(o.Variants[v], pairs))
+		all = append(all, NewDifference(o.Variants[v], pairs))
 	}
 	return all
 }
 
 // Differ is the difference that pairs tell.
-func Differ(variant string, pairs []float64) Difference {
+func NewDifference(variant string, pairs []float64) Difference {
 	d := Difference{Variant: variant, Mean: stat.Mean(pairs, nil), Pairs: len(pairs)}
-	d.Low, d.High = interval(pairs)
-	d.Distinct = len(pairs) >= fewest && (d.Low > 0 || d.High < 0)
+	d.Low, d.High = confidenceInterval(pairs)
+	d.Distinct = len(pairs) >= minPairs && (d.Low > 0 || d.High < 0)
 	return d
 }
 
 // fewest pairs from which anything may be told: of five that differ by chance alone, all do in the same direction
 // once in sixteen times.
-const fewest = 6
+const minPairs = 6
 
 // interval is the 95% percentile bootstrap interval of the mean (Efron and Tibshirani, 1993).
-func interval(pairs []float64) (low, high float64) {
+func confidenceInterval(pairs []float64) (low, high float64) {
 	if len(pairs) < 2 {
 		return math.Inf(-1), math.Inf(1)
 	}
 	r := rand.New(rand.NewPCG(1, 95))
-	means := make([]float64, bootstraps)
+	means := make([]float64, bootstrapSamples)
 	for i := range means {
 		sum := 0.0
 		for range pairs {
--- a/internal/lab/experiment_test.go
+++ b/internal/lab/experiment_test.go
@@ -18,9 +18,9 @@
 
 func TestExperimentTellsADifferenceFromNoise(t *testing.T) {
 	d := day(40)
-	d.Length = 10
+	d.Duration = 10
 	x := &Experiment{Days: []Settings{d}, Seeds: seeds(8), Variants: []Variant{{Name: "as it is"}, {Name: "the same"},
-		{Name: "half of the readers", Change: func(s *Settings) { s.Groups[0].Count /= 2 }}}}
+		{Name: "half of the readers", Apply: func(s *Settings) { s.Groups[0].Count /= 2 }}}}
 	o, err := x.Run(t.Context())
 	require.NoError(t, err)
 	all := o.Compare((*Result).Score)
@@ -47,7 +47,7 @@
 		for i := range pairs {
 			pairs[i] = 1 + r.NormFloat64()
 		}
-		if low, high := interval(pairs); low <= 1 && 1 <= high {
+		if low, high := confidenceInterval(pairs); low <= 1 && 1 <= high {
 			held++
 		}
 	}
@@ -70,11 +70,11 @@
 // The program's decisions against the baselines, on a troubled day near its engines' capacity.
 func TestBaselines(t *testing.T) {
 	d := day(40)
-	d.Length, d.ListLate = 15, 0.2
-	d.Troubles = []Trouble{{Kind: Pause, At: 3, Length: 3, Group: 1, Count: 1}, {Kind: Die, At: 6, Length: 4, Group: 0, Count: 1},
-		{Kind: Slow, At: 8, Length: 4, Group: 1, First: 2, Count: 1, Times: 6}}
+	d.Duration, d.ListDelay = 15, 0.2
+	d.Troubles = []Trouble{{Kind: Pause, At: 3, Duration: 3, Group: 1, EngineCount: 1}, {Kind: Die, At: 6, Duration: 4, Group: 0, EngineCount: 1},
+		{Kind: Slow, At: 8, Duration: 4, Group: 1, FirstEngine: 2, EngineCount: 1, Slowdown: 6}}
 	x := &Experiment{Days: []Settings{d}, Seeds: seeds(6), Variants: []Variant{{Name: "decide"}}}
-	for b := Random; int(b) < baselines; b++ {
+	for b := Random; int(b) < baselineCount; b++ {
 		x.Variants = append(x.Variants, Variant{b.String(), func(s *Settings) { s.Baseline = b }})
 	}
 	o, err := x.Run(t.Context())
@@ -82,7 +82,7 @@
 	for v, name := range o.Variants {
 		for _, r := range o.Results[0][v] {
 			assert.Equal(t, r.Completions, r.Finished+r.RateLimited+r.Aborted, name)
-			assert.Zero(t, r.Open+r.Twice+r.Late, name)
+			assert.Zero(t, r.Unanswered+r.DuplicateAnswers+r.LateAnswers, name)
 		}
 	}
 	for _, c := range o.Compare((*Result).Score) {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,11 +20,11 @@
 func day(rate float64) Settings {
 	m := emulate.Model{Slots: 16, Queue: 32, BlockTokens: 16, Blocks: 6000, StepTokens: 1024, StepBase: 0.006, ReadToken: 0.00005, WriteToken: 0.0004,
 		ContextToken: 1e-7, StartShare: 1}
-	return Settings{Seed: 1, Length: 20, Routers: 4, Way: 0.0005, Link: 300000,
-		Groups: []Group{{Role: decide.Reader, Count: 4, Model: m}, {Role: decide.Writer, Count: 6, Model: m}},
+	return Settings{Seed: 1, Duration: 20, Routers: 4, OneWayDelay: 0.0005, LinkTokensPerSecond: 300000,
+		Groups: []EngineGroup{{Role: decide.Reader, Count: 4, Model: m}, {Role: decide.Writer, Count: 6, Model: m}},
 		Loads: []Load{
-			{Rate: rate, Workload: 0, Prompt: 1500, Shared: 512, Answer: 60, Timeout: 6, MaxAnswer: 400, KeptTurns: 3, TurnsApart: 3, ValuePerToken: 3},
-			{Rate: rate, Workload: 1, Prompt: 200, Shared: 128, Answer: 40, Timeout: 8, MaxAnswer: 200, KeptTurns: 1, ValuePerToken: 1}},
+			{Rate: rate, Workload: 0, MeanPromptTokens: 1500, SharedPrefixTokens: 512, MeanOutputTokens: 60, ClientTimeout: 6, MaxOutputTokens: 400, Turns: 3, MeanTurnGap: 3, ValuePerToken: 3},
+			{Rate: rate, Workload: 1, MeanPromptTokens: 200, SharedPrefixTokens: 128, MeanOutputTokens: 40, ClientTimeout: 8, MaxOutputTokens: 200, Turns: 1, ValuePerToken: 1}},
 		Decide: decide.Settings{Workloads: []decide.Workload{{LatencyTarget: 1, LatencyTargetPerToken: 0.0001, InterTokenTarget: 0.06, Value: 3, Idempotency: decide.Idempotent},
 			{LatencyTarget: 1, LatencyTargetPerToken: 0.0001, InterTokenTarget: 0.06, Value: 1, Idempotency: decide.NonIdempotent}}, OverShareValue: 0.2, ProbesAllowed: true, WriterReadsAllowed: true,
 			CancelAllowed: true, MaxDispatches: 4, MaxRetryAfter: 1, ColdStartShare: 0.3, WarmUpTime: 12, OverloadMultiple: 2.5, Tick: 0.005, CrossCellPrice: 0.05, CrossZonePrice: 0.01}}
@@ -36,15 +36,15 @@
 		require.NoError(t, err)
 		t.Logf("rate %v: %+v, ttft p50 %v p99 %v µs, score %.3f", rate, *r, r.TTFT.ValueAtQuantile(50), r.TTFT.ValueAtQuantile(99), r.Score())
 		assert.Equal(t, r.Completions, r.Finished+r.RateLimited+r.Aborted)
-		assert.Zero(t, r.Open)
-		assert.Zero(t, r.Twice+r.Late)
+		assert.Zero(t, r.Unanswered)
+		assert.Zero(t, r.DuplicateAnswers+r.LateAnswers)
 	}
 }
 
 // TestAtSize tells how the cost grows; the size is the flags'.
 func TestAtSize(t *testing.T) {
 	s := day(2 * float64(*engines))
-	s.Routers, s.Length = *routers, *seconds
+	s.Routers, s.Duration = *routers, *seconds
 	readers, writers := s.Groups[0], s.Groups[1]
 	s.Groups = nil
 	for cell := range *engines / 10 { // a cell of ten has a link of its own
@@ -57,7 +57,7 @@
 	took := time.Since(began).Seconds()
 	t.Logf("%d routers, %d engines, %v s: %.1f s, %d completions, %d events, %.0f events a second, score %.3f", *routers, *engines, *seconds, took,
 		r.Completions, r.Events, float64(r.Events)/took, r.Score())
-	assert.Zero(t, r.Open)
+	assert.Zero(t, r.Unanswered)
 }
 
 var (
@@ -93,7 +93,7 @@
 // with its routers.
 func TestTroubledDay(t *testing.T) {
 	s := day(25)
-	s.Length, s.Zones, s.ListLate = 40, 2, 0.2
+	s.Duration, s.Zones, s.ListDelay = 40, 2, 0.2
 	for i := range s.Groups {
 		s.Groups[i].Model.StartShare, s.Groups[i].Model.Warm = 0.3, 5
 	}
@@ -105,15 +105,15 @@
 	calm, err := Run(s)
 	require.NoError(t, err)
 	assert.Zero(t, calm.Lost)
-	s.Troubles = []Trouble{{Kind: Pause, At: 3, Length: 4, Group: 1, Count: 2}, {Kind: Creep, At: 8, Length: 8, Group: 3, Count: 3, Times: 20},
-		{Kind: Die, At: 10, Length: 5, Group: 0, First: 1, Count: 2}, {Kind: Drained, At: 12, Length: 6, Group: 1, First: 3, Count: 1},
-		{Kind: Slow, At: 14, Length: 4, Group: 2, Count: 2, Times: 5}, {Kind: SiteOut, At: 22, Length: 8, Zone: 1}}
+	s.Troubles = []Trouble{{Kind: Pause, At: 3, Duration: 4, Group: 1, EngineCount: 2}, {Kind: Creep, At: 8, Duration: 8, Group: 3, EngineCount: 3, Slowdown: 20},
+		{Kind: Die, At: 10, Duration: 5, Group: 0, FirstEngine: 1, EngineCount: 2}, {Kind: Drained, At: 12, Duration: 6, Group: 1, FirstEngine: 3, EngineCount: 1},
+		{Kind: Slow, At: 14, Duration: 4, Group: 2, EngineCount: 2, Slowdown: 5}, {Kind: SiteOut, At: 22, Duration: 8, Zone: 1}}
 	r, err := Run(s)
 	require.NoError(t, err)
 	t.Logf("calm %.3f, troubled %.3f: %+v", calm.Score(), r.Score(), *r)
 	assert.Equal(t, r.Completions, r.Finished+r.RateLimited+r.Aborted+r.Lost)
-	assert.Zero(t, r.Open)
-	assert.Zero(t, r.Twice+r.Late)
+	assert.Zero(t, r.Unanswered)
+	assert.Zero(t, r.DuplicateAnswers+r.LateAnswers)
 	assert.Positive(t, r.Lost, "with the site's routers")
 	assert.Less(t, r.Score(), calm.Score())
 	assert.Greater(t, r.Score(), 0.5)
@@ -124,8 +124,8 @@
 
 func TestTroublesThatCannotBe(t *testing.T) {
 	for want, trouble := range map[string]Trouble{
-		"kind 77 is none": {Kind: 77, Length: 1}, "group 9 of 2": {Length: 1, Group: 9}, "engines 3 to 5 of 4": {Length: 1, First: 3, Count: 3},
-		"times 0": {Kind: Slow, Length: 1, Count: 1}, "for 0": {Kind: Die, Count: 1},
+		"kind 77 is none": {Kind: 77, Duration: 1}, "group 9 of 2": {Duration: 1, Group: 9}, "engines 3 to 5 of 4": {Duration: 1, FirstEngine: 3, EngineCount: 3},
+		"times 0": {Kind: Slow, Duration: 1, EngineCount: 1}, "for 0": {Kind: Die, EngineCount: 1},
 	} {
 		s := day(1)
 		s.Troubles = []Trouble{trouble}
@@ -137,8 +137,8 @@
 // sharedProbingDay is a day of thirty routers on which one engine stands still and one dies.
 func sharedProbingDay(seed uint64, peers *Peers) Settings {
 	s := day(30)
-	s.Seed, s.Routers, s.Length, s.ListLate = seed, 30, 15, 0.2
-	s.Troubles = []Trouble{{Kind: Pause, At: 3, Length: 5, Group: 1, Count: 1}, {Kind: Die, At: 9, Length: 3, Group: 0, Count: 1}}
+	s.Seed, s.Routers, s.Duration, s.ListDelay = seed, 30, 15, 0.2
+	s.Troubles = []Trouble{{Kind: Pause, At: 3, Duration: 5, Group: 1, EngineCount: 1}, {Kind: Die, At: 9, Duration: 3, Group: 0, EngineCount: 1}}
 	s.Peers = peers
 	return s
 }
@@ -168,7 +168,7 @@
 	require.False(t, t.Failed())
 	var gains []float64
 	for _, p := range pairs {
-		assert.Zero(t, p.shared.Open+p.shared.Twice+p.shared.Late)
+		assert.Zero(t, p.shared.Unanswered+p.shared.DuplicateAnswers+p.shared.LateAnswers)
 		assert.Equal(t, p.shared.Completions, p.shared.Finished+p.shared.RateLimited+p.shared.Aborted)
 		assert.Greater(t, p.shared.Probes, p.alone.Probes)
 		gains = append(gains, p.shared.Score()-p.alone.Score())
--- a/internal/lab/return_test.go
+++ b/internal/lab/return_test.go
@@ -16,11 +16,11 @@
 		cold    bool
 	}{
 		"a writer that paused":  {Trouble{Kind: Pause, Group: 1}, false},
-		"a writer that slowed":  {Trouble{Kind: Slow, Group: 1, Times: 10}, false},
+		"a writer that slowed":  {Trouble{Kind: Slow, Group: 1, Slowdown: 10}, false},
 		"a writer that drained": {Trouble{Kind: Drained, Group: 1}, false},
 		"a writer that died":    {Trouble{Kind: Die, Group: 1}, true},
 		"a reader that paused":  {Trouble{Kind: Pause, Group: 0}, false},
-		"a reader that slowed":  {Trouble{Kind: Slow, Group: 0, Times: 10}, false},
+		"a reader that slowed":  {Trouble{Kind: Slow, Group: 0, Slowdown: 10}, false},
 		"a reader that died":    {Trouble{Kind: Die, Group: 0}, true},
 	} {
 		for _, routers := range []int{2, 40} {
@@ -29,19 +29,19 @@
 				const from, until, warm, days = 15, 21, 8, 6
 				var mine, all [60]float64 // dispatches by second
 				s := day(25)
-				s.Routers, s.Length, s.ListLate = routers, 40, 0.3
+				s.Routers, s.Duration, s.ListDelay = routers, 40, 0.3
 				for i := range s.Groups {
 					s.Groups[i].Model.StartShare, s.Groups[i].Model.Warm = 0.3, warm
 				}
 				s.Decide.WarmUpTime, s.Decide.OverloadWindow = warm, 2
 				x := c.trouble
-				x.At, x.Length, x.Count = from, until-from, 1
+				x.At, x.Duration, x.EngineCount = from, until-from, 1
 				s.Troubles = []Trouble{x}
 				first, n := 0, s.Groups[0].Count
 				if x.Group == 1 {
 					first, n = s.Groups[0].Count, s.Groups[1].Count
 				}
-				s.Sent = func(at float64, engine int) {
+				s.OnDispatch = func(at float64, engine int) {
 					if i := int(at); engine >= first && engine < first+n && i < len(all) {
 						all[i]++
 						if engine == first {
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -15,7 +15,7 @@
 )
 
 // Group is some engines that are alike.
-type Group struct {
+type EngineGroup struct {
 	Role  decide.Role
 	Count int
 	Zone  int
@@ -25,90 +25,90 @@
 
 // Load is one kind of completion as clients send it.
 type Load struct {
-	Rate          float64 // completions a second, over all routers
-	Workload      int     // of Settings.Decide
-	Prompt        float64 // mean tokens of what is the client's own, exponential
-	Shared        int     // tokens of the beginning that all of this kind share
-	Answer        float64 // mean tokens, exponential
-	Timeout       float64 // client timeout, seconds to the first token
-	MaxAnswer     int     // tokens that a client asks for at most
-	KeptTurns     int     // turns of a session on the mean, 1 or more; a turn's prompt has the one before in it
-	TurnsApart    float64 // seconds between two turns, mean
-	ValuePerToken float64 // of what is counted as value: the workload's value for a thousand tokens, say
+	Rate               float64 // completions a second, over all routers
+	Workload           int     // of Settings.Decide
+	MeanPromptTokens   float64 // mean tokens of what is the client's own, exponential
+	SharedPrefixTokens int     // tokens of the beginning that all of this kind share
+	MeanOutputTokens   float64 // mean tokens, exponential
+	ClientTimeout      float64 // client timeout, seconds to the first token
+	MaxOutputTokens    int     // tokens that a client asks for at most
+	Turns              int     // turns of a session on the mean, 1 or more; a turn's prompt has the one before in it
+	MeanTurnGap        float64 // seconds between two turns, mean
+	ValuePerToken      float64 // of what is counted as value: the workload's value for a thousand tokens, say
 }
 
 // Settings are a day's.
 type Settings struct {
-	Seed     uint64
-	Length   float64 // seconds in which completions come
-	Routers  int
-	Groups   []Group
-	Loads    []Load
-	Baseline Baseline // decides in place of decide.Router, None for none
-	Peers    *Peers   // nil: each router probes for itself
-	Troubles []Trouble
-	ListLate float64 // seconds until the routers hear of an engine's death or return
-	Zones    int     // of routers, in turn; 0 for one
-	Way      float64 // seconds between a router and an engine, one way
-	Link     float64 // tokens of state a second out of each reader's cell
-	Decide   decide.Settings
-	Sent     func(at float64, engine int) // hears of each dispatch, nil for none
+	Seed                uint64
+	Duration            float64 // seconds in which completions come
+	Routers             int
+	Groups              []EngineGroup
+	Loads               []Load
+	Baseline            Baseline // decides in place of decide.Router, None for none
+	Peers               *Peers   // nil: each router probes for itself
+	Troubles            []Trouble
+	ListDelay           float64 // seconds until the routers hear of an engine's death or return
+	Zones               int     // of routers, in turn; 0 for one
+	OneWayDelay         float64 // seconds between a router and an engine, one way
+	LinkTokensPerSecond float64 // tokens of state a second out of each reader's cell
+	Decide              decide.Settings
+	OnDispatch          func(at float64, engine int) // hears of each dispatch, nil for none
 }
 
 // Result is what a day came to.
 type Result struct {
 	Completions, Finished, RateLimited, Aborted int
 	InTarget                                    int                     // first token within the latency target
-	Value, Served                               float64                 // offered; and of those in target
+	OfferedValue, ServedValue                   float64                 // offered; and of those in target
 	TTFT                                        *hdrhistogram.Histogram // µs, of those finished
 	Lost                                        int                     // with their router
 	Dispatches, Probes                          int
 	Preemptions                                 uint64
 	Events                                      uint64
-	Open                                        int // that had no final answer at the end: none, or a rule is broken
-	Twice                                       int // final answers after the first: the same
-	Late                                        int // answers, or first tokens, after the client timeout: the same
+	Unanswered                                  int // that had no final answer at the end: none, or a rule is broken
+	DuplicateAnswers                            int // final answers after the first: the same
+	LateAnswers                                 int // answers, or first tokens, after the client timeout: the same
 }
 
 // Score is the part of the value that was served.
 func (r *Result) Score() float64 {
-	if r.Value == 0 {
+	if r.OfferedValue == 0 {
 		return 0
 	}
-	return r.Served / r.Value
+	return r.ServedValue / r.OfferedValue
 }
 
 type world struct {
-	s       Settings
-	clock   emulate.Clock
-	engines []*box
-	links   map[int]*emulate.Link
-	routers []*router
-	chance  *rand.Rand
-	next    uint64
-	result  Result
+	settings Settings
+	clock    emulate.Clock
+	engines  []*engine
+	links    map[int]*emulate.Link
+	routers  []*router
+	rng      *rand.Rand
+	lastID   uint64
+	result   Result
 }
 
 // box is an engine with its place.
-type box struct {
+type engine struct {
 	*emulate.Engine
-	index   int
-	group   *Group
-	jobs    uint64
-	isDown  bool
-	phase   decide.Phase
-	started float64 // on the clock; far below 0 for long ago
+	index     int
+	group     *EngineGroup
+	lastJobID uint64
+	down      bool
+	phase     decide.Phase
+	startedAt float64 // on the clock; far below 0 for long ago
 }
 
 // Run plays a day.
 func Run(s Settings) (*Result, error) {
-	w := &world{s: s, links: map[int]*emulate.Link{}, chance: rand.New(rand.NewPCG(s.Seed, 1))}
+	w := &world{settings: s, links: map[int]*emulate.Link{}, rng: rand.New(rand.NewPCG(s.Seed, 1))}
 	w.result.TTFT = hdrhistogram.New(1, 3_600_000_000, 3)
-	if int(s.Baseline) >= baselines {
+	if int(s.Baseline) >= baselineCount {
 		return nil, fmt.Errorf("lab: baseline %d is none", s.Baseline)
 	}
-	if s.Routers < 1 || len(s.Groups) == 0 || !(s.Length > 0) || !(s.Link > 0) || !(s.Way >= 0) {
-		return nil, fmt.Errorf("lab: routers, groups, length and link: wanted 1 or more, above 0: %d, %d, %v, %v", s.Routers, len(s.Groups), s.Length, s.Link)
+	if s.Routers < 1 || len(s.Groups) == 0 || !(s.Duration > 0) || !(s.LinkTokensPerSecond > 0) || !(s.OneWayDelay >= 0) {
+		return nil, fmt.Errorf("lab: routers, groups, length and link: wanted 1 or more, above 0: %d, %d, %v, %v", s.Routers, len(s.Groups), s.Duration, s.LinkTokensPerSecond)
 	}
 	s.Decide.Roles, s.Decide.Memory = nil, nil
 	for i := range s.Groups {
@@ -120,71 +120,71 @@
 			if err != nil {
 				return nil, err
 			}
-			w.engines = append(w.engines, &box{Engine: e, index: len(w.engines), group: g, phase: decide.Ready, started: longAgo})
+			w.engines = append(w.engines, &engine{Engine: e, index: len(w.engines), group: g, phase: decide.Ready, startedAt: startedLongAgo})
 		}
 		if w.links[g.Cell] == nil {
-			w.links[g.Cell] = emulate.NewLink(s.Link, &w.clock)
+			w.links[g.Cell] = emulate.NewLink(s.LinkTokensPerSecond, &w.clock)
 		}
 	}
 	s.Decide.Routers, s.Decide.ReportColumns = s.Routers, []string{"queue", "util", "x0", "x1"}
-	w.s.Decide = s.Decide
+	w.settings.Decide = s.Decide
 	for i := range s.Routers {
-		r := &router{w: w, index: i, zone: i % max(1, s.Zones)}
-		if err := r.begin(); err != nil {
+		r := &router{world: w, index: i, zone: i % max(1, s.Zones)}
+		if err := r.start(); err != nil {
 			return nil, err
 		}
 		w.routers = append(w.routers, r)
 	}
 	if s.Peers != nil {
-		if err := s.Peers.check(); err != nil {
+		if err := s.Peers.validate(); err != nil {
 			return nil, err
 		}
 		for _, r := range w.routers {
-			if err := r.join(); err != nil {
+			if err := r.joinPeers(); err != nil {
 				return nil, err
 			}
 		}
 	}
 	for i, t := range s.Troubles {
-		if err := w.check(&t, i); err != nil {
+		if err := w.validateTrouble(&t, i); err != nil {
 			return nil, err
 		}
-		w.plan(t)
+		w.scheduleTrouble(t)
 	}
 	for i := range s.Loads {
-		w.come(&s.Loads[i])
+		w.scheduleSessions(&s.Loads[i])
 	}
-	w.clock.Run(s.Length)
+	w.clock.Run(s.Duration)
 	if !w.clock.Drain(1 << 40) {
 		return nil, fmt.Errorf("lab: the day never ends")
 	}
-	w.result.Events = w.clock.Played()
+	w.result.Events = w.clock.EventCount()
 	for _, e := range w.engines {
 		w.result.Preemptions += e.Preemptions()
 	}
 	for _, r := range w.routers {
-		w.result.Open += len(r.open)
+		w.result.Unanswered += len(r.openCompletions)
 	}
 	return &w.result, nil
 }
 
-const longAgo = -1e6
+const startedLongAgo = -1e6
 
 // fact is what the list says of an engine, on a router's clock.
-func (w *world) fact(e *box, phase decide.Phase, r *router) decide.EngineEntry {
+func (w *world) engineEntry(e *engine, phase decide.Phase, r *router) decide.EngineEntry {
 	kind := 0
-	for &w.s.Groups[kind] != e.group {
+	for &w.settings.Groups[kind] != e.group {
 		kind++
 	}
 	return decide.EngineEntry{Index: e.index, Hash: uint64(e.index+1) * 0x9E3779B97F4A7C15, Zone: e.group.Zone, MachineKind: kind, Cell: e.group.Cell,
-		Phase: phase, StartedAt: e.started - r.start}
+		Phase: phase, StartedAt: e.startedAt - r.startedAt}
 }
 
 // pick is the router that a client comes to: any that is up, nil if none is.
-func (w *world) pick() *router {
-	first := w.chance.IntN(len(w.routers))
+func (w *world) pickRouter() *router {
+	first := w.rng.IntN(len(w.routers))
 	for i := range w.routers {
-		if r := w.routers[(first+i)%len(w.routers)]; !r.isDown {
+		if r := w.routers[(first+i)%len(w.routers)]; !r.down {
 			return r
 		}
 	}
@@ -192,51 +192,51 @@
 }
 
 // come has a load's next session come, and plans the one after it.
-func (w *world) come(l *Load) {
-	sessions := l.Rate / float64(max(1, l.KeptTurns))
+func (w *world) scheduleSessions(l *Load) {
+	sessions := l.Rate / float64(max(1, l.Turns))
 	if sessions <= 0 {
 		return
 	}
 	var arrive func()
 	arrive = func() {
-		if w.clock.Now() > w.s.Length {
+		if w.clock.Now() > w.settings.Duration {
 			return
 		}
-		w.next++
-		w.turn(l, w.next, 0, l.Shared)
-		w.clock.After(w.chance.ExpFloat64()/sessions, arrive)
+		w.lastID++
+		w.playTurn(l, w.lastID, 0, l.SharedPrefixTokens)
+		w.clock.After(w.rng.ExpFloat64()/sessions, arrive)
 	}
-	w.clock.After(w.chance.ExpFloat64()/sessions, arrive)
+	w.clock.After(w.rng.ExpFloat64()/sessions, arrive)
 }
 
 // turn is one completion of a session whose prompt has so many tokens of the turns before in it.
-func (w *world) turn(l *Load, session uint64, n, before int) {
-	c := &completion{load: l, session: session, prompt: before + 1 + int(w.chance.ExpFloat64()*l.Prompt),
-		answer: min(1+int(w.chance.ExpFloat64()*l.Answer), max(1, l.MaxAnswer))}
-	w.next++
-	c.id = w.next
-	if r := w.pick(); r != nil {
-		r.take(c)
+func (w *world) playTurn(l *Load, session uint64, n, before int) {
+	c := &completion{load: l, session: session, promptTokens: before + 1 + int(w.rng.ExpFloat64()*l.MeanPromptTokens),
+		outputTokens: min(1+int(w.rng.ExpFloat64()*l.MeanOutputTokens), max(1, l.MaxOutputTokens))}
+	w.lastID++
+	c.id = w.lastID
+	if r := w.pickRouter(); r != nil {
+		r.accept(c)
 	} else {
 		w.result.Completions++
-		w.result.Value += c.value()
+		w.result.OfferedValue += c.value()
 		w.result.Lost++
 	}
-	if n+1 < l.KeptTurns {
-		w.clock.After(w.chance.ExpFloat64()*l.TurnsApart, func() {
-			if w.clock.Now() <= w.s.Length {
-				w.turn(l, session, n+1, c.prompt+c.answer)
+	if n+1 < l.Turns {
+		w.clock.After(w.rng.ExpFloat64()*l.MeanTurnGap, func() {
+			if w.clock.Now() <= w.settings.Duration {
+				w.playTurn(l, session, n+1, c.promptTokens+c.outputTokens)
 			}
 		})
 	}
 }
 
 // hashes are of a prompt's whole blocks: the shared beginning is of the load, the rest of the session.
-func (c *completion) hashes(block int) []uint64 {
-	all := make([]uint64, c.prompt/block)
+func (c *completion) blockHashes(block int) []uint64 {
+	all := make([]uint64, c.promptTokens/block)
 	for i := range all {
 		of := c.session
-		if (i+1)*block <= c.load.Shared {
+		if (i+1)*block <= c.load.SharedPrefixTokens {
 			of = math.MaxUint32 - uint64(c.load.Workload)
 		}
 		all[i] = of<<24 | uint64(i+1)
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	pendingMost = 256 << 10              // bytes that wait to be written
-	closeMost   = 200 * time.Millisecond // for what is left at the end
+	maxPendingBytes = 256 << 10              // bytes that wait to be written
+	closeTimeout    = 200 * time.Millisecond // for what is left at the end
 )
 
 // Writer takes lines without waiting. It is safe for concurrent use.
 type Writer struct {
-	to    io.Writer
-	notes *slog.Logger  // writes straight to it
-	wake  chan struct{} // there is something to write
-	done  chan struct{} // all is written, after Close
+	out     io.Writer
+	dropLog *slog.Logger  // writes straight to it
+	wake    chan struct{} // there is something to write
+	done    chan struct{} // all is written, after Close
 
 	mu      sync.Mutex
 	pending []byte
@@ -30,7 +30,7 @@
 
 // Start starts a writer and gives a logger on it, with a handler that handler makes.
 func Start(to io.Writer, handler func(io.Writer) slog.Handler) (*slog.Logger, *Writer) {
-	w := &Writer{to: to, notes: slog.New(handler(to)), wake: make(chan struct{}, 1), done: make(chan struct{})}
+	w := &Writer{out: to, dropLog: slog.New(handler(to)), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return slog.New(handler(w)), w
 }
@@ -38,7 +38,7 @@
 // Write is of io.Writer: it takes one line, whole or not at all, and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if w.closed || len(w.pending)+len(line) > pendingMost {
+	if w.closed || len(w.pending)+len(line) > maxPendingBytes {
 		w.dropped++
 	} else {
 		w.pending = append(w.pending, line...)
@@ -67,10 +67,10 @@
 		w.dropped = 0
 		w.mu.Unlock()
 		if len(lines) > 0 {
-			w.to.Write(lines) //nolint:errcheck // there is no other place to tell it
+			w.out.Write(lines) //nolint:errcheck // there is no other place to tell it
 		}
 		if dropped > 0 {
-			w.notes.Warn("log lines dropped, as the log's reader fell behind", "lines", dropped)
+			w.dropLog.Warn("log lines dropped, as the log's reader fell behind", "lines", dropped)
 		}
 		if closed {
 			return
@@ -86,6 +86,6 @@
 	w.signal()
 	select {
 	case <-w.done:
-	case <-time.After(closeMost):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -42,7 +42,7 @@
 // TestReaderStalls: nobody waits for a reader that takes nothing; what is kept is bounded, in order and whole, and what was dropped
 // is told.
 func TestReaderStalls(t *testing.T) {
-	const size, count = 1 << 10, 2 * pendingMost >> 10
+	const size, count = 1 << 10, 2 * maxPendingBytes >> 10
 	reader := &slowReader{begun: make(chan struct{}, 1), goOn: make(chan struct{})}
 	log, w := Start(reader, textHandler)
 	began := time.Now()
@@ -53,7 +53,7 @@
 	}
 	require.Less(t, time.Since(began), 5*time.Second)
 	w.mu.Lock()
-	require.LessOrEqual(t, len(w.pending), pendingMost)
+	require.LessOrEqual(t, len(w.pending), maxPendingBytes)
 	require.Positive(t, w.dropped)
 	w.mu.Unlock()
 	close(reader.goOn)
@@ -79,6 +79,6 @@
 	log.Info("line")
 	began := time.Now()
 	w.Close()
-	require.Less(t, time.Since(began), 10*closeMost)
+	require.Less(t, time.Since(began), 10*closeTimeout)
 	log.Info("after")
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	lowest  = 18000
-	highest = 32000
-	stretch = 200
+	minPort         = 18000
+	maxPort         = 32000
+	portsPerProcess = 200
 )
 
 // ports are this process's: a stretch is of the process, so there is one.
@@ -34,10 +34,10 @@
 }
 
 // claim takes a stretch that no other process has. Where locks can't be had it takes one by chance.
-func claim() {
-	const stretches = (highest - lowest) / stretch
+func claimRange() {
+	const stretches = (maxPort - minPort) / portsPerProcess
 	first := rand.IntN(stretches)
-	ports.from = lowest + first*stretch
+	ports.from = minPort + first*portsPerProcess
 	for i := range stretches {
 		n := (first + i) % stretches
 		f, err := os.OpenFile(filepath.Join(os.TempDir(), "cherryhub-ports-"+strconv.Itoa(n)), os.O_CREATE|os.O_RDWR, 0o666)
@@ -45,7 +45,7 @@
 			continue
 		}
 		if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil {
-			ports.lock, ports.from = f, lowest+n*stretch
+			ports.lock, ports.from = f, minPort+n*portsPerProcess
 			return
 		}
 		f.Close() //nolint:errcheck // it was not locked
@@ -57,22 +57,22 @@
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
 	if ports.from == 0 {
-		claim()
+		claimRange()
 	}
 	var err error
-	for range stretch {
+	for range portsPerProcess {
 		port := ports.from + ports.next
-		ports.next = (ports.next + 1) % stretch
+		ports.next = (ports.next + 1) % portsPerProcess
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port))); err == nil {
 			return ln, nil
 		}
 	}
-	return nil, fmt.Errorf("no free port at %s from %d to %d: %w", host, ports.from, ports.from+stretch-1, err)
+	return nil, fmt.Errorf("no free port at %s from %d to %d: %w", host, ports.from, ports.from+portsPerProcess-1, err)
 }
 
 // Address is a free address, for a server that is started next.
-func Address(host string) (string, error) {
+func FreeAddress(host string) (string, error) {
 	ln, err := Listen(host)
 	if err != nil {
 		return "", err
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -18,7 +18,7 @@
 		os.Exit(m.Run())
 	}
 	for range 50 {
-		fmt.Println(Address("127.0.0.1"))
+		fmt.Println(FreeAddress("127.0.0.1"))
 	}
 	fmt.Scanln() // it keeps its stretch until it is told to end
 }
@@ -41,7 +41,7 @@
 	}
 	seen := map[string]bool{}
 	for range 50 {
-		a, err := Address("127.0.0.1")
+		a, err := FreeAddress("127.0.0.1")
 		require.NoError(t, err)
 		assert.False(t, seen[a], "handed out twice")
 		seen[a] = true
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	headroom = 64 << 20 // bytes; garbage that may gather over a small heap
-	least    = 25       // percent of a large heap; below it collecting costs more than streams do
-	most     = 800      // percent; what lives may grow fast between two collections
+	headroomBytes = 64 << 20 // bytes; garbage that may gather over a small heap
+	minGCPercent  = 25       // percent of a large heap; below it collecting costs more than streams do
+	maxGCPercent  = 800      // percent; what lives may grow fast between two collections
 )
 
 // Tune sets the pace after each collection from now on. Where GOGC or GOMEMLIMIT is set it does nothing: the
 // operator has decided.
-func Tune() {
+func TuneGC() {
 	if os.Getenv("GOGC") != "" || os.Getenv("GOMEMLIMIT") != "" {
 		return
 	}
-	next()
+	setGCPercent()
 }
 
 // mark is garbage from the start: its finalizer runs after each collection and makes the next one.
-type mark struct{ _ [16]byte }
+type gcSentinel struct{ _ [16]byte }
 
-func next() {
-	debug.SetGCPercent(percent(live()))
-	runtime.SetFinalizer(&mark{}, func(*mark) { next() })
+func setGCPercent() {
+	debug.SetGCPercent(gcPercent(liveHeapBytes()))
+	runtime.SetFinalizer(&gcSentinel{}, func(*gcSentinel) { setGCPercent() })
 }
 
 // live is what the last collection left, in bytes.
-func live() uint64 {
+func liveHeapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindUint64 {
@@ -43,9 +43,9 @@
 	return sample[0].Value.Uint64()
 }
 
-func percent(live uint64) int {
+func gcPercent(live uint64) int {
 	if live == 0 {
-		return most
+		return maxGCPercent
 	}
-	return int(min(most, max(least, headroom*100/live)))
+	return int(min(maxGCPercent, max(minGCPercent, headroomBytes*100/live)))
 }
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestPercent(t *testing.T) {
-	for live, want := range map[uint64]int{0: most, 1 << 20: most, 32 << 20: 200, 64 << 20: 100, 1 << 30: least} {
-		assert.Equal(t, want, percent(live), "%d MiB live", live>>20)
+	for live, want := range map[uint64]int{0: maxGCPercent, 1 << 20: maxGCPercent, 32 << 20: 200, 64 << 20: 100, 1 << 30: minGCPercent} {
+		assert.Equal(t, want, gcPercent(live), "%d MiB live", live>>20)
 	}
 }
 
@@ -25,13 +25,13 @@
 		return p
 	}
 	t.Setenv("GOGC", "70")
-	Tune()
+	TuneGC()
 	runtime.GC()
 	assert.Equal(t, 100, now())
 	t.Setenv("GOGC", "")
-	Tune()
+	TuneGC()
 	held := make([]byte, 400<<20)
-	assert.Eventually(t, func() bool { runtime.GC(); return now() == least }, 5*time.Second, 10*time.Millisecond)
+	assert.Eventually(t, func() bool { runtime.GC(); return now() == minGCPercent }, 5*time.Second, 10*time.Millisecond)
 	runtime.KeepAlive(held)
 	held = nil
 	assert.Eventually(t, func() bool { runtime.GC(); return now() > 150 }, 5*time.Second, 10*time.Millisecond)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -104,7 +104,7 @@
 // freeAddresses returns the addresses for n peers.
 func freeAddresses(t *testing.T, n int) (addresses []string) {
 	for range n {
-		a, err := loopback.Address("127.0.0.1")
+		a, err := loopback.FreeAddress("127.0.0.1")
 		require.NoError(t, err)
 		addresses = append(addresses, a)
 	}
@@ -197,7 +197,7 @@
 // TestProbe checks that Probe returns a fresh shared report if there is one, else probes within the own budget, and
 // fails once the budget is exhausted.
 func TestProbe(t *testing.T) {
-	address, err := loopback.Address("127.0.0.1")
+	address, err := loopback.FreeAddress("127.0.0.1")
 	require.NoError(t, err)
 	p := startPeer(t, "alone", address, key, nil, 1)
 	require.Eventually(t, func() bool { return p.probeCount() >= 4 }, 5*time.Second, time.Millisecond)
@@ -216,7 +216,7 @@
 // TestWrongKey checks that a router with another key is not admitted to the group.
 func TestWrongKey(t *testing.T) {
 	peers := startGroup(t, 2, 0)
-	address, err := loopback.Address("127.0.0.1")
+	address, err := loopback.FreeAddress("127.0.0.1")
 	require.NoError(t, err)
 	stranger := startPeer(t, "stranger", address, "ff112233445566778899aabbccddeeff", []string{peers[0].options.Membership.Listen}, 0)
 	time.Sleep(1500 * time.Millisecond)
@@ -228,7 +228,7 @@
 
 // TestInvalidInput checks that malformed messages are ignored and invalid options rejected.
 func TestInvalidInput(t *testing.T) {
-	address, err := loopback.Address("127.0.0.1")
+	address, err := loopback.FreeAddress("127.0.0.1")
 	require.NoError(t, err)
 	p := startPeer(t, "alone", address, key, nil, 1)
 	for _, m := range []string{"", "garbage", "\x0a\xff\xff\xff\xff\xff", "\x0a\x02\x08\x01"} {
--- a/internal/platform/service/config.go
+++ b/internal/platform/service/config.go
@@ -97,7 +97,7 @@
 	}
 	parsed, err := settings.Parse(raw.Settings)
 	if err == nil {
-		err = parsed.Serves()
+		err = parsed.Validate()
 	}
 	if err != nil {
 		return nil, configErrorf("config: %w", err)
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -81,11 +81,11 @@
 	clientConns := sockets * clientSocketPercent / 100
 	engineConns := sockets - clientConns
 	r.backend = backend.New(backend.Options{ReportColumns: s.Decide.ReportColumns, ProbesAllowed: s.Decide.ProbesAllowed, ConnectTimeout: s.ConnectTimeout,
-		EngineIdleTimeout: s.ConnIdle, MaxConns: engineConns})
-	r.edge = edge.New(edge.Options{AnswerMargin: answerMargin, HoldLimit: s.LetGo + holdLimitSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.stats})
+		EngineIdleTimeout: s.EngineIdleTimeout, MaxConns: engineConns})
+	r.edge = edge.New(edge.Options{AnswerMargin: answerMargin, HoldLimit: s.HoldLimit + holdLimitSlack, Engines: r.backend, ReleaseByCompletion: true, Log: log, Observer: r.stats})
 	s.Decide.ReservationsUnconfirmed = true // an engine's answer may not tell whether the reservation was made
 	var machines []planner.MachineKind
-	for i, name := range s.Machines {
+	for i, name := range s.MachineKinds {
 		machines = append(machines, planner.MachineKind{Name: name, Role: s.Decide.Roles[i]})
 	}
 	r.planner, err = planner.New(s.Decide, planner.Options{MachineKinds: machines, Zone: s.Zones[s.Decide.Zone], MaxEngines: maxEngines,
@@ -223,7 +223,7 @@
 
 // minKillDelay is the shortest time from SIGTERM to SIGKILL.
 func (c *Config) minKillDelay() time.Duration {
-	return min(maxKillTimeout, slices.Max(c.Settings.Timeouts)) + killGracePeriod
+	return min(maxKillTimeout, slices.Max(c.Settings.ClientTimeouts)) + killGracePeriod
 }
 
 // Stop shuts the router down: it accepts requests for a short time, answers all accepted ones, closes the client
@@ -238,7 +238,7 @@
 		}
 	}
 	killAfter := r.config.minKillDelay()
-	if refuseAfter := killAfter - refuseBeforeKill; r.config.Settings.Resume && refuseAfter > stopRefuseAfter {
+	if refuseAfter := killAfter - refuseBeforeKill; r.config.Settings.ClientsResume && refuseAfter > stopRefuseAfter {
 		// In a rolling restart of few routers, there may be no router in service for a while, and the next one stops about
 		// when this one is killed: requests on kept connections, and streams broken by the kill, would find no router. So
 		// this one accepts requests longer and cuts its streams earlier. If other routers are in service, this costs one
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -22,7 +22,7 @@
 type Writer struct {
 	mu      sync.Mutex
 	out     *bufio.Writer
-	close   io.Closer
+	closer  io.Closer
 	start   time.Time
 	entries int64
 	err     error
@@ -34,12 +34,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	return New(f, f, head), nil
+	return NewWriter(f, f, head), nil
 }
 
 // New begins a record.
-func New(out io.Writer, closer io.Closer, head *pb.Head) *Writer {
-	w := &Writer{out: bufio.NewWriterSize(out, 1<<16), close: closer, start: time.Now()}
+func NewWriter(out io.Writer, closer io.Closer, head *pb.Head) *Writer {
+	w := &Writer{out: bufio.NewWriterSize(out, 1<<16), closer: closer, start: time.Now()}
 	w.Write(&pb.Entry{What: &pb.Entry_Head{Head: head}})
 	return w
 }
@@ -52,10 +52,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e.AtS = proto.Float64(w.Now())
-	w.put(e)
+	w.writeEntry(e)
 }
 
-func (w *Writer) put(e *pb.Entry) {
+func (w *Writer) writeEntry(e *pb.Entry) {
 	if w.err != nil {
 		return
 	}
@@ -69,12 +69,12 @@
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.put(&pb.Entry{AtS: proto.Float64(w.Now()), What: &pb.Entry_Foot{Foot: &pb.Foot{Entries: proto.Int64(w.entries)}}})
-	return errors.Join(w.err, w.out.Flush(), w.close.Close())
+	w.writeEntry(&pb.Entry{AtS: proto.Float64(w.Now()), What: &pb.Entry_Foot{Foot: &pb.Foot{Entries: proto.Int64(w.entries)}}})
+	return errors.Join(w.err, w.out.Flush(), w.closer.Close())
 }
 
 // maxEntry bounds an entry, in bytes.
-const maxEntry = 1 << 20
+const maxEntryBytes = 1 << 20
 
 // ReadFile reads a whole record. One without a head or a foot, or with entries missing, is refused.
 func ReadFile(file string) ([]*pb.Entry, error) {
@@ -96,7 +96,7 @@
 	var all []*pb.Entry
 	for {
 		e := &pb.Entry{}
-		err := protodelim.UnmarshalOptions{MaxSize: maxEntry}.UnmarshalFrom(r, e)
+		err := protodelim.UnmarshalOptions{MaxSize: maxEntryBytes}.UnmarshalFrom(r, e)
 		if errors.Is(err, io.EOF) {
 			break
 		}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -15,7 +15,7 @@
 
 func TestRecord(t *testing.T) {
 	var buf bytes.Buffer
-	w := New(&buf, io.NopCloser(nil), &pb.Head{Day: proto.String("d")})
+	w := NewWriter(&buf, io.NopCloser(nil), &pb.Head{Day: proto.String("d")})
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -47,7 +47,7 @@
 
 func FuzzRead(f *testing.F) {
 	var buf bytes.Buffer
-	w := New(&buf, io.NopCloser(nil), &pb.Head{})
+	w := NewWriter(&buf, io.NopCloser(nil), &pb.Head{})
 	w.Close() //nolint:errcheck // into memory
 	f.Add(buf.Bytes())
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -37,7 +37,7 @@
 	if setup.admission.GetOff() {
 		return setup, nil
 	}
-	if setup.config, setup.descriptors, err = config.Rules(settings, setup.admission, limit); err != nil {
+	if setup.config, setup.descriptors, err = config.AdmissionConfig(settings, setup.admission, limit); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
 	return setup, nil
@@ -48,7 +48,7 @@
 	if s.admission.GetOff() {
 		return nil, nil //nolint:nilnil // nil means that admission is off
 	}
-	options := config.Door(settings, s.admission)
+	options := config.ListenerOptions(settings, s.admission)
 	options.Listener, options.Admission, options.Log = ln.(*net.TCPListener), s.config, log //nolint:forcetypeassert // net.Listen("tcp") returns this type
 	listener, err := door.New(options)
 	if err != nil {
@@ -70,7 +70,7 @@
 		var newConfig door.AdmissionConfig
 		var budget admit.DescriptorBudget
 		if err == nil {
-			newConfig, budget, err = config.Rules(r.settings, admission, r.descriptors.Limit)
+			newConfig, budget, err = config.AdmissionConfig(r.settings, admission, r.descriptors.Limit)
 		}
 		if err == nil && budget.Connections+budget.Closing > r.descriptors.Connections+r.descriptors.Closing {
 			err = fmt.Errorf("%s: %d connections and %d closing ones exceed the %d that have had descriptors since startup",
--- a/internal/router/churn_test.go
+++ b/internal/router/churn_test.go
@@ -133,7 +133,7 @@
 func (c *churn) startRouter(name, seed string) *Router {
 	r := proto.CloneOf(c.settings)
 	r.Name = &name
-	address, err := loopback.Address("127.0.0.1")
+	address, err := loopback.FreeAddress("127.0.0.1")
 	require.NoError(c.t, err)
 	r.Peers.Listen = &address
 	if seed != "" {
--- a/internal/router/limit_test.go
+++ b/internal/router/limit_test.go
@@ -46,7 +46,7 @@
 	if err := config.Load(file, r); err != nil {
 		return err
 	}
-	router, err := Start(r, telemetry.Log(os.Stderr, r.GetLog()))
+	router, err := Start(r, telemetry.NewLogger(os.Stderr, r.GetLog()))
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 
 func startLimitedRouter(t *testing.T, h *harness, r *pb.Router) *limitedRouter {
 	file := filepath.Join(t.TempDir(), "router.textproto")
-	require.NoError(t, os.WriteFile(file, []byte(config.Text(r)), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte(config.Format(r)), 0o600))
 	self, err := os.Executable()
 	require.NoError(t, err)
 	l := &limitedRouter{t: t, cmd: exec.Command(self)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 	}
-	clientOptions := config.Engine(settings)
+	clientOptions := config.EngineOptions(settings)
 	clientOptions.MaxConns = setup.descriptors.Engines
 	client, err := engine.NewClient(clientOptions)
 	if err != nil {
@@ -84,7 +84,7 @@
 		workloadNames = append(workloadNames, w.GetName())
 	}
 	metrics := telemetry.NewMetrics(workloadNames)
-	edgeOptions := config.Edge(settings, setup.admission)
+	edgeOptions := config.EdgeOptions(settings, setup.admission)
 	edgeOptions.Listener, edgeOptions.Engines, edgeOptions.Log, edgeOptions.Observer = ln, edge.VLLMEngines(client), log, metrics
 	router := &Router{Metrics: metrics, settings: settings, address: ln.Addr(), client: client, log: log, errs: make(chan error, 3), descriptors: setup.descriptors}
 	if router.listener, err = setup.newListener(settings, ln, log); err != nil {
@@ -96,7 +96,7 @@
 	list := settings.GetList()
 	follower := fleet.New(fleet.Options{URL: list.GetUrl(), File: list.GetFile(), PollInterval: config.Seconds(list.GetPollS()), PollService: list.GetAsk(),
 		RetryDelay: config.Seconds(list.GetRetryS()), MaxEngines: int(list.GetMaxEngines()), SourceAddress: settings.GetSourceAddress(), Notify: router.updateEngines, Log: log})
-	if peerOptions := config.Peer(settings); peerOptions != nil {
+	if peerOptions := config.PeerOptions(settings); peerOptions != nil {
 		peerOptions.Probe, peerOptions.Log, peerOptions.Observer = client.Probe, log, metrics
 		peerOptions.Notify = func(e link.Event) { router.Planner.Notify(e) }
 		if list.GetAsk() {
@@ -108,13 +108,13 @@
 		edgeOptions.Probe = router.peer.Probe
 	}
 	e := edge.New(edgeOptions)
-	plannerOptions := config.Planner(settings)
-	plannerOptions.Log, plannerOptions.ObserveDelay = log, metrics.Delay
+	plannerOptions := config.PlannerOptions(settings)
+	plannerOptions.Log, plannerOptions.ObserveDelay = log, metrics.ObservePlannerDelay
 	if router.listener != nil {
 		plannerOptions.MaxOpenCompletions = min(plannerOptions.MaxOpenCompletions, setup.descriptors.MaxCompletions)
-		metrics.WatchDoor(router.listener)
+		metrics.WatchAdmission(router.listener)
 	}
-	p, err := planner.New(config.Decide(settings), plannerOptions, e)
+	p, err := planner.New(config.DecideSettings(settings), plannerOptions, e)
 	if err != nil {
 		return nil, fmt.Errorf("router %s: %w", settings.GetName(), err)
 	}
@@ -164,7 +164,7 @@
 	if err := config.Load(file, settings); err != nil {
 		return err
 	}
-	log, writer := logwriter.Start(logs, func(w io.Writer) slog.Handler { return telemetry.LogHandler(w, settings.GetLog()) })
+	log, writer := logwriter.Start(logs, func(w io.Writer) slog.Handler { return telemetry.NewLogHandler(w, settings.GetLog()) })
 	defer writer.Close()
 	router, err := Start(settings, log)
 	if err != nil {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -66,7 +66,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
 	h := &harness{t: t, http: &http.Client{Transport: transport}}
-	h.recorder = record.New(&h.recorded, io.NopCloser(nil), &pb.Head{Workloads: r.GetWorkloads(), LetGoS: proto.Float64(r.GetLetGoS()),
+	h.recorder = record.NewWriter(&h.recorded, io.NopCloser(nil), &pb.Head{Workloads: r.GetWorkloads(), LetGoS: proto.Float64(r.GetLetGoS()),
 		DrainGraceS: proto.Float64(r.GetDrainGraceS()), Cold: r.GetCold(), ValueUnitTokens: proto.Float64(1000)})
 	var err error
 	h.fleet, err = standin.Start(f, r.GetWorkloads(), h.recorder)
@@ -102,7 +102,7 @@
 	require.NoError(h.t, err)
 	report, err := rules.Check(entries)
 	require.NoError(h.t, err)
-	assert.Empty(h.t, report.Breaches)
+	assert.Empty(h.t, report.Violations)
 	return entries
 }
 
--- a/internal/rules/probes.go
+++ b/internal/rules/probes.go
@@ -7,17 +7,17 @@
 )
 
 // Probes is what an engine met of probes, from its own record.
-type Probes struct {
-	Engine  string  `json:"engine"`
-	Count   int     `json:"count"`
-	Longest float64 `json:"longest_gap_s"` // between two, while it was up and heard
-	Most    int     `json:"most_in_window"`
-	Peers   int     `json:"routers"` // that probed it
+type ProbeStats struct {
+	Engine      string  `json:"engine"`
+	Count       int     `json:"count"`
+	LongestGap  float64 `json:"longest_gap_s"` // between two, while it was up and heard
+	MaxInWindow int     `json:"most_in_window"`
+	Routers     int     `json:"routers"` // that probed it
 }
 
 // CountProbes counts probes from a time to another, with the most in any window. An engine's times of being
 // down or deaf begin a gap anew.
-func CountProbes(entries []*pb.Entry, from, to, window float64) []Probes {
+func CountProbes(entries []*pb.Entry, from, to, window float64) []ProbeStats {
 	type met struct {
 		at    []float64
 		gap   float64
@@ -44,9 +44,9 @@
 			if len(m.off) == 0 && at >= from {
 				m.gap = max(m.gap, at-m.last)
 			}
-			m.off[why(ev)] = true
+			m.off[unreachableReason(ev)] = true
 		case pb.EngineEvent_UP, pb.EngineEvent_HEARS:
-			if delete(m.off, why(ev)); len(m.off) == 0 {
+			if delete(m.off, unreachableReason(ev)); len(m.off) == 0 {
 				m.last = max(from, at)
 			}
 		case pb.EngineEvent_PROBED:
@@ -59,18 +59,18 @@
 		}
 	}
 	sort.Strings(names)
-	out := make([]Probes, 0, len(names))
+	out := make([]ProbeStats, 0, len(names))
 	for _, name := range names {
 		m := all[name]
 		if len(m.off) == 0 {
 			m.gap = max(m.gap, to-m.last)
 		}
-		p := Probes{Engine: name, Count: len(m.at), Longest: m.gap, Peers: len(m.peers)}
+		p := ProbeStats{Engine: name, Count: len(m.at), LongestGap: m.gap, Routers: len(m.peers)}
 		for i, first := 0, 0; i < len(m.at); i++ {
 			for m.at[i]-m.at[first] >= window {
 				first++
 			}
-			p.Most = max(p.Most, i-first+1)
+			p.MaxInWindow = max(p.MaxInWindow, i-first+1)
 		}
 		out = append(out, p)
 	}
@@ -78,14 +78,14 @@
 }
 
 // why is what keeps an engine from hearing: it is down, or deaf to a router or all.
-func why(ev *pb.EngineEvent) string {
+func unreachableReason(ev *pb.EngineEvent) string {
 	if k := ev.GetKind(); k == pb.EngineEvent_DOWN || k == pb.EngineEvent_UP {
-		return isDown
+		return reasonDown
 	}
-	return isDeafTo + ev.GetPeer()
+	return reasonDeafTo + ev.GetPeer()
 }
 
 const (
-	isDown   = " is down"
-	isDeafTo = " is deaf to " // a router, or nobody named: to all
+	reasonDown   = " is down"
+	reasonDeafTo = " is deaf to " // a router, or nobody named: to all
 )
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -19,10 +19,10 @@
 const (
 	OneAnswer Rule = iota
 	NoEffectTwice
-	DrainsKept
-	ColdNotPushed
-	NothingPinned
-	count
+	DrainsRespected
+	ColdNotOverloaded
+	NothingHeldPastLimit
+	ruleCount
 )
 
 func (r Rule) String() string {
@@ -30,45 +30,45 @@
 }
 
 // Breach is a broken rule, with the exchange that broke it.
-type Breach struct {
+type Violation struct {
 	Rule     Rule    `json:"-"`
 	Name     string  `json:"rule"`
 	At       float64 `json:"at_s"`
 	Exchange string  `json:"exchange"`
-	Text     string  `json:"text"`
+	Message  string  `json:"text"`
 }
 
 // Work is what became of a workload's completions. A client's tries count one by one, its value once.
-type Work struct {
-	Name        string  `json:"workload"`
-	Taken       int     `json:"taken"` // tries that a router answered or owed an answer
-	Finished    int     `json:"finished"`
-	RateLimited int     `json:"rate_limited"`
-	Aborted     int     `json:"aborted"`
-	Left        int     `json:"left"`
-	Late        int     `json:"late"` // finished with the first token past the latency target
-	Asked       float64 `json:"value_asked"`
-	Served      float64 `json:"value_served"` // finished within the latency target, by any try
+type WorkloadStats struct {
+	Name         string  `json:"workload"`
+	Accepted     int     `json:"taken"` // tries that a router answered or owed an answer
+	Finished     int     `json:"finished"`
+	RateLimited  int     `json:"rate_limited"`
+	Aborted      int     `json:"aborted"`
+	ClientLeft   int     `json:"left"`
+	Late         int     `json:"late"` // finished with the first token past the latency target
+	OfferedValue float64 `json:"value_asked"`
+	ServedValue  float64 `json:"value_served"` // finished within the latency target, by any try
 }
 
 // Report is the verdict on a record.
 type Report struct {
-	Day      string     `json:"day"`
-	Works    []Work     `json:"workloads"`
-	Breaches []Breach   `json:"breaches"`
-	Checked  [count]int `json:"checked"` // exchanges that each rule was held to
-	entries  []*pb.Entry
-	head     *pb.Head
-	end      float64
-	routers  map[string][]span // when a router was down
+	Day             string          `json:"day"`
+	Workloads       []WorkloadStats `json:"workloads"`
+	Violations      []Violation     `json:"breaches"`
+	Checked         [ruleCount]int  `json:"checked"` // exchanges that each rule was held to
+	entries         []*pb.Entry
+	head            *pb.Head
+	endAt           float64
+	routerDowntimes map[string][]span // when a router was down
 }
 
 // span is a time from, to; To is +Inf while it goes on.
 type span struct{ from, to float64 }
 
 // Kept tells whether a rule was kept.
-func (r *Report) Kept(rule Rule) bool {
-	for _, b := range r.Breaches {
+func (r *Report) Passed(rule Rule) bool {
+	for _, b := range r.Violations {
 		if b.Rule == rule {
 			return false
 		}
@@ -77,8 +77,8 @@
 }
 
 // Rules are all of them.
-func Rules() (all []Rule) {
-	for r := range count {
+func AllRules() (all []Rule) {
+	for r := range ruleCount {
 		all = append(all, r)
 	}
 	return all
@@ -90,7 +90,7 @@
 		return nil, fmt.Errorf("rules: a record of %d entries without a head", len(entries))
 	}
 	r := &Report{Day: entries[0].GetHead().GetDay(), entries: entries, head: entries[0].GetHead(),
-		end: entries[len(entries)-1].GetAtS(), routers: map[string][]span{}, Breaches: []Breach{}}
+		endAt: entries[len(entries)-1].GetAtS(), routerDowntimes: map[string][]span{}, Violations: []Violation{}}
 	last := 0.0
 	for i, e := range entries {
 		if e.GetAtS() < last || math.IsNaN(e.GetAtS()) {
@@ -98,32 +98,32 @@
 		}
 		last = e.GetAtS()
 		if ev := e.GetRouter(); ev != nil {
-			spans := r.routers[ev.GetRouter()]
+			spans := r.routerDowntimes[ev.GetRouter()]
 			if ev.GetUp() && len(spans) > 0 {
 				spans[len(spans)-1].to = e.GetAtS()
 			} else if !ev.GetUp() {
 				spans = append(spans, span{e.GetAtS(), math.Inf(1)})
 			}
-			r.routers[ev.GetRouter()] = spans
+			r.routerDowntimes[ev.GetRouter()] = spans
 		}
 	}
-	clients := r.clients()
-	r.answers(clients)
-	r.effects(clients)
-	r.drains()
-	r.cold()
-	r.pinned()
-	sort.SliceStable(r.Breaches, func(i, j int) bool { return r.Breaches[i].At < r.Breaches[j].At })
+	clients := r.collectAttempts()
+	r.checkAnswers(clients)
+	r.checkEffects(clients)
+	r.checkDrains()
+	r.checkColdEngines()
+	r.checkHeldResources()
+	sort.SliceStable(r.Violations, func(i, j int) bool { return r.Violations[i].At < r.Violations[j].At })
 	return r, nil
 }
 
-func (r *Report) breach(rule Rule, at float64, exchange, format string, a ...any) {
-	r.Breaches = append(r.Breaches, Breach{rule, rule.String(), at, exchange, fmt.Sprintf(format, a...)})
+func (r *Report) addViolation(rule Rule, at float64, exchange, format string, a ...any) {
+	r.Violations = append(r.Violations, Violation{rule, rule.String(), at, exchange, fmt.Sprintf(format, a...)})
 }
 
 // killed tells whether a router was down at any time from, to.
-func (r *Report) killed(router string, from, to float64) bool {
-	for _, s := range r.routers[router] {
+func (r *Report) routerWasDown(router string, from, to float64) bool {
+	for _, s := range r.routerDowntimes[router] {
 		if s.from <= to && s.to >= from {
 			return true
 		}
@@ -132,36 +132,36 @@
 }
 
 // try is one completion as its client saw it.
-type try struct {
-	id, first int64
-	router    string
-	key       string
-	work      int
-	timeout   float64
-	streamed  bool
-	prompt    float64
-	sent      float64
-	firstAt   float64 // of its first token, +Inf
-	endAt     float64 // of the last thing that happened
-	finals    []final
-	left      bool
-	gaveUp    bool
-	cut       bool
-	after     string
-	none      bool // nothing was taken
-	answer    float64
+type attempt struct {
+	id, firstID    int64
+	router         string
+	key            string
+	workload       int
+	timeout        float64
+	streamed       bool
+	promptTokens   float64
+	sentAt         float64
+	firstTokenAt   float64 // of its first token, +Inf
+	lastEventAt    float64 // of the last thing that happened
+	finalAnswers   []finalAnswer
+	clientLeft     bool
+	clientTimedOut bool
+	connectionCut  bool
+	dataAfterFinal string
+	noConnection   bool // nothing was taken
+	outputTokens   float64
 }
 
-type final struct {
-	kind   pb.ClientEvent_Kind
-	at     float64
-	status int32
-	name   string // the completion's, as the router gave it
+type finalAnswer struct {
+	kind       pb.ClientEvent_Kind
+	at         float64
+	status     int32
+	completion string // the completion's, as the router gave it
 }
 
 // clients gathers the tries in the order of their sending.
-func (r *Report) clients() []*try {
-	byID, all := map[int64]*try{}, []*try(nil)
+func (r *Report) collectAttempts() []*attempt {
+	byID, all := map[int64]*attempt{}, []*attempt(nil)
 	for _, e := range r.entries {
 		c := e.GetClient()
 		if c == nil {
@@ -169,77 +169,77 @@
 		}
 		t := byID[c.GetCompletion()]
 		if t == nil {
-			t = &try{id: c.GetCompletion(), firstAt: math.Inf(1), sent: e.GetAtS()}
+			t = &attempt{id: c.GetCompletion(), firstTokenAt: math.Inf(1), sentAt: e.GetAtS()}
 			byID[t.id] = t
 			all = append(all, t)
 		}
-		t.endAt = e.GetAtS()
+		t.lastEventAt = e.GetAtS()
 		switch c.GetKind() {
 		case pb.ClientEvent_SENT:
-			t.first, t.router, t.key, t.work = c.GetFirstTry(), c.GetRouter(), c.GetKey(), int(c.GetWorkload())
-			t.timeout, t.streamed, t.prompt = c.GetTimeoutS(), c.GetStreamed(), float64(c.GetPromptTokens())
+			t.firstID, t.router, t.key, t.workload = c.GetFirstTry(), c.GetRouter(), c.GetKey(), int(c.GetWorkload())
+			t.timeout, t.streamed, t.promptTokens = c.GetTimeoutS(), c.GetStreamed(), float64(c.GetPromptTokens())
 		case pb.ClientEvent_FIRST:
-			t.firstAt = e.GetAtS()
+			t.firstTokenAt = e.GetAtS()
 		case pb.ClientEvent_FINISHED, pb.ClientEvent_RATE_LIMITED, pb.ClientEvent_ABORTED, pb.ClientEvent_REFUSED:
-			t.finals = append(t.finals, final{c.GetKind(), e.GetAtS(), c.GetStatus(), c.GetDetail()})
-			t.answer = float64(c.GetAnswerTokens())
+			t.finalAnswers = append(t.finalAnswers, finalAnswer{c.GetKind(), e.GetAtS(), c.GetStatus(), c.GetDetail()})
+			t.outputTokens = float64(c.GetAnswerTokens())
 		case pb.ClientEvent_LEFT:
-			t.left = true
+			t.clientLeft = true
 		case pb.ClientEvent_GAVE_UP:
-			t.gaveUp = true
+			t.clientTimedOut = true
 		case pb.ClientEvent_CUT:
-			t.cut = true
+			t.connectionCut = true
 		case pb.ClientEvent_AFTER:
-			t.after = c.GetDetail()
+			t.dataAfterFinal = c.GetDetail()
 		case pb.ClientEvent_NO_CONNECTION:
-			t.none = true
+			t.noConnection = true
 		}
 	}
 	return all
 }
 
 // answers checks that each try that was taken has one final answer before its client timeout, and counts.
-func (r *Report) answers(tries []*try) {
-	r.Works = make([]Work, len(r.head.GetWorkloads()))
+func (r *Report) checkAnswers(tries []*attempt) {
+	r.Workloads = make([]WorkloadStats, len(r.head.GetWorkloads()))
 	for i, w := range r.head.GetWorkloads() {
-		r.Works[i].Name = w.GetName()
+		r.Workloads[i].Name = w.GetName()
 	}
 	served, asked := map[int64]float64{}, map[int64]float64{}
-	var order []*try
+	var order []*attempt
 	for _, t := range tries {
-		if t.work < 0 || t.work >= len(r.Works) {
-			r.breach(OneAnswer, t.sent, exchange(t), "of a workload that is not in the head")
+		if t.workload < 0 || t.workload >= len(r.Workloads) {
+			r.addViolation(OneAnswer, t.sentAt, exchangeName(t), "of a workload that is not in the head")
 			continue
 		}
-		w, set := &r.Works[t.work], r.head.GetWorkloads()[t.work]
-		value := set.GetValue() * (t.prompt + t.answer) / r.head.GetValueUnitTokens()
-		if t.first == t.id {
+		w, set := &r.Workloads[t.workload], r.head.GetWorkloads()[t.workload]
+		value := set.GetValue() * (t.promptTokens + t.outputTokens) / r.head.GetValueUnitTokens()
+		if t.firstID == t.id {
 			order = append(order, t)
 		}
-		asked[t.first] = max(asked[t.first], value)
-		if t.none {
+		asked[t.firstID] = max(asked[t.firstID], value)
+		if t.noConnection {
 			continue
 		}
-		w.Taken++
+		w.Accepted++
 		r.Checked[OneAnswer]++
-		r.answer(t)
-		if t.left {
-			w.Left++
+		r.checkAnswer(t)
+		if t.clientLeft {
+			w.ClientLeft++
 		}
-		if len(t.finals) == 0 {
+		if len(t.finalAnswers) == 0 {
 			continue
 		}
-		switch t.finals[0].kind {
+		switch t.finalAnswers[0].kind {
 		case pb.ClientEvent_FINISHED:
 			w.Finished++
-			first := t.firstAt
+			first := t.firstTokenAt
 			if !t.streamed {
-				first = t.finals[0].at
+				first = t.finalAnswers[0].at
 			}
-			if first-t.sent > set.GetLatencyTargetS()+set.GetLatencyTargetSPer_1000Tokens()*t.prompt/1000 {
+			if first-t.sentAt > set.GetLatencyTargetS()+set.GetLatencyTargetSPer_1000Tokens()*t.promptTokens/1000 {
 				w.Late++
 			} else {
-				served[t.first] = value
+				served[t.firstID] = value
 			}
 		case pb.ClientEvent_RATE_LIMITED:
 			w.RateLimited++
@@ -248,37 +248,37 @@
 		}
 	}
 	for _, t := range order {
-		r.Works[t.work].Asked += asked[t.id]
-		r.Works[t.work].Served += served[t.id]
+		r.Workloads[t.workload].OfferedValue += asked[t.id]
+		r.Workloads[t.workload].ServedValue += served[t.id]
 	}
 }
 
-func exchange(t *try) string {
+func exchangeName(t *attempt) string {
 	return fmt.Sprintf("client's completion %d at %s", t.id, t.router)
 }
 
-func (r *Report) answer(t *try) {
-	began := t.streamed && t.firstAt-t.sent <= t.timeout
-	dead := r.killed(t.router, t.sent, t.endAt)
-	switch n := len(t.finals); {
+func (r *Report) checkAnswer(t *attempt) {
+	began := t.streamed && t.firstTokenAt-t.sentAt <= t.timeout
+	dead := r.routerWasDown(t.router, t.sentAt, t.lastEventAt)
+	switch n := len(t.finalAnswers); {
 	case n > 1:
-		r.breach(OneAnswer, t.finals[1].at, exchange(t), "%d final answers: %v, then %v", n, t.finals[0].kind, t.finals[1].kind)
-	case t.after != "":
-		r.breach(OneAnswer, t.endAt, exchange(t), "after the final answer came %q", t.after)
-	case n == 1 && !began && t.finals[0].at-t.sent > t.timeout:
-		r.breach(OneAnswer, t.finals[0].at, exchange(t), "%v after %.3f s, the client timeout is %.3f s", t.finals[0].kind, t.finals[0].at-t.sent, t.timeout)
-	case n == 1, t.left, dead:
-	case t.gaveUp:
-		r.breach(OneAnswer, t.endAt, exchange(t), "no final answer within the client timeout of %.3f s", t.timeout)
-	case t.cut:
-		r.breach(OneAnswer, t.endAt, exchange(t), "the connection ended without a final answer")
+		r.addViolation(OneAnswer, t.finalAnswers[1].at, exchangeName(t), "%d final answers: %v, then %v", n, t.finalAnswers[0].kind, t.finalAnswers[1].kind)
+	case t.dataAfterFinal != "":
+		r.addViolation(OneAnswer, t.lastEventAt, exchangeName(t), "after the final answer came %q", t.dataAfterFinal)
+	case n == 1 && !began && t.finalAnswers[0].at-t.sentAt > t.timeout:
+		r.addViolation(OneAnswer, t.finalAnswers[0].at, exchangeName(t), "%v after %.3f s, the client timeout is %.3f s", t.finalAnswers[0].kind, t.finalAnswers[0].at-t.sentAt, t.timeout)
+	case n == 1, t.clientLeft, dead:
+	case t.clientTimedOut:
+		r.addViolation(OneAnswer, t.lastEventAt, exchangeName(t), "no final answer within the client timeout of %.3f s", t.timeout)
+	case t.connectionCut:
+		r.addViolation(OneAnswer, t.lastEventAt, exchangeName(t), "the connection ended without a final answer")
 	default:
-		r.breach(OneAnswer, r.end, exchange(t), "no final answer until the record's end")
+		r.addViolation(OneAnswer, r.endAt, exchangeName(t), "no final answer until the record's end")
 	}
 }
 
 // effects checks that nothing ran twice that must not, and that nobody was told to try again what had run.
-func (r *Report) effects(tries []*try) {
+func (r *Report) checkEffects(tries []*attempt) {
 	type effect struct {
 		runs []*pb.Entry
 	}
@@ -301,15 +301,15 @@
 	for _, key := range keys {
 		r.Checked[NoEffectTwice]++
 		if runs := byKey[key].runs; len(runs) > 1 {
-			r.breach(NoEffectTwice, runs[1].GetAtS(), "key "+key, "ran at %s (dispatch %s) and at %s (dispatch %s)",
+			r.addViolation(NoEffectTwice, runs[1].GetAtS(), "key "+key, "ran at %s (dispatch %s) and at %s (dispatch %s)",
 				runs[0].GetEngine().GetEngine(), runs[0].GetEngine().GetDispatch(), runs[1].GetEngine().GetEngine(), runs[1].GetEngine().GetDispatch())
 		}
 	}
 	for _, t := range tries {
-		for _, f := range t.finals {
-			ran := byName[f.name]
-			if f.kind == pb.ClientEvent_RATE_LIMITED && f.name != "" && ran != nil && r.effectOf(t.work) == pb.Effect_NON_IDEMPOTENT {
-				r.breach(NoEffectTwice, f.at, exchange(t), "rate-limited, but dispatch %s ran", ran.GetEngine().GetDispatch())
+		for _, f := range t.finalAnswers {
+			ran := byName[f.completion]
+			if f.kind == pb.ClientEvent_RATE_LIMITED && f.completion != "" && ran != nil && r.effectOf(t.workload) == pb.Effect_NON_IDEMPOTENT {
+				r.addViolation(NoEffectTwice, f.at, exchangeName(t), "rate-limited, but dispatch %s ran", ran.GetEngine().GetDispatch())
 			}
 		}
 	}
@@ -324,7 +324,7 @@
 
 // drains checks that nothing new came to an engine past the grace after its router was told that it drains
 // or is gone.
-func (r *Report) drains() {
+func (r *Report) checkDrains() {
 	since := map[string]float64{} // when the present run of not-ready news began, by router and engine
 	for _, e := range r.entries {
 		if l := e.GetList(); l != nil {
@@ -336,9 +336,9 @@
 			}
 		}
 		if ev := e.GetEngine(); ev.GetKind() == pb.EngineEvent_ARRIVED {
-			r.Checked[DrainsKept]++
+			r.Checked[DrainsRespected]++
 			if at, told := since[ev.GetPeer()+" "+ev.GetEngine()]; told && e.GetAtS()-at > r.head.GetDrainGraceS() {
-				r.breach(DrainsKept, e.GetAtS(), "dispatch "+ev.GetDispatch(), "%s sent it to %s %.3f s after being told, the grace is %.3f s",
+				r.addViolation(DrainsRespected, e.GetAtS(), "dispatch "+ev.GetDispatch(), "%s sent it to %s %.3f s after being told, the grace is %.3f s",
 					ev.GetPeer(), ev.GetEngine(), e.GetAtS()-at, r.head.GetDrainGraceS())
 			}
 		}
@@ -346,7 +346,7 @@
 }
 
 // cold checks that no cold engine was sent more than it can bear by routers that knew of its start.
-func (r *Report) cold() {
+func (r *Report) checkColdEngines() {
 	c := r.head.GetCold()
 	type arrival struct {
 		at, work float64
@@ -392,7 +392,7 @@
 			if share >= 1 {
 				continue
 			}
-			r.Checked[ColdNotPushed]++
+			r.Checked[ColdNotOverloaded]++
 			l.sent = append(l.sent, arrival{at, ev.GetWorkS(), heard[ev.GetPeer()+" "+ev.GetEngine()]})
 			sum, known := 0.0, 0.0
 			for _, a := range l.sent {
@@ -404,7 +404,7 @@
 				}
 			}
 			if limit := c.GetFallMultiple() * share * c.GetFallWindowS(); sum > limit && known >= 2*sum/3 {
-				r.breach(ColdNotPushed, at, "dispatch "+ev.GetDispatch(), "%s got %.2f s of work in %.1f s, %.2f s is the most at its age of %.1f s",
+				r.addViolation(ColdNotOverloaded, at, "dispatch "+ev.GetDispatch(), "%s got %.2f s of work in %.1f s, %.2f s is the most at its age of %.1f s",
 					ev.GetEngine(), sum, c.GetFallWindowS(), limit, at-l.start)
 				l.sent = nil
 			}
@@ -415,7 +415,7 @@
 // pinned checks that no state and no place stays held past the limit while no dispatch of its completion is
 // out. Time in which the engine is deaf does not count: nobody could tell it; nor what a router held that was
 // killed.
-func (r *Report) pinned() {
+func (r *Report) checkHeldResources() {
 	type held struct {
 		at                           float64
 		engine, dispatch, completion string
@@ -447,10 +447,10 @@
 				ends[id] = at
 			}
 		case pb.EngineEvent_DEAF, pb.EngineEvent_DOWN:
-			key := ev.GetEngine() + why(ev)
+			key := ev.GetEngine() + unreachableReason(ev)
 			off[key] = append(off[key], span{at, math.Inf(1)})
 		case pb.EngineEvent_HEARS, pb.EngineEvent_UP:
-			spans := off[ev.GetEngine()+why(ev)]
+			spans := off[ev.GetEngine()+unreachableReason(ev)]
 			for i := range spans {
 				spans[i].to = min(spans[i].to, at)
 			}
@@ -462,15 +462,15 @@
 	for i, h := range done {
 		end, ended := ends[order[i]]
 		if !ended {
-			end = r.end
+			end = r.endAt
 		}
-		r.Checked[NothingPinned]++
-		if r.killed(routers[h.completion], h.at, end) {
+		r.Checked[NothingHeldPastLimit]++
+		if r.routerWasDown(routers[h.completion], h.at, end) {
 			continue
 		}
-		busy := slices.Concat(out[h.completion], off[h.engine+isDown], off[h.engine+isDeafTo], off[h.engine+isDeafTo+routers[h.completion]])
+		busy := slices.Concat(out[h.completion], off[h.engine+reasonDown], off[h.engine+reasonDeafTo], off[h.engine+reasonDeafTo+routers[h.completion]])
 		if from, gap := longestGap(h.at, end, busy); gap > r.head.GetLetGoS() {
-			r.breach(NothingPinned, from, "dispatch "+h.dispatch, "held at %s for %.3f s while nothing was out, the limit is %.3f s",
+			r.addViolation(NothingHeldPastLimit, from, "dispatch "+h.dispatch, "held at %s for %.3f s while nothing was out, the limit is %.3f s",
 				h.engine, gap, r.head.GetLetGoS())
 		}
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -97,37 +97,37 @@
 		"aborted after it ran":      {NoEffectTwice, false, []*pb.Entry{client(0, 1, sent, work(1)), engine(1, pb.EngineEvent_RAN, "c-0", ran(1)), client(2, 1, abort, named("c"))}},
 		"rate-limited after it ran": {NoEffectTwice, true, []*pb.Entry{client(0, 1, sent, work(1)), engine(1, pb.EngineEvent_RAN, "c-0", ran(1)), client(2, 1, limit, named("c"))}},
 
-		"in the grace":         {DrainsKept, false, []*pb.Entry{list(1, 2, -1), engine(2, pb.EngineEvent_ARRIVED, "c-0")}},
-		"ready again":          {DrainsKept, false, []*pb.Entry{list(1, 0, -1), list(2, 1, 0), engine(3, pb.EngineEvent_ARRIVED, "c-0")}},
-		"to another":           {DrainsKept, false, []*pb.Entry{list(1, 2, -1), engine(9, pb.EngineEvent_ARRIVED, "c-0", other)}},
-		"past the grace":       {DrainsKept, true, []*pb.Entry{list(1, 2, -1), engine(2.01, pb.EngineEvent_ARRIVED, "c-0")}},
-		"drains, then is gone": {DrainsKept, true, []*pb.Entry{list(1, 2, -1), list(1.9, 0, -1), engine(2.5, pb.EngineEvent_ARRIVED, "c-0")}},
-
-		"cold, within":        {ColdNotPushed, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(2))}},
-		"cold, over time":     {ColdNotPushed, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(2)), engine(4.5, pb.EngineEvent_ARRIVED, "c-1", load(2))}},
-		"warm":                {ColdNotPushed, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, ""), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(9))}},
-		"warm by now":         {ColdNotPushed, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(11.1, pb.EngineEvent_ARRIVED, "c-0", load(9))}},
-		"not told of":         {ColdNotPushed, false, []*pb.Entry{list(0.5, 1, -1), engine(1, pb.EngineEvent_UP, "", cold), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(9))}},
-		"cold, pushed":        {ColdNotPushed, true, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(1.5)), engine(3, pb.EngineEvent_ARRIVED, "c-1", load(1.5))}},
-		"cold, pushed, again": {ColdNotPushed, true, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), engine(30, pb.EngineEvent_UP, "", cold), list(30.1, 1, 0.1), engine(31, pb.EngineEvent_ARRIVED, "c-0", load(3))}},
-
-		"taken in time":                 {NothingPinned, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_STATE_TAKEN, "c-0")}},
-		"a dispatch is out":             {NothingPinned, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_ARRIVED, "c-1", other), engine(9, pb.EngineEvent_ENDED, "c-1", other), engine(9.4, pb.EngineEvent_STATE_RELEASED, "c-0")}},
-		"deaf":                          {NothingPinned, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_DEAF, "", toAll), engine(9, pb.EngineEvent_HEARS, "", toAll), engine(9.4, pb.EngineEvent_STATE_RELEASED, "c-0")}},
-		"down, and deaf meanwhile":      {NothingPinned, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_DOWN, ""), engine(2, pb.EngineEvent_DEAF, ""), engine(3, pb.EngineEvent_HEARS, ""), engine(9, pb.EngineEvent_UP, ""), engine(9.4, pb.EngineEvent_STATE_RELEASED, "c-0")}},
-		"deaf to another router":        {NothingPinned, true, []*pb.Entry{engine(1, pb.EngineEvent_ARRIVED, "c-0"), engine(1.1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.1, pb.EngineEvent_ENDED, "c-0"), engine(1.2, pb.EngineEvent_DEAF, "", func(e *pb.EngineEvent) { e.Peer = proto.String("s") }), engine(9, pb.EngineEvent_STATE_RELEASED, "c-0")}},
-		"held too long":                 {NothingPinned, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.6, pb.EngineEvent_STATE_RELEASED, "c-0")}},
-		"never let go":                  {NothingPinned, true, []*pb.Entry{engine(1, pb.EngineEvent_PLACE_HELD, "c-0")}},
-		"after the dispatch":            {NothingPinned, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_ARRIVED, "c-1", other), engine(2, pb.EngineEvent_ENDED, "c-1", other), engine(2.6, pb.EngineEvent_STATE_TAKEN, "c-0")}},
-		"another's dispatch":            {NothingPinned, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.1, pb.EngineEvent_ARRIVED, "d-1", func(e *pb.EngineEvent) { e.Completion = proto.String("d") }), engine(3, pb.EngineEvent_STATE_TAKEN, "c-0")}},
-		"deaf, then too long":           {NothingPinned, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_DOWN, ""), engine(9, pb.EngineEvent_UP, ""), engine(9.6, pb.EngineEvent_STATE_RELEASED, "c-0")}},
-		"its router was killed, pinned": {NothingPinned, false, []*pb.Entry{engine(1, pb.EngineEvent_ARRIVED, "c-0"), engine(1.1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.1, pb.EngineEvent_ENDED, "c-0"), router(1.2, false)}},
+		"in the grace":         {DrainsRespected, false, []*pb.Entry{list(1, 2, -1), engine(2, pb.EngineEvent_ARRIVED, "c-0")}},
+		"ready again":          {DrainsRespected, false, []*pb.Entry{list(1, 0, -1), list(2, 1, 0), engine(3, pb.EngineEvent_ARRIVED, "c-0")}},
+		"to another":           {DrainsRespected, false, []*pb.Entry{list(1, 2, -1), engine(9, pb.EngineEvent_ARRIVED, "c-0", other)}},
+		"past the grace":       {DrainsRespected, true, []*pb.Entry{list(1, 2, -1), engine(2.01, pb.EngineEvent_ARRIVED, "c-0")}},
+		"drains, then is gone": {DrainsRespected, true, []*pb.Entry{list(1, 2, -1), list(1.9, 0, -1), engine(2.5, pb.EngineEvent_ARRIVED, "c-0")}},
+
+		"cold, within":        {ColdNotOverloaded, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(2))}},
+		"cold, over time":     {ColdNotOverloaded, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(2)), engine(4.5, pb.EngineEvent_ARRIVED, "c-1", load(2))}},
+		"warm":                {ColdNotOverloaded, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, ""), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(9))}},
+		"warm by now":         {ColdNotOverloaded, false, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(11.1, pb.EngineEvent_ARRIVED, "c-0", load(9))}},
+		"not told of":         {ColdNotOverloaded, false, []*pb.Entry{list(0.5, 1, -1), engine(1, pb.EngineEvent_UP, "", cold), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(9))}},
+		"cold, pushed":        {ColdNotOverloaded, true, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), list(1.1, 1, 0.1), engine(2, pb.EngineEvent_ARRIVED, "c-0", load(1.5)), engine(3, pb.EngineEvent_ARRIVED, "c-1", load(1.5))}},
+		"cold, pushed, again": {ColdNotOverloaded, true, []*pb.Entry{engine(1, pb.EngineEvent_UP, "", cold), engine(30, pb.EngineEvent_UP, "", cold), list(30.1, 1, 0.1), engine(31, pb.EngineEvent_ARRIVED, "c-0", load(3))}},
+
+		"taken in time":                 {NothingHeldPastLimit, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_STATE_TAKEN, "c-0")}},
+		"a dispatch is out":             {NothingHeldPastLimit, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_ARRIVED, "c-1", other), engine(9, pb.EngineEvent_ENDED, "c-1", other), engine(9.4, pb.EngineEvent_STATE_RELEASED, "c-0")}},
+		"deaf":                          {NothingHeldPastLimit, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_DEAF, "", toAll), engine(9, pb.EngineEvent_HEARS, "", toAll), engine(9.4, pb.EngineEvent_STATE_RELEASED, "c-0")}},
+		"down, and deaf meanwhile":      {NothingHeldPastLimit, false, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_DOWN, ""), engine(2, pb.EngineEvent_DEAF, ""), engine(3, pb.EngineEvent_HEARS, ""), engine(9, pb.EngineEvent_UP, ""), engine(9.4, pb.EngineEvent_STATE_RELEASED, "c-0")}},
+		"deaf to another router":        {NothingHeldPastLimit, true, []*pb.Entry{engine(1, pb.EngineEvent_ARRIVED, "c-0"), engine(1.1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.1, pb.EngineEvent_ENDED, "c-0"), engine(1.2, pb.EngineEvent_DEAF, "", func(e *pb.EngineEvent) { e.Peer = proto.String("s") }), engine(9, pb.EngineEvent_STATE_RELEASED, "c-0")}},
+		"held too long":                 {NothingHeldPastLimit, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.6, pb.EngineEvent_STATE_RELEASED, "c-0")}},
+		"never let go":                  {NothingHeldPastLimit, true, []*pb.Entry{engine(1, pb.EngineEvent_PLACE_HELD, "c-0")}},
+		"after the dispatch":            {NothingHeldPastLimit, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_ARRIVED, "c-1", other), engine(2, pb.EngineEvent_ENDED, "c-1", other), engine(2.6, pb.EngineEvent_STATE_TAKEN, "c-0")}},
+		"another's dispatch":            {NothingHeldPastLimit, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.1, pb.EngineEvent_ARRIVED, "d-1", func(e *pb.EngineEvent) { e.Completion = proto.String("d") }), engine(3, pb.EngineEvent_STATE_TAKEN, "c-0")}},
+		"deaf, then too long":           {NothingHeldPastLimit, true, []*pb.Entry{engine(1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.4, pb.EngineEvent_DOWN, ""), engine(9, pb.EngineEvent_UP, ""), engine(9.6, pb.EngineEvent_STATE_RELEASED, "c-0")}},
+		"its router was killed, pinned": {NothingHeldPastLimit, false, []*pb.Entry{engine(1, pb.EngineEvent_ARRIVED, "c-0"), engine(1.1, pb.EngineEvent_STATE_HELD, "c-0"), engine(1.1, pb.EngineEvent_ENDED, "c-0"), router(1.2, false)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			report, err := Check(record(c.entries...))
 			require.NoError(t, err)
-			for _, rule := range Rules() {
-				assert.Equal(t, !(c.broken && rule == c.rule), report.Kept(rule), "%v: %v", rule, report.Breaches)
+			for _, rule := range AllRules() {
+				assert.Equal(t, !(c.broken && rule == c.rule), report.Passed(rule), "%v: %v", rule, report.Violations)
 			}
 		})
 	}
@@ -142,9 +142,9 @@
 		client(8, 4, sent, work(1)), client(9, 4, abort),
 		client(9, 5, sent, work(1)), client(9.5, 5, pb.ClientEvent_LEFT)))
 	require.NoError(t, err)
-	assert.Equal(t, Work{Name: "w0", Taken: 3, Finished: 2, RateLimited: 1, Late: 1, Asked: 6, Served: 3}, report.Works[0])
-	assert.Equal(t, Work{Name: "w1", Taken: 2, Aborted: 1, Left: 1, Asked: 2}, report.Works[1])
-	assert.Empty(t, report.Breaches)
+	assert.Equal(t, WorkloadStats{Name: "w0", Accepted: 3, Finished: 2, RateLimited: 1, Late: 1, OfferedValue: 6, ServedValue: 3}, report.Workloads[0])
+	assert.Equal(t, WorkloadStats{Name: "w1", Accepted: 2, Aborted: 1, ClientLeft: 1, OfferedValue: 2}, report.Workloads[1])
+	assert.Empty(t, report.Violations)
 }
 
 func TestBadRecords(t *testing.T) {
@@ -158,7 +158,7 @@
 	}
 	report, err := Check(record(client(1, 1, sent, work(9)), engine(2, pb.EngineEvent_RAN, "c-0", func(e *pb.EngineEvent) { e.Workload = proto.Int32(-3) })))
 	require.NoError(t, err)
-	assert.False(t, report.Kept(OneAnswer), "a workload that nobody knows")
+	assert.False(t, report.Passed(OneAnswer), "a workload that nobody knows")
 }
 
 // TestGap holds longestGap to a count of small steps.
@@ -193,8 +193,8 @@
 		engine(3, pb.EngineEvent_DOWN, ""), engine(8, pb.EngineEvent_UP, ""), probe(8.4, "a"), probe(9.6, "a"), probe(30, "c"))
 	one := CountProbes(entries, 1, 10, 1)
 	require.Len(t, one, 1)
-	assert.InDelta(t, 1.2, one[0].Longest, 1e-9)
-	assert.Equal(t, []any{"e", 6, 3, 2}, []any{one[0].Engine, one[0].Count, one[0].Most, one[0].Peers})
-	assert.Equal(t, 2, CountProbes(entries, 1, 10, 0.5)[0].Most)
-	assert.InDelta(t, 20.4, CountProbes(entries, 1, 30, 1)[0].Longest, 1e-9)
+	assert.InDelta(t, 1.2, one[0].LongestGap, 1e-9)
+	assert.Equal(t, []any{"e", 6, 3, 2}, []any{one[0].Engine, one[0].Count, one[0].MaxInWindow, one[0].Routers})
+	assert.Equal(t, 2, CountProbes(entries, 1, 10, 0.5)[0].MaxInWindow)
+	assert.InDelta(t, 20.4, CountProbes(entries, 1, 30, 1)[0].LongestGap, 1e-9)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,29 +14,29 @@
 
 // Settings are those of an instance.
 type Settings struct {
-	Decide    decide.Settings
-	Zones     []string
-	Machines  []string        // names of the machine kinds, in the order of Decide.Roles
-	Workloads []string        // names, in the order of Decide.Workloads
-	Timeouts  []time.Duration // client timeouts, in the same order
-	Tenants   []string        // names, in the order of Decide.Tenants
+	Decide         decide.Settings
+	Zones          []string
+	MachineKinds   []string        // names of the machine kinds, in the order of Decide.Roles
+	Workloads      []string        // names, in the order of Decide.Workloads
+	ClientTimeouts []time.Duration // client timeouts, in the same order
+	Tenants        []string        // names, in the order of Decide.Tenants
 
-	ConnIdle       time.Duration // an engine closes a connection that was idle so long
-	ConnectTimeout time.Duration
-	LetGo          time.Duration // a state is held no longer while no dispatch is out
-	Resume         bool          // clients ask elsewhere for the rest of a stream that broke
+	EngineIdleTimeout time.Duration // an engine closes a connection that was idle so long
+	ConnectTimeout    time.Duration
+	HoldLimit         time.Duration // a state is held no longer while no dispatch is out
+	ClientsResume     bool          // clients ask elsewhere for the rest of a stream that broke
 }
 
 // Serves tells whether a real router can be run by these settings, which name what clients and discovery name.
-func (s *Settings) Serves() error {
+func (s *Settings) Validate() error {
 	for _, one := range [...]struct {
 		name string
 		bad  bool
 	}{
 		{"settings.zones", len(s.Zones) == 0}, {"settings.my-zone", s.Decide.Zone < 0 || s.Decide.Zone >= len(s.Zones)},
-		{"settings.kinds", len(s.Machines) == 0 || len(s.Machines) != len(s.Decide.Roles)},
-		{"settings.lanes", len(s.Workloads) == 0}, {"settings.limits.conn-idle-ns", s.ConnIdle <= 0},
-		{"settings.limits.connect-timeout-ns", s.ConnectTimeout <= 0}, {"settings.family-info.let-go-by-ns", s.LetGo <= 0},
+		{"settings.kinds", len(s.MachineKinds) == 0 || len(s.MachineKinds) != len(s.Decide.Roles)},
+		{"settings.lanes", len(s.Workloads) == 0}, {"settings.limits.conn-idle-ns", s.EngineIdleTimeout <= 0},
+		{"settings.limits.connect-timeout-ns", s.ConnectTimeout <= 0}, {"settings.family-info.let-go-by-ns", s.HoldLimit <= 0},
 	} {
 		if one.bad {
 			return fmt.Errorf("%s: missing or out of range", one.name)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-var roles = map[string]decide.Role{"read": decide.Reader, "write": decide.Writer, "both": decide.Mixed}
+var rolesByStage = map[string]decide.Role{"read": decide.Reader, "write": decide.Writer, "both": decide.Mixed}
 
 // Parse reads the settings; unknown keys are skipped, an absent optional key means that the site lacks the thing.
 func Parse(text []byte) (Settings, error) {
@@ -125,14 +125,14 @@
 		s.MaxRetryAfter = raw.Limits.MaxRetryAfter / 1e9
 	}
 	for _, stage := range fam.StageOfKind {
-		role, known := roles[stage]
+		role, known := rolesByStage[stage]
 		if !known {
 			return Settings{}, fmt.Errorf("settings.family-info.stage-of-kind: %q is none of read, write, both", stage)
 		}
 		s.Roles = append(s.Roles, role)
 	}
-	all := Settings{Zones: raw.Zones, Machines: raw.Kinds, ConnIdle: time.Duration(raw.Limits.ConnIdle),
-		ConnectTimeout: time.Duration(raw.Limits.ConnectTimeout), LetGo: time.Duration(fam.LetGo), Resume: fam.Resume}
+	all := Settings{Zones: raw.Zones, MachineKinds: raw.Kinds, EngineIdleTimeout: time.Duration(raw.Limits.ConnIdle),
+		ConnectTimeout: time.Duration(raw.Limits.ConnectTimeout), HoldLimit: time.Duration(fam.LetGo), ClientsResume: fam.Resume}
 	for i, l := range raw.Lanes {
 		w := decide.Workload{LatencyTarget: l.Aim / 1e9, Value: l.Worth, DedupWindow: l.Window / 1e9}
 		switch l.Effect {
@@ -159,7 +159,7 @@
 		}
 		s.Workloads = append(s.Workloads, w)
 		all.Workloads = append(all.Workloads, l.Name)
-		all.Timeouts = append(all.Timeouts, time.Duration(l.GiveUp))
+		all.ClientTimeouts = append(all.ClientTimeouts, time.Duration(l.GiveUp))
 	}
 	for _, t := range raw.Tenants {
 		s.Tenants = append(s.Tenants, decide.Tenant{Rate: t.Allowance})
--- a/internal/telemetry/admission.go
+++ b/internal/telemetry/admission.go
@@ -7,22 +7,22 @@
 )
 
 // Door is what is asked of a door.
-type Door interface {
+type AdmissionStats interface {
 	Stats(top int) (admit.Stats, []admit.Holder)
 }
 
 // doorFigures collects a door's figures when they are asked for.
-type doorFigures struct {
-	door                                   Door
-	refused, ended, let, used, most, addrs *prometheus.Desc
+type admissionCollector struct {
+	source                                           AdmissionStats
+	refused, evicted, accepted, used, max, addresses *prometheus.Desc
 }
 
 // WatchDoor adds the figures of a door.
-func (m *Metrics) WatchDoor(d Door) {
+func (m *Metrics) WatchAdmission(d AdmissionStats) {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("cherryhub_admission_"+name, help, labels, nil)
 	}
-	m.Registry.MustRegister(&doorFigures{d,
+	m.Registry.MustRegister(&admissionCollector{d,
 		desc("refused_total", "Connections, calls and completions refused, by reason.", "reason"),
 		desc("ended_total", "Connections without a call that were ended, by reason.", "reason"),
 		desc("let_in_total", "Connections let in."),
@@ -32,23 +32,23 @@
 }
 
 // Describe is of prometheus.Collector.
-func (d *doorFigures) Describe(to chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{d.refused, d.ended, d.let, d.used, d.most, d.addrs} {
+func (d *admissionCollector) Describe(to chan<- *prometheus.Desc) {
+	for _, one := range []*prometheus.Desc{d.refused, d.evicted, d.accepted, d.used, d.max, d.addresses} {
 		to <- one
 	}
 }
 
 // Collect is of prometheus.Collector.
-func (d *doorFigures) Collect(to chan<- prometheus.Metric) {
-	f, _ := d.door.Stats(0)
+func (d *admissionCollector) Collect(to chan<- prometheus.Metric) {
+	f, _ := d.source.Stats(0)
 	for r := admit.Reason(1); int(r) < admit.NumReasons; r++ {
 		to <- prometheus.MustNewConstMetric(d.refused, prometheus.CounterValue, float64(f.Refused[r]), r.String())
-		to <- prometheus.MustNewConstMetric(d.ended, prometheus.CounterValue, float64(f.Evicted[r]), r.String())
+		to <- prometheus.MustNewConstMetric(d.evicted, prometheus.CounterValue, float64(f.Evicted[r]), r.String())
 	}
-	to <- prometheus.MustNewConstMetric(d.let, prometheus.CounterValue, float64(f.Accepted))
+	to <- prometheus.MustNewConstMetric(d.accepted, prometheus.CounterValue, float64(f.Accepted))
 	for _, room := range f.Pools() {
 		to <- prometheus.MustNewConstMetric(d.used, prometheus.GaugeValue, float64(room.Used), room.Name)
-		to <- prometheus.MustNewConstMetric(d.most, prometheus.GaugeValue, float64(room.Max), room.Name)
+		to <- prometheus.MustNewConstMetric(d.max, prometheus.GaugeValue, float64(room.Max), room.Name)
 	}
-	to <- prometheus.MustNewConstMetric(d.addrs, prometheus.GaugeValue, float64(f.Addresses))
+	to <- prometheus.MustNewConstMetric(d.addresses, prometheus.GaugeValue, float64(f.Addresses))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -18,10 +18,10 @@
 )
 
 // Log is a router's log.
-func Log(w io.Writer, l *pb.Log) *slog.Logger { return slog.New(LogHandler(w, l)) }
+func NewLogger(w io.Writer, l *pb.Log) *slog.Logger { return slog.New(NewLogHandler(w, l)) }
 
 // LogHandler writes a router's log as its settings say.
-func LogHandler(w io.Writer, l *pb.Log) slog.Handler {
+func NewLogHandler(w io.Writer, l *pb.Log) slog.Handler {
 	level := map[pb.Level]slog.Level{pb.Level_DEBUG: slog.LevelDebug, pb.Level_INFO: slog.LevelInfo,
 		pb.Level_WARN: slog.LevelWarn, pb.Level_ERROR: slog.LevelError}[l.GetLevel()]
 	if l.GetJson() {
@@ -30,7 +30,7 @@
 	return slog.NewTextHandler(w, &slog.HandlerOptions{Level: level})
 }
 
-var outcomes = [...]string{decide.Finished: "finished", decide.Read: "read", decide.Errored: "errored", decide.Full: "full",
+var outcomeLabels = [...]string{decide.Finished: "finished", decide.Read: "read", decide.Errored: "errored", decide.Full: "full",
 	decide.TimedOut: "timed_out", decide.Unreachable: "unreachable", decide.Broken: "broken", decide.Cancelled: "cancelled",
 	decide.NotSent: "moot"}
 
@@ -38,20 +38,20 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	taken      []prometheus.Counter
-	answered   [][]prometheus.Counter
-	answerTime []prometheus.Observer
-	ttft       []prometheus.Observer
-	dispatched [2][]prometheus.Counter
-	dispatch   [2]prometheus.Observer
-	refused    *prometheus.CounterVec
-	released   *prometheus.CounterVec
-	held       prometheus.Histogram
-	delay      prometheus.Histogram
-	probed     *prometheus.CounterVec
-	tookOver   *prometheus.CounterVec
-	heard      *prometheus.CounterVec
-	late       prometheus.Histogram
+	accepted     []prometheus.Counter
+	answered     [][]prometheus.Counter
+	answerTime   []prometheus.Observer
+	ttft         []prometheus.Observer
+	dispatches   [2][]prometheus.Counter
+	dispatchTime [2]prometheus.Observer
+	refused      *prometheus.CounterVec
+	releases     *prometheus.CounterVec
+	holdTime     prometheus.Histogram
+	plannerDelay prometheus.Histogram
+	probes       *prometheus.CounterVec
+	takeovers    *prometheus.CounterVec
+	peerResults  *prometheus.CounterVec
+	dutyLateness prometheus.Histogram
 }
 
 // NewMetrics makes the figures of a router with workloads of those names.
@@ -76,20 +76,20 @@
 	dispatched := counter("dispatches_total", "Dispatches by outcome.", "stage", "outcome")
 	dispatch := seconds("dispatch_seconds", "From a dispatch's start to its end.", 0.001, "stage")
 	m := &Metrics{Registry: reg,
-		refused:  counter("refused_total", "Calls refused before a completion was taken.", "status"),
-		released: counter("released_total", "States and places let go, by who saw to it.", "reason"),
-		probed:   counter("probes_total", "Probes, and needs of one that were met otherwise, by reason.", "reason"),
-		tookOver: counter("duties_taken_over_total", "Duties whose last result was another router's, by cause.", "cause"),
-		heard:    counter("peer_results_total", "Other routers' results, by standing.", "standing"),
-		delay: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "planner_delay_seconds",
+		refused:     counter("refused_total", "Calls refused before a completion was taken.", "status"),
+		releases:    counter("released_total", "States and places let go, by who saw to it.", "reason"),
+		probes:      counter("probes_total", "Probes, and needs of one that were met otherwise, by reason.", "reason"),
+		takeovers:   counter("duties_taken_over_total", "Duties whose last result was another router's, by cause.", "cause"),
+		peerResults: counter("peer_results_total", "Other routers' results, by standing.", "standing"),
+		plannerDelay: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "planner_delay_seconds",
 			Help: "From a fact's telling to the planner's reading.", Buckets: prometheus.ExponentialBuckets(1e-6, 4, 12)})}
-	m.late = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "duty_late_seconds",
+	m.dutyLateness = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "duty_late_seconds",
 		Help: "Past its interval, when a duty is begun here.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)})
-	m.held = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "held_seconds",
+	m.holdTime = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "held_seconds",
 		Help: "From the last known use of what was held to its release.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)})
-	reg.MustRegister(m.delay, m.late, m.held)
+	reg.MustRegister(m.plannerDelay, m.dutyLateness, m.holdTime)
 	for _, w := range workloads {
-		m.taken = append(m.taken, taken.WithLabelValues(w))
+		m.accepted = append(m.accepted, taken.WithLabelValues(w))
 		m.answerTime = append(m.answerTime, answerTime.WithLabelValues(w))
 		m.ttft = append(m.ttft, ttft.WithLabelValues(w))
 		var by []prometheus.Counter
@@ -99,9 +99,9 @@
 		m.answered = append(m.answered, by)
 	}
 	for i, stage := range [...]string{"write", "read"} {
-		m.dispatch[i] = dispatch.WithLabelValues(stage)
-		for _, o := range outcomes {
-			m.dispatched[i] = append(m.dispatched[i], dispatched.WithLabelValues(stage, o))
+		m.dispatchTime[i] = dispatch.WithLabelValues(stage)
+		for _, o := range outcomeLabels {
+			m.dispatches[i] = append(m.dispatches[i], dispatched.WithLabelValues(stage, o))
 		}
 	}
 	return m
@@ -123,10 +123,10 @@
 }
 
 // Delay hears how long a fact waited for the planner, in seconds.
-func (m *Metrics) Delay(seconds float64) { m.delay.Observe(seconds) }
+func (m *Metrics) ObservePlannerDelay(seconds float64) { m.plannerDelay.Observe(seconds) }
 
 // Took is of edge.Observer, as are the methods below.
-func (m *Metrics) CompletionAccepted(work int) { m.taken[work].Inc() }
+func (m *Metrics) CompletionAccepted(work int) { m.accepted[work].Inc() }
 
 func (m *Metrics) CompletionAnswered(work int, how edge.Answer, took time.Duration) {
 	m.answered[work][how].Inc()
@@ -140,16 +140,16 @@
 	if reads {
 		stage = 1
 	}
-	m.dispatched[stage][o].Inc()
-	m.dispatch[stage].Observe(took.Seconds())
+	m.dispatches[stage][o].Inc()
+	m.dispatchTime[stage].Observe(took.Seconds())
 }
 
 func (m *Metrics) Refused(status int)               { m.refused.WithLabelValues(strconv.Itoa(status)).Inc() }
-func (m *Metrics) ReleaseStarted(reason string)     { m.released.WithLabelValues(reason).Inc() }
-func (m *Metrics) StateReleased(held time.Duration) { m.held.Observe(held.Seconds()) }
+func (m *Metrics) ReleaseStarted(reason string)     { m.releases.WithLabelValues(reason).Inc() }
+func (m *Metrics) StateReleased(held time.Duration) { m.holdTime.Observe(held.Seconds()) }
 
 // Probed is of peer.Observer, as are those below.
-func (m *Metrics) ProbeHandled(reason string)     { m.probed.WithLabelValues(reason).Inc() }
-func (m *Metrics) DutyTakenOver(cause string)     { m.tookOver.WithLabelValues(cause).Inc() }
-func (m *Metrics) ResultReceived(standing string) { m.heard.WithLabelValues(standing).Inc() }
-func (m *Metrics) DutyLate(seconds float64)       { m.late.Observe(seconds) }
+func (m *Metrics) ProbeHandled(reason string)     { m.probes.WithLabelValues(reason).Inc() }
+func (m *Metrics) DutyTakenOver(cause string)     { m.takeovers.WithLabelValues(cause).Inc() }
+func (m *Metrics) ResultReceived(standing string) { m.peerResults.WithLabelValues(standing).Inc() }
+func (m *Metrics) DutyLate(seconds float64)       { m.dutyLateness.Observe(seconds) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,7 +27,7 @@
 			'['), "", []byte{0x42, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reply, err := NewHost().Batch(c.count, 1, c.body)
+			reply, err := NewHost().HandleBatch(c.count, 1, c.body)
 			if c.says != "" {
 				assert.ErrorContains(t, err, c.says)
 				assert.Nil(t, reply)
@@ -46,7 +46,7 @@
 	f.Add(1, []byte{0xe8, 0x03, 18, 0, 0, 0, 3, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0, '{', '}'})
 	f.Fuzz(func(t *testing.T, count int, body []byte) {
 		h := NewHost()
-		if reply, err := h.Batch(count&63, 1, body); err == nil && len(reply) < 8 {
+		if reply, err := h.HandleBatch(count&63, 1, body); err == nil && len(reply) < 8 {
 			t.Fatalf("a reply of %d bytes", len(reply))
 		}
 	})
