--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record writes and reads records of a day (proto/record.proto): length-prefixed protobuf entries on
-// one clock, a head first and a foot last. It judges nothing. internal/standin and internal/day write with it,
-// internal/rules reads.
+// Package record writes and reads records of a day (proto/record.proto): length-prefixed protobuf entries on one clock,
+// with a head first and a foot last. It does not interpret them. internal/standin and internal/day write records,
+// internal/rules checks them.
 package record
 
 import (
@@ -18,7 +18,7 @@
 	pb "cherryhub/proto"
 )
 
-// Writer writes a record. It is safe for concurrent use; entries carry the order in which they were written.
+// Writer writes a record. It is safe for concurrent use. The times of entries never decrease in the order of writing.
 type Writer struct {
 	mu      sync.Mutex
 	out     *bufio.Writer
@@ -28,7 +28,7 @@
 	err     error
 }
 
-// Create begins a record in a file.
+// Create creates a file and starts a record in it.
 func Create(file string, head *pb.Head) (*Writer, error) {
 	f, err := os.Create(file)
 	if err != nil {
@@ -37,17 +37,17 @@
 	return NewWriter(f, f, head), nil
 }
 
-// New begins a record.
+// NewWriter starts a record by writing its head.
 func NewWriter(out io.Writer, closer io.Closer, head *pb.Head) *Writer {
 	w := &Writer{out: bufio.NewWriterSize(out, 1<<16), closer: closer, start: time.Now()}
 	w.Write(&pb.Entry{What: &pb.Entry_Head{Head: head}})
 	return w
 }
 
-// Now is the record's clock, in seconds.
+// Now returns the seconds since the record's start.
 func (w *Writer) Now() float64 { return time.Since(w.start).Seconds() }
 
-// Write adds an entry. The entry's time is now; its error is kept for Close.
+// Write sets the entry's time to now and appends the entry. Close returns its error.
 func (w *Writer) Write(e *pb.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,7 +65,7 @@
 	w.entries++
 }
 
-// Close writes the foot. Its error is the first of all writes.
+// Close writes the foot and closes the file. Its error includes the first error of Write.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,10 +73,9 @@
 	return errors.Join(w.err, w.out.Flush(), w.closer.Close())
 }
 
-// maxEntry bounds an entry, in bytes.
 const maxEntryBytes = 1 << 20
 
-// ReadFile reads a whole record. One without a head or a foot, or with entries missing, is refused.
+// ReadFile reads a complete record. It returns an error if the head, the foot or an entry is missing.
 func ReadFile(file string) ([]*pb.Entry, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -90,7 +89,7 @@
 	return entries, nil
 }
 
-// Read is ReadFile for what is open already.
+// Read is like ReadFile but reads from in.
 func Read(in io.Reader) ([]*pb.Entry, error) {
 	r := bufio.NewReader(in)
 	var all []*pb.Entry
@@ -107,11 +106,11 @@
 	}
 	switch n := len(all); {
 	case n == 0 || all[0].GetHead() == nil:
-		return nil, errors.New("no head")
+		return nil, errors.New("record has no head")
 	case all[n-1].GetFoot() == nil:
-		return nil, fmt.Errorf("cut off after entry %d: no foot", n-1)
+		return nil, fmt.Errorf("record truncated after entry %d: no foot", n-1)
 	case all[n-1].GetFoot().GetEntries() != int64(n-1):
-		return nil, fmt.Errorf("%d entries, the foot counts %d", n-1, all[n-1].GetFoot().GetEntries())
+		return nil, fmt.Errorf("record has %d entries before its foot, the foot says %d", n-1, all[n-1].GetFoot().GetEntries())
 	}
 	return all, nil
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -26,20 +26,20 @@
 	}
 	wg.Wait()
 	require.NoError(t, w.Close())
-	whole := buf.Bytes()
-	all, err := Read(bytes.NewReader(whole))
+	data := buf.Bytes()
+	entries, err := Read(bytes.NewReader(data))
 	require.NoError(t, err)
-	assert.Len(t, all, 402)
-	for i := 1; i < len(all); i++ {
-		require.GreaterOrEqual(t, all[i].GetAtS(), all[i-1].GetAtS())
+	assert.Len(t, entries, 402)
+	for i := 1; i < len(entries); i++ {
+		require.GreaterOrEqual(t, entries[i].GetAtS(), entries[i-1].GetAtS())
 	}
-	for _, cut := range []int{0, 1, 30, len(whole) / 2, len(whole) - 1} {
-		_, err := Read(bytes.NewReader(whole[:cut]))
-		assert.Error(t, err, "cut at %d", cut)
+	for _, size := range []int{0, 1, 30, len(data) / 2, len(data) - 1} {
+		_, err := Read(bytes.NewReader(data[:size]))
+		assert.Error(t, err, "truncated to %d bytes", size)
 	}
-	doctored := bytes.Clone(whole)
-	doctored[0] = 0xff
-	_, err = Read(bytes.NewReader(doctored))
+	corrupt := bytes.Clone(data)
+	corrupt[0] = 0xff
+	_, err = Read(bytes.NewReader(corrupt))
 	assert.Error(t, err)
 	_, err = ReadFile("/nowhere/at/all")
 	assert.ErrorContains(t, err, "/nowhere/at/all")
@@ -48,12 +48,12 @@
 func FuzzRead(f *testing.F) {
 	var buf bytes.Buffer
 	w := NewWriter(&buf, io.NopCloser(nil), &pb.Head{})
-	w.Close() //nolint:errcheck // into memory
+	w.Close() //nolint:errcheck // writes to memory
 	f.Add(buf.Bytes())
-	f.Fuzz(func(t *testing.T, text []byte) {
-		if all, err := Read(bytes.NewReader(text)); err == nil {
-			require.NotNil(t, all[0].GetHead())
-			require.NotNil(t, all[len(all)-1].GetFoot())
+	f.Fuzz(func(t *testing.T, data []byte) {
+		if entries, err := Read(bytes.NewReader(data)); err == nil {
+			require.NotNil(t, entries[0].GetHead())
+			require.NotNil(t, entries[len(entries)-1].GetFoot())
 		}
 	})
 }
--- a/internal/rules/probes.go
+++ b/internal/rules/probes.go
@@ -6,78 +6,78 @@
 	pb "cherryhub/proto"
 )
 
-// Probes is what an engine met of probes, from its own record.
+// ProbeStats summarises the probes that an engine received, from the engine's own entries.
 type ProbeStats struct {
 	Engine      string  `json:"engine"`
 	Count       int     `json:"count"`
-	LongestGap  float64 `json:"longest_gap_s"` // between two, while it was up and heard
+	LongestGap  float64 `json:"longest_gap_s"` // without a probe while the engine was reachable
 	MaxInWindow int     `json:"most_in_window"`
-	Routers     int     `json:"routers"` // that probed it
+	Routers     int     `json:"routers"` // number of routers that probed it
 }
 
-// CountProbes counts probes from a time to another, with the most in any window. An engine's times of being
-// down or deaf begin a gap anew.
+// CountProbes summarises the probes of each engine between from and to. MaxInWindow is the largest number in any period of
+// the given length. A gap ends when the engine becomes unreachable and a new one starts when it is reachable again.
 func CountProbes(entries []*pb.Entry, from, to, window float64) []ProbeStats {
-	type met struct {
-		at    []float64
-		gap   float64
-		last  float64
-		peers map[string]bool
-		off   map[string]bool // down, or deaf to one router or all
+	type engineProbes struct {
+		times       []float64
+		longestGap  float64
+		gapStart    float64
+		routers     map[string]bool
+		unreachable map[string]bool // reasons that hold now
 	}
-	all, names := map[string]*met{}, []string(nil)
-	of := func(name string) *met {
-		if all[name] == nil {
-			all[name] = &met{last: from, peers: map[string]bool{}, off: map[string]bool{}}
+	byEngine, names := map[string]*engineProbes{}, []string(nil)
+	probesOf := func(name string) *engineProbes {
+		if byEngine[name] == nil {
+			byEngine[name] = &engineProbes{gapStart: from, routers: map[string]bool{}, unreachable: map[string]bool{}}
 			names = append(names, name)
 		}
-		return all[name]
+		return byEngine[name]
 	}
 	for _, e := range entries {
 		ev, at := e.GetEngine(), e.GetAtS()
 		if ev == nil || at > to {
 			continue
 		}
-		m := of(ev.GetEngine())
+		probes := probesOf(ev.GetEngine())
 		switch ev.GetKind() {
 		case pb.EngineEvent_DOWN, pb.EngineEvent_DEAF:
-			if len(m.off) == 0 && at >= from {
-				m.gap = max(m.gap, at-m.last)
+			if len(probes.unreachable) == 0 && at >= from {
+				probes.longestGap = max(probes.longestGap, at-probes.gapStart)
 			}
-			m.off[unreachableReason(ev)] = true
+			probes.unreachable[unreachableReason(ev)] = true
 		case pb.EngineEvent_UP, pb.EngineEvent_HEARS:
-			if delete(m.off, unreachableReason(ev)); len(m.off) == 0 {
-				m.last = max(from, at)
+			if delete(probes.unreachable, unreachableReason(ev)); len(probes.unreachable) == 0 {
+				probes.gapStart = max(from, at)
 			}
 		case pb.EngineEvent_PROBED:
 			if at < from {
 				continue
 			}
-			m.at = append(m.at, at)
-			m.peers[ev.GetPeer()] = true
-			m.gap, m.last = max(m.gap, at-m.last), at
+			probes.times = append(probes.times, at)
+			probes.routers[ev.GetPeer()] = true
+			probes.longestGap, probes.gapStart = max(probes.longestGap, at-probes.gapStart), at
 		}
 	}
 	sort.Strings(names)
-	out := make([]ProbeStats, 0, len(names))
+	stats := make([]ProbeStats, 0, len(names))
 	for _, name := range names {
-		m := all[name]
-		if len(m.off) == 0 {
-			m.gap = max(m.gap, to-m.last)
+		probes := byEngine[name]
+		if len(probes.unreachable) == 0 {
+			probes.longestGap = max(probes.longestGap, to-probes.gapStart)
 		}
-		p := ProbeStats{Engine: name, Count: len(m.at), LongestGap: m.gap, Routers: len(m.peers)}
-		for i, first := 0, 0; i < len(m.at); i++ {
-			for m.at[i]-m.at[first] >= window {
-				first++
+		engineStats := ProbeStats{Engine: name, Count: len(probes.times), LongestGap: probes.longestGap, Routers: len(probes.routers)}
+		for i, windowStart := 0, 0; i < len(probes.times); i++ {
+			for probes.times[i]-probes.times[windowStart] >= window {
+				windowStart++
 			}
-			p.MaxInWindow = max(p.MaxInWindow, i-first+1)
+			engineStats.MaxInWindow = max(engineStats.MaxInWindow, i-windowStart+1)
 		}
-		out = append(out, p)
+		stats = append(stats, engineStats)
 	}
-	return out
+	return stats
 }
 
-// why is what keeps an engine from hearing: it is down, or deaf to a router or all.
+// unreachableReason returns why an engine receives nothing: it is down, or it is deaf to one router or to all.
 func unreachableReason(ev *pb.EngineEvent) string {
 	if k := ev.GetKind(); k == pb.EngineEvent_DOWN || k == pb.EngineEvent_UP {
 		return reasonDown
@@ -87,5 +87,5 @@
 
 const (
 	reasonDown   = " is down"
-	reasonDeafTo = " is deaf to " // a router, or nobody named: to all
+	reasonDeafTo = " is deaf to " // followed by the router, or by nothing for all routers
 )
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,6 +1,6 @@
-// Package rules checks the five rules from a record alone: from what engines, the list service and clients
-// saw on their sockets, with no word from a router. It does no I/O. cmd/cherryhub and internal/day's tests
-// call it.
+// Package rules checks the record of a day against the five rules. It relies only on what engines, the list service and
+// clients observed on their own sockets, never on what a router reports. It does no I/O. cmd/cherryhub and tests of
+// several packages use it.
 package rules
 
 import (
@@ -12,7 +12,7 @@
 	pb "cherryhub/proto"
 )
 
-// Rule is one of the five.
+// Rule is one of the five rules.
 type Rule int
 
 // The rules, in the order of docs/rules.md.
@@ -29,7 +29,7 @@
 	return [...]string{"one final answer in time", "no effect twice", "drains kept", "no cold engine pushed over", "nothing left pinned"}[r]
 }
 
-// Breach is a broken rule, with the exchange that broke it.
+// Violation is a violation of a rule, with the exchange that caused it.
 type Violation struct {
 	Rule     Rule    `json:"-"`
 	Name     string  `json:"rule"`
@@ -38,45 +38,46 @@
 	Message  string  `json:"text"`
 }
 
-// Work is what became of a workload's completions. A client's tries count one by one, its value once.
+// WorkloadStats counts the outcomes of a workload's completions. Each attempt of a client is counted, but the value of
+// its completion only once.
 type WorkloadStats struct {
 	Name         string  `json:"workload"`
-	Accepted     int     `json:"taken"` // tries that a router answered or owed an answer
+	Accepted     int     `json:"taken"` // attempts that a router answered or had to answer
 	Finished     int     `json:"finished"`
 	RateLimited  int     `json:"rate_limited"`
 	Aborted      int     `json:"aborted"`
 	ClientLeft   int     `json:"left"`
 	Late         int     `json:"late"` // finished with the first token past the latency target
 	OfferedValue float64 `json:"value_asked"`
-	ServedValue  float64 `json:"value_served"` // finished within the latency target, by any try
+	ServedValue  float64 `json:"value_served"` // finished within the latency target, by any attempt
 }
 
-// Report is the verdict on a record.
+// Report is the result of checking a record.
 type Report struct {
 	Day             string          `json:"day"`
 	Workloads       []WorkloadStats `json:"workloads"`
 	Violations      []Violation     `json:"breaches"`
-	Checked         [ruleCount]int  `json:"checked"` // exchanges that each rule was held to
+	Checked         [ruleCount]int  `json:"checked"` // number of exchanges checked against each rule
 	entries         []*pb.Entry
 	head            *pb.Head
 	endAt           float64
-	routerDowntimes map[string][]span // when a router was down
+	routerDowntimes map[string][]span // by router
 }
 
-// span is a time from, to; To is +Inf while it goes on.
+// span is a period of time. Its end is +Inf while it lasts.
 type span struct{ from, to float64 }
 
-// Kept tells whether a rule was kept.
+// Passed reports whether the record has no violation of the rule.
 func (r *Report) Passed(rule Rule) bool {
-	for _, b := range r.Violations {
-		if b.Rule == rule {
+	for _, v := range r.Violations {
+		if v.Rule == rule {
 			return false
 		}
 	}
 	return true
 }
 
-// Rules are all of them.
+// AllRules returns all rules.
 func AllRules() (all []Rule) {
 	for r := range ruleCount {
 		all = append(all, r)
@@ -84,17 +85,17 @@
 	return all
 }
 
-// Check checks a whole record, as record.Read gives it.
+// Check checks a complete record, as returned by record.Read.
 func Check(entries []*pb.Entry) (*Report, error) {
 	if len(entries) < 2 || entries[0].GetHead() == nil {
-		return nil, fmt.Errorf("rules: a record of %d entries without a head", len(entries))
+		return nil, fmt.Errorf("rules: record of %d entries has no head", len(entries))
 	}
 	r := &Report{Day: entries[0].GetHead().GetDay(), entries: entries, head: entries[0].GetHead(),
 		endAt: entries[len(entries)-1].GetAtS(), routerDowntimes: map[string][]span{}, Violations: []Violation{}}
 	last := 0.0
 	for i, e := range entries {
 		if e.GetAtS() < last || math.IsNaN(e.GetAtS()) {
-			return nil, fmt.Errorf("rules: entry %d at %v s comes after one at %v s", i, e.GetAtS(), last)
+			return nil, fmt.Errorf("rules: entry %d at %v s follows an entry at %v s", i, e.GetAtS(), last)
 		}
 		last = e.GetAtS()
 		if ev := e.GetRouter(); ev != nil {
@@ -107,9 +108,9 @@
 			r.routerDowntimes[ev.GetRouter()] = spans
 		}
 	}
-	clients := r.collectAttempts()
-	r.checkAnswers(clients)
-	r.checkEffects(clients)
+	attempts := r.collectAttempts()
+	r.checkAnswers(attempts)
+	r.checkEffects(attempts)
 	r.checkDrains()
 	r.checkColdEngines()
 	r.checkHeldResources()
@@ -117,11 +118,11 @@
 	return r, nil
 }
 
-func (r *Report) addViolation(rule Rule, at float64, exchange, format string, a ...any) {
-	r.Violations = append(r.Violations, Violation{rule, rule.String(), at, exchange, fmt.Sprintf(format, a...)})
+func (r *Report) addViolation(rule Rule, at float64, exchange, format string, args ...any) {
+	r.Violations = append(r.Violations, Violation{rule, rule.String(), at, exchange, fmt.Sprintf(format, args...)})
 }
 
-// killed tells whether a router was down at any time from, to.
+// routerWasDown reports whether a router was down at any time between from and to.
 func (r *Report) routerWasDown(router string, from, to float64) bool {
 	for _, s := range r.routerDowntimes[router] {
 		if s.from <= to && s.to >= from {
@@ -131,7 +132,7 @@
 	return false
 }
 
-// try is one completion as its client saw it.
+// attempt is one attempt at a completion as its client observed it.
 type attempt struct {
 	id, firstID    int64
 	router         string
@@ -141,14 +142,14 @@
 	streamed       bool
 	promptTokens   float64
 	sentAt         float64
-	firstTokenAt   float64 // of its first token, +Inf
-	lastEventAt    float64 // of the last thing that happened
+	firstTokenAt   float64 // +Inf if no token was received
+	lastEventAt    float64
 	finalAnswers   []finalAnswer
 	clientLeft     bool
 	clientTimedOut bool
 	connectionCut  bool
 	dataAfterFinal string
-	noConnection   bool // nothing was taken
+	noConnection   bool // no router accepted the attempt
 	outputTokens   float64
 }
 
@@ -156,340 +157,344 @@
 	kind       pb.ClientEvent_Kind
 	at         float64
 	status     int32
-	completion string // the completion's, as the router gave it
+	completion string // the router's name for the completion, empty if unknown
 }
 
-// clients gathers the tries in the order of their sending.
+// collectAttempts returns the attempts in the order in which they were sent.
 func (r *Report) collectAttempts() []*attempt {
 	byID, all := map[int64]*attempt{}, []*attempt(nil)
 	for _, e := range r.entries {
-		c := e.GetClient()
-		if c == nil {
+		ev := e.GetClient()
+		if ev == nil {
 			continue
 		}
-		t := byID[c.GetCompletion()]
-		if t == nil {
-			t = &attempt{id: c.GetCompletion(), firstTokenAt: math.Inf(1), sentAt: e.GetAtS()}
-			byID[t.id] = t
-			all = append(all, t)
+		a := byID[ev.GetCompletion()]
+		if a == nil {
+			a = &attempt{id: ev.GetCompletion(), firstTokenAt: math.Inf(1), sentAt: e.GetAtS()}
+			byID[a.id] = a
+			all = append(all, a)
 		}
-		t.lastEventAt = e.GetAtS()
-		switch c.GetKind() {
+		a.lastEventAt = e.GetAtS()
+		switch ev.GetKind() {
 		case pb.ClientEvent_SENT:
-			t.firstID, t.router, t.key, t.workload = c.GetFirstTry(), c.GetRouter(), c.GetKey(), int(c.GetWorkload())
-			t.timeout, t.streamed, t.promptTokens = c.GetTimeoutS(), c.GetStreamed(), float64(c.GetPromptTokens())
+			a.firstID, a.router, a.key, a.workload = ev.GetFirstTry(), ev.GetRouter(), ev.GetKey(), int(ev.GetWorkload())
+			a.timeout, a.streamed, a.promptTokens = ev.GetTimeoutS(), ev.GetStreamed(), float64(ev.GetPromptTokens())
 		case pb.ClientEvent_FIRST:
-			t.firstTokenAt = e.GetAtS()
+			a.firstTokenAt = e.GetAtS()
 		case pb.ClientEvent_FINISHED, pb.ClientEvent_RATE_LIMITED, pb.ClientEvent_ABORTED, pb.ClientEvent_REFUSED:
-			t.finalAnswers = append(t.finalAnswers, finalAnswer{c.GetKind(), e.GetAtS(), c.GetStatus(), c.GetDetail()})
-			t.outputTokens = float64(c.GetAnswerTokens())
+			a.finalAnswers = append(a.finalAnswers, finalAnswer{ev.GetKind(), e.GetAtS(), ev.GetStatus(), ev.GetDetail()})
+			a.outputTokens = float64(ev.GetAnswerTokens())
 		case pb.ClientEvent_LEFT:
-			t.clientLeft = true
+			a.clientLeft = true
 		case pb.ClientEvent_GAVE_UP:
-			t.clientTimedOut = true
+			a.clientTimedOut = true
 		case pb.ClientEvent_CUT:
-			t.connectionCut = true
+			a.connectionCut = true
 		case pb.ClientEvent_AFTER:
-			t.dataAfterFinal = c.GetDetail()
+			a.dataAfterFinal = ev.GetDetail()
 		case pb.ClientEvent_NO_CONNECTION:
-			t.noConnection = true
+			a.noConnection = true
 		}
 	}
 	return all
 }
 
-// answers checks that each try that was taken has one final answer before its client timeout, and counts.
-func (r *Report) checkAnswers(tries []*attempt) {
+// checkAnswers checks that each accepted attempt has exactly one final answer before its client timeout, and fills in the
+// workload statistics.
+func (r *Report) checkAnswers(attempts []*attempt) {
 	r.Workloads = make([]WorkloadStats, len(r.head.GetWorkloads()))
 	for i, w := range r.head.GetWorkloads() {
 		r.Workloads[i].Name = w.GetName()
 	}
-	served, asked := map[int64]float64{}, map[int64]float64{}
-	var order []*attempt
-	for _, t := range tries {
-		if t.workload < 0 || t.workload >= len(r.Workloads) {
-			r.addViolation(OneAnswer, t.sentAt, exchangeName(t), "of a workload that is not in the head")
+	servedValues, offeredValues := map[int64]float64{}, map[int64]float64{}
+	var firstAttempts []*attempt
+	for _, a := range attempts {
+		if a.workload < 0 || a.workload >= len(r.Workloads) {
+			r.addViolation(OneAnswer, a.sentAt, exchangeName(a), "its workload is not in the head of the record")
 			continue
 		}
-		w, set := &r.Workloads[t.workload], r.head.GetWorkloads()[t.workload]
-		value := set.GetValue() * (t.promptTokens + t.outputTokens) / r.head.GetValueUnitTokens()
-		if t.firstID == t.id {
-			order = append(order, t)
+		stats, workload := &r.Workloads[a.workload], r.head.GetWorkloads()[a.workload]
+		value := workload.GetValue() * (a.promptTokens + a.outputTokens) / r.head.GetValueUnitTokens()
+		if a.firstID == a.id {
+			firstAttempts = append(firstAttempts, a)
 		}
-		asked[t.firstID] = max(asked[t.firstID], value)
-		if t.noConnection {
+		offeredValues[a.firstID] = max(offeredValues[a.firstID], value)
+		if a.noConnection {
 			continue
 		}
-		w.Accepted++
+		stats.Accepted++
 		r.Checked[OneAnswer]++
-		r.checkAnswer(t)
-		if t.clientLeft {
-			w.ClientLeft++
+		r.checkAnswer(a)
+		if a.clientLeft {
+			stats.ClientLeft++
 		}
-		if len(t.finalAnswers) == 0 {
+		if len(a.finalAnswers) == 0 {
 			continue
 		}
-		switch t.finalAnswers[0].kind {
+		switch a.finalAnswers[0].kind {
 		case pb.ClientEvent_FINISHED:
-			w.Finished++
-			first := t.firstTokenAt
-			if !t.streamed {
-				first = t.finalAnswers[0].at
+			stats.Finished++
+			firstTokenAt := a.firstTokenAt
+			if !a.streamed {
+				firstTokenAt = a.finalAnswers[0].at
 			}
-			if first-t.sentAt > set.GetLatencyTargetS()+set.GetLatencyTargetSPer_1000Tokens()*t.promptTokens/1000 {
-				w.Late++
+			if firstTokenAt-a.sentAt > workload.GetLatencyTargetS()+workload.GetLatencyTargetSPer_1000Tokens()*a.promptTokens/1000 {
+				stats.Late++
 			} else {
-				served[t.firstID] = value
+				servedValues[a.firstID] = value
 			}
 		case pb.ClientEvent_RATE_LIMITED:
-			w.RateLimited++
+			stats.RateLimited++
 		case pb.ClientEvent_ABORTED:
-			w.Aborted++
+			stats.Aborted++
 		}
 	}
-	for _, t := range order {
-		r.Workloads[t.workload].OfferedValue += asked[t.id]
-		r.Workloads[t.workload].ServedValue += served[t.id]
+	for _, a := range firstAttempts {
+		r.Workloads[a.workload].OfferedValue += offeredValues[a.id]
+		r.Workloads[a.workload].ServedValue += servedValues[a.id]
 	}
 }
 
-func exchangeName(t *attempt) string {
-	return fmt.Sprintf("client's completion %d at %s", t.id, t.router)
+func exchangeName(a *attempt) string {
+	return fmt.Sprintf("client's completion %d at %s", a.id, a.router)
 }
 
-func (r *Report) checkAnswer(t *attempt) {
-	began := t.streamed && t.firstTokenAt-t.sentAt <= t.timeout
-	dead := r.routerWasDown(t.router, t.sentAt, t.lastEventAt)
-	switch n := len(t.finalAnswers); {
+func (r *Report) checkAnswer(a *attempt) {
+	startedInTime := a.streamed && a.firstTokenAt-a.sentAt <= a.timeout
+	routerDown := r.routerWasDown(a.router, a.sentAt, a.lastEventAt)
+	switch n := len(a.finalAnswers); {
 	case n > 1:
-		r.addViolation(OneAnswer, t.finalAnswers[1].at, exchangeName(t), "%d final answers: %v, then %v", n, t.finalAnswers[0].kind, t.finalAnswers[1].kind)
-	case t.dataAfterFinal != "":
-		r.addViolation(OneAnswer, t.lastEventAt, exchangeName(t), "after the final answer came %q", t.dataAfterFinal)
-	case n == 1 && !began && t.finalAnswers[0].at-t.sentAt > t.timeout:
-		r.addViolation(OneAnswer, t.finalAnswers[0].at, exchangeName(t), "%v after %.3f s, the client timeout is %.3f s", t.finalAnswers[0].kind, t.finalAnswers[0].at-t.sentAt, t.timeout)
-	case n == 1, t.clientLeft, dead:
-	case t.clientTimedOut:
-		r.addViolation(OneAnswer, t.lastEventAt, exchangeName(t), "no final answer within the client timeout of %.3f s", t.timeout)
-	case t.connectionCut:
-		r.addViolation(OneAnswer, t.lastEventAt, exchangeName(t), "the connection ended without a final answer")
+		r.addViolation(OneAnswer, a.finalAnswers[1].at, exchangeName(a), "%d final answers: %v, then %v", n, a.finalAnswers[0].kind, a.finalAnswers[1].kind)
+	case a.dataAfterFinal != "":
+		r.addViolation(OneAnswer, a.lastEventAt, exchangeName(a), "data after the final answer: %q", a.dataAfterFinal)
+	case n == 1 && !startedInTime && a.finalAnswers[0].at-a.sentAt > a.timeout:
+		r.addViolation(OneAnswer, a.finalAnswers[0].at, exchangeName(a), "%v after %.3f s, the client timeout is %.3f s", a.finalAnswers[0].kind, a.finalAnswers[0].at-a.sentAt, a.timeout)
+	case n == 1, a.clientLeft, routerDown:
+	case a.clientTimedOut:
+		r.addViolation(OneAnswer, a.lastEventAt, exchangeName(a), "no final answer within the client timeout of %.3f s", a.timeout)
+	case a.connectionCut:
+		r.addViolation(OneAnswer, a.lastEventAt, exchangeName(a), "the connection ended without a final answer")
 	default:
-		r.addViolation(OneAnswer, r.endAt, exchangeName(t), "no final answer until the record's end")
+		r.addViolation(OneAnswer, r.endAt, exchangeName(a), "no final answer by the end of the record")
 	}
 }
 
-// effects checks that nothing ran twice that must not, and that nobody was told to try again what had run.
-func (r *Report) checkEffects(tries []*attempt) {
+// checkEffects checks that no completion with side effects ran twice, and that no client was rate-limited, and so invited
+// to retry, after its non-idempotent completion had run.
+func (r *Report) checkEffects(attempts []*attempt) {
 	type effect struct {
 		runs []*pb.Entry
 	}
-	byKey, byName, keys := map[string]*effect{}, map[string]*pb.Entry{}, []string(nil)
+	effectsByKey, runsByCompletion, keys := map[string]*effect{}, map[string]*pb.Entry{}, []string(nil)
 	for _, e := range r.entries {
 		ev := e.GetEngine()
 		if ev.GetKind() != pb.EngineEvent_RAN {
 			continue
 		}
-		byName[ev.GetCompletion()] = e
+		runsByCompletion[ev.GetCompletion()] = e
 		if r.effectOf(int(ev.GetWorkload())) == pb.Effect_IDEMPOTENT {
 			continue
 		}
-		if byKey[ev.GetKey()] == nil {
-			byKey[ev.GetKey()] = &effect{}
+		if effectsByKey[ev.GetKey()] == nil {
+			effectsByKey[ev.GetKey()] = &effect{}
 			keys = append(keys, ev.GetKey())
 		}
-		byKey[ev.GetKey()].runs = append(byKey[ev.GetKey()].runs, e)
+		effectsByKey[ev.GetKey()].runs = append(effectsByKey[ev.GetKey()].runs, e)
 	}
 	for _, key := range keys {
 		r.Checked[NoEffectTwice]++
-		if runs := byKey[key].runs; len(runs) > 1 {
+		if runs := effectsByKey[key].runs; len(runs) > 1 {
 			r.addViolation(NoEffectTwice, runs[1].GetAtS(), "key "+key, "ran at %s (dispatch %s) and at %s (dispatch %s)",
 				runs[0].GetEngine().GetEngine(), runs[0].GetEngine().GetDispatch(), runs[1].GetEngine().GetEngine(), runs[1].GetEngine().GetDispatch())
 		}
 	}
-	for _, t := range tries {
-		for _, f := range t.finalAnswers {
-			ran := byName[f.completion]
-			if f.kind == pb.ClientEvent_RATE_LIMITED && f.completion != "" && ran != nil && r.effectOf(t.workload) == pb.Effect_NON_IDEMPOTENT {
-				r.addViolation(NoEffectTwice, f.at, exchangeName(t), "rate-limited, but dispatch %s ran", ran.GetEngine().GetDispatch())
+	for _, a := range attempts {
+		for _, answer := range a.finalAnswers {
+			run := runsByCompletion[answer.completion]
+			if answer.kind == pb.ClientEvent_RATE_LIMITED && answer.completion != "" && run != nil && r.effectOf(a.workload) == pb.Effect_NON_IDEMPOTENT {
+				r.addViolation(NoEffectTwice, answer.at, exchangeName(a), "rate-limited, but dispatch %s ran", run.GetEngine().GetDispatch())
 			}
 		}
 	}
 }
 
-func (r *Report) effectOf(work int) pb.Effect {
-	if work < 0 || work >= len(r.head.GetWorkloads()) {
+func (r *Report) effectOf(workload int) pb.Effect {
+	if workload < 0 || workload >= len(r.head.GetWorkloads()) {
 		return pb.Effect_NON_IDEMPOTENT
 	}
-	return r.head.GetWorkloads()[work].GetEffect()
+	return r.head.GetWorkloads()[workload].GetEffect()
 }
 
-// drains checks that nothing new came to an engine past the grace after its router was told that it drains
-// or is gone.
+// checkDrains checks that no router sent a dispatch to an engine later than the grace period after the list service told
+// that router that the engine is draining or gone.
 func (r *Report) checkDrains() {
-	since := map[string]float64{} // when the present run of not-ready news began, by router and engine
+	notReadySince := map[string]float64{} // since when the list has said that the engine is not ready, by router and engine
 	for _, e := range r.entries {
 		if l := e.GetList(); l != nil {
-			pair := l.GetRouter() + " " + l.GetEngine()
+			key := l.GetRouter() + " " + l.GetEngine()
 			if l.GetPhase() == 1 {
-				delete(since, pair)
-			} else if _, told := since[pair]; !told {
-				since[pair] = e.GetAtS()
+				delete(notReadySince, key)
+			} else if _, notReady := notReadySince[key]; !notReady {
+				notReadySince[key] = e.GetAtS()
 			}
 		}
 		if ev := e.GetEngine(); ev.GetKind() == pb.EngineEvent_ARRIVED {
 			r.Checked[DrainsRespected]++
-			if at, told := since[ev.GetPeer()+" "+ev.GetEngine()]; told && e.GetAtS()-at > r.head.GetDrainGraceS() {
-				r.addViolation(DrainsRespected, e.GetAtS(), "dispatch "+ev.GetDispatch(), "%s sent it to %s %.3f s after being told, the grace is %.3f s",
-					ev.GetPeer(), ev.GetEngine(), e.GetAtS()-at, r.head.GetDrainGraceS())
+			if since, notReady := notReadySince[ev.GetPeer()+" "+ev.GetEngine()]; notReady && e.GetAtS()-since > r.head.GetDrainGraceS() {
+				r.addViolation(DrainsRespected, e.GetAtS(), "dispatch "+ev.GetDispatch(), "%s sent it to %s %.3f s after learning that the engine is not ready, the grace period is %.3f s",
+					ev.GetPeer(), ev.GetEngine(), e.GetAtS()-since, r.head.GetDrainGraceS())
 			}
 		}
 	}
 }
 
-// cold checks that no cold engine was sent more than it can bear by routers that knew of its start.
+// checkColdEngines checks that no cold engine was overloaded by routers that knew of its start. An overload is a violation
+// only if at least two thirds of the work came from routers that had been told of the start.
 func (r *Report) checkColdEngines() {
-	c := r.head.GetCold()
+	cold := r.head.GetCold()
 	type arrival struct {
-		at, work float64
-		told     bool
+		at, work   float64
+		startKnown bool
 	}
-	type life struct {
-		start float64
-		sent  []arrival
+	type lifetime struct {
+		startedAt float64
+		arrivals  []arrival
 	}
-	lives, heard := map[string]*life{}, map[string]bool{}
-	if c.GetFallWindowS() <= 0 {
+	lifetimes, startsKnown := map[string]*lifetime{}, map[string]bool{}
+	if cold.GetFallWindowS() <= 0 {
 		return
 	}
 	for _, e := range r.entries {
 		at := e.GetAtS()
 		if l := e.GetList(); l != nil && l.GetPhase() == 1 {
-			// A start that is told counts for the present life if it is younger than it, give or take a tick.
-			if now := lives[l.GetEngine()]; now != nil && l.GetStartedS() >= 0 && at-l.GetStartedS() >= now.start-0.05 {
-				heard[l.GetRouter()+" "+l.GetEngine()] = true
+			// The reported age is that of the current lifetime if it implies no earlier start, within a tolerance of one
+			// tick (0.05 s).
+			if current := lifetimes[l.GetEngine()]; current != nil && l.GetStartedS() >= 0 && at-l.GetStartedS() >= current.startedAt-0.05 {
+				startsKnown[l.GetRouter()+" "+l.GetEngine()] = true
 			}
 		}
 		ev := e.GetEngine()
 		switch ev.GetKind() {
 		case pb.EngineEvent_UP:
-			delete(lives, ev.GetEngine())
+			delete(lifetimes, ev.GetEngine())
 			if ev.GetCold() {
-				lives[ev.GetEngine()] = &life{start: at}
-				for pair := range heard { // order does not matter: all of the engine's go
-					if len(pair) > len(ev.GetEngine()) && pair[len(pair)-len(ev.GetEngine())-1:] == " "+ev.GetEngine() {
-						delete(heard, pair)
+				lifetimes[ev.GetEngine()] = &lifetime{startedAt: at}
+				for key := range startsKnown { // the order does not matter: every entry of this engine is deleted
+					if len(key) > len(ev.GetEngine()) && key[len(key)-len(ev.GetEngine())-1:] == " "+ev.GetEngine() {
+						delete(startsKnown, key)
 					}
 				}
 			}
 		case pb.EngineEvent_ARRIVED:
-			l := lives[ev.GetEngine()]
-			if l == nil {
+			current := lifetimes[ev.GetEngine()]
+			if current == nil {
 				continue
 			}
-			share := 1.0
-			if c.GetWarmS() > 0 {
-				share = min(1, c.GetStartShare()+(1-c.GetStartShare())*(at-l.start)/c.GetWarmS())
+			capacityShare := 1.0
+			if cold.GetWarmS() > 0 {
+				capacityShare = min(1, cold.GetStartShare()+(1-cold.GetStartShare())*(at-current.startedAt)/cold.GetWarmS())
 			}
-			if share >= 1 {
+			if capacityShare >= 1 {
 				continue
 			}
 			r.Checked[ColdNotOverloaded]++
-			l.sent = append(l.sent, arrival{at, ev.GetWorkS(), heard[ev.GetPeer()+" "+ev.GetEngine()]})
-			sum, known := 0.0, 0.0
-			for _, a := range l.sent {
-				if at-a.at <= c.GetFallWindowS() {
-					sum += a.work
-					if a.told {
-						known += a.work
+			current.arrivals = append(current.arrivals, arrival{at, ev.GetWorkS(), startsKnown[ev.GetPeer()+" "+ev.GetEngine()]})
+			totalWork, knownWork := 0.0, 0.0
+			for _, previous := range current.arrivals {
+				if at-previous.at <= cold.GetFallWindowS() {
+					totalWork += previous.work
+					if previous.startKnown {
+						knownWork += previous.work
 					}
 				}
 			}
-			if limit := c.GetFallMultiple() * share * c.GetFallWindowS(); sum > limit && known >= 2*sum/3 {
-				r.addViolation(ColdNotOverloaded, at, "dispatch "+ev.GetDispatch(), "%s got %.2f s of work in %.1f s, %.2f s is the most at its age of %.1f s",
-					ev.GetEngine(), sum, c.GetFallWindowS(), limit, at-l.start)
-				l.sent = nil
+			if limit := cold.GetFallMultiple() * capacityShare * cold.GetFallWindowS(); totalWork > limit && knownWork >= 2*totalWork/3 {
+				r.addViolation(ColdNotOverloaded, at, "dispatch "+ev.GetDispatch(), "%s received %.2f s of work within %.1f s, the limit is %.2f s at an age of %.1f s",
+					ev.GetEngine(), totalWork, cold.GetFallWindowS(), limit, at-current.startedAt)
+				current.arrivals = nil
 			}
 		}
 	}
 }
 
-// pinned checks that no state and no place stays held past the limit while no dispatch of its completion is
-// out. Time in which the engine is deaf does not count: nobody could tell it; nor what a router held that was
-// killed.
+// checkHeldResources checks that no state and no reservation of KV cache space is held longer than the limit while no
+// dispatch of its completion is running. Time in which the engine is unreachable does not count, because no release can
+// arrive. Resources of a router that was killed meanwhile do not count either.
 func (r *Report) checkHeldResources() {
 	type held struct {
-		at                           float64
+		since                        float64
 		engine, dispatch, completion string
 	}
-	open, done := map[string]held{}, []held(nil)
-	ends := map[string]float64{}                             // by engine and dispatch of a done one, in done's order
-	out := map[string][]span{}                               // dispatches by completion
-	running := map[string]int{}                              // index into out, by engine and dispatch
-	off, routers := map[string][]span{}, map[string]string{} // off: by engine and why, since it may be down and deaf at once
-	var order []string
+	byID, all := map[string]held{}, []held(nil)
+	endedAt := map[string]float64{}                                             // by engine and dispatch
+	dispatches := map[string][]span{}                                           // by completion
+	dispatchIndexes := map[string]int{}                                         // index into the completion's dispatches, by engine and dispatch
+	unreachable, routerByCompletion := map[string][]span{}, map[string]string{} // unreachable: by engine and reason, since both reasons may hold at once
+	var ids []string
 	for _, e := range r.entries {
 		ev, at := e.GetEngine(), e.GetAtS()
 		id := ev.GetEngine() + " " + ev.GetDispatch()
 		switch ev.GetKind() {
 		case pb.EngineEvent_ARRIVED:
-			running[id] = len(out[ev.GetCompletion()])
-			out[ev.GetCompletion()] = append(out[ev.GetCompletion()], span{at, math.Inf(1)})
-			routers[ev.GetCompletion()] = ev.GetPeer()
+			dispatchIndexes[id] = len(dispatches[ev.GetCompletion()])
+			dispatches[ev.GetCompletion()] = append(dispatches[ev.GetCompletion()], span{at, math.Inf(1)})
+			routerByCompletion[ev.GetCompletion()] = ev.GetPeer()
 		case pb.EngineEvent_ENDED:
-			if i, known := running[id]; known {
-				out[ev.GetCompletion()][i].to = at
+			if index, known := dispatchIndexes[id]; known {
+				dispatches[ev.GetCompletion()][index].to = at
 			}
 		case pb.EngineEvent_STATE_HELD, pb.EngineEvent_PLACE_HELD:
-			open[id] = held{at, ev.GetEngine(), ev.GetDispatch(), ev.GetCompletion()}
-			order = append(order, id)
+			byID[id] = held{at, ev.GetEngine(), ev.GetDispatch(), ev.GetCompletion()}
+			ids = append(ids, id)
 		case pb.EngineEvent_STATE_TAKEN, pb.EngineEvent_STATE_RELEASED, pb.EngineEvent_STATE_LOST, pb.EngineEvent_STATE_EXPIRED,
 			pb.EngineEvent_PLACE_TAKEN, pb.EngineEvent_PLACE_RELEASED:
-			if _, known := open[id]; known {
-				ends[id] = at
+			if _, known := byID[id]; known {
+				endedAt[id] = at
 			}
 		case pb.EngineEvent_DEAF, pb.EngineEvent_DOWN:
 			key := ev.GetEngine() + unreachableReason(ev)
-			off[key] = append(off[key], span{at, math.Inf(1)})
+			unreachable[key] = append(unreachable[key], span{at, math.Inf(1)})
 		case pb.EngineEvent_HEARS, pb.EngineEvent_UP:
-			spans := off[ev.GetEngine()+unreachableReason(ev)]
+			spans := unreachable[ev.GetEngine()+unreachableReason(ev)]
 			for i := range spans {
 				spans[i].to = min(spans[i].to, at)
 			}
 		}
 	}
-	for _, id := range order {
-		done = append(done, open[id])
+	for _, id := range ids {
+		all = append(all, byID[id])
 	}
-	for i, h := range done {
-		end, ended := ends[order[i]]
+	for i, hold := range all {
+		end, ended := endedAt[ids[i]]
 		if !ended {
 			end = r.endAt
 		}
 		r.Checked[NothingHeldPastLimit]++
-		if r.routerWasDown(routers[h.completion], h.at, end) {
+		if r.routerWasDown(routerByCompletion[hold.completion], hold.since, end) {
 			continue
 		}
-		busy := slices.Concat(out[h.completion], off[h.engine+reasonDown], off[h.engine+reasonDeafTo], off[h.engine+reasonDeafTo+routers[h.completion]])
-		if from, gap := longestGap(h.at, end, busy); gap > r.head.GetLetGoS() {
-			r.addViolation(NothingHeldPastLimit, from, "dispatch "+h.dispatch, "held at %s for %.3f s while nothing was out, the limit is %.3f s",
-				h.engine, gap, r.head.GetLetGoS())
+		covered := slices.Concat(dispatches[hold.completion], unreachable[hold.engine+reasonDown], unreachable[hold.engine+reasonDeafTo], unreachable[hold.engine+reasonDeafTo+routerByCompletion[hold.completion]])
+		if from, gap := longestGap(hold.since, end, covered); gap > r.head.GetLetGoS() {
+			r.addViolation(NothingHeldPastLimit, from, "dispatch "+hold.dispatch, "held at %s for %.3f s without a running dispatch, the limit is %.3f s",
+				hold.engine, gap, r.head.GetLetGoS())
 		}
 	}
 }
 
-// longestGap is the longest stretch from, to that no span covers.
+// longestGap returns the start and length of the longest period between from and to that no span covers.
 func longestGap(from, to float64, spans []span) (at, gap float64) {
 	sort.Slice(spans, func(i, j int) bool { return spans[i].from < spans[j].from })
-	free := from
+	uncoveredFrom := from
 	for _, s := range spans {
-		if s.from > free {
-			if g := min(s.from, to) - free; g > gap {
-				at, gap = free, g
+		if s.from > uncoveredFrom {
+			if length := min(s.from, to) - uncoveredFrom; length > gap {
+				at, gap = uncoveredFrom, length
 			}
 		}
-		free = max(free, s.to)
+		uncoveredFrom = max(uncoveredFrom, s.to)
 	}
-	if to-free > gap {
-		at, gap = free, to-free
+	if to-uncoveredFrom > gap {
+		at, gap = uncoveredFrom, to-uncoveredFrom
 	}
 	return at, gap
 }
