--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads what an instance is told at its start: the same object on the bench's wire and in the
-// platform's configuration, by the same names and units. internal/wire and internal/platform/service use it; it
-// knows decide's settings and decides nothing.
+// Package settings parses the settings of a router instance. The same JSON object is sent to the simulator's adapter and
+// is part of the platform's configuration, with the same names and units. internal/wire and internal/platform/service
+// use it.
 package settings
 
 import (
@@ -12,34 +12,35 @@
 	"cherryhub/decide"
 )
 
-// Settings are those of an instance.
+// Settings configures a router instance.
 type Settings struct {
 	Decide         decide.Settings
 	Zones          []string
 	MachineKinds   []string        // names of the machine kinds, in the order of Decide.Roles
 	Workloads      []string        // names, in the order of Decide.Workloads
-	ClientTimeouts []time.Duration // client timeouts, in the same order
+	ClientTimeouts []time.Duration // in the order of Decide.Workloads
 	Tenants        []string        // names, in the order of Decide.Tenants
 
-	EngineIdleTimeout time.Duration // an engine closes a connection that was idle so long
+	EngineIdleTimeout time.Duration // after which an engine closes an idle connection
 	ConnectTimeout    time.Duration
-	HoldLimit         time.Duration // a state is held no longer while no dispatch is out
-	ClientsResume     bool          // clients ask elsewhere for the rest of a stream that broke
+	HoldLimit         time.Duration // longest time that state may be held while no dispatch uses it
+	ClientsResume     bool          // clients request the rest of a broken stream from another router
 }
 
-// Serves tells whether a real router can be run by these settings, which name what clients and discovery name.
+// Validate checks that the settings have all that a router of the platform needs: the names used by clients and service
+// discovery, and the limits of connections and held state. The simulator's adapter does not need them.
 func (s *Settings) Validate() error {
-	for _, one := range [...]struct {
-		name string
-		bad  bool
+	for _, field := range [...]struct {
+		name    string
+		invalid bool
 	}{
 		{"settings.zones", len(s.Zones) == 0}, {"settings.my-zone", s.Decide.Zone < 0 || s.Decide.Zone >= len(s.Zones)},
 		{"settings.kinds", len(s.MachineKinds) == 0 || len(s.MachineKinds) != len(s.Decide.Roles)},
 		{"settings.lanes", len(s.Workloads) == 0}, {"settings.limits.conn-idle-ns", s.EngineIdleTimeout <= 0},
 		{"settings.limits.connect-timeout-ns", s.ConnectTimeout <= 0}, {"settings.family-info.let-go-by-ns", s.HoldLimit <= 0},
 	} {
-		if one.bad {
-			return fmt.Errorf("%s: missing or out of range", one.name)
+		if field.invalid {
+			return fmt.Errorf("%s: missing or out of range", field.name)
 		}
 	}
 	return nil
@@ -47,124 +48,124 @@
 
 var rolesByStage = map[string]decide.Role{"read": decide.Reader, "write": decide.Writer, "both": decide.Mixed}
 
-// Parse reads the settings; unknown keys are skipped, an absent optional key means that the site lacks the thing.
+// Parse parses the settings. It skips unknown keys. An absent optional key means that the site does not have the feature.
 func Parse(text []byte) (Settings, error) {
 	var raw struct {
-		Balancers  int      `json:"balancers"`
-		MyZone     int      `json:"my-zone"`
-		Zones      []string `json:"zones"`
-		Kinds      []string `json:"kinds"`
-		Tick       float64  `json:"granularity-ns"`
-		OverShare  float64  `json:"over-share-worth"`
-		Registry   string   `json:"registry-mode"`
-		FamilyInfo struct {
-			TargetPerThousand []float64 `json:"aim-us-per-1000-prompt-tokens"`
-			HoldsAllowed      bool      `json:"holds-allowed"`
-			KVTokens          []float64 `json:"kv-tokens"`
-			LetGo             float64   `json:"let-go-by-ns"`
-			Resume            bool      `json:"resume"`
-			StageOfKind       []string  `json:"stage-of-kind"`
-			TokenTarget       []float64 `json:"token-aim-ns"`
-			TransferPrice     float64   `json:"transfer-price"`
-			WritersRead       bool      `json:"writers-read"`
+		Routers        int      `json:"balancers"`
+		MyZone         int      `json:"my-zone"`
+		Zones          []string `json:"zones"`
+		MachineKinds   []string `json:"kinds"`
+		Tick           float64  `json:"granularity-ns"`
+		OverShareValue float64  `json:"over-share-worth"`
+		ListMode       string   `json:"registry-mode"`
+		FamilyInfo     struct {
+			LatencyTargetPer1000Tokens []float64 `json:"aim-us-per-1000-prompt-tokens"`
+			ReservationsAllowed        bool      `json:"holds-allowed"`
+			Memory                     []float64 `json:"kv-tokens"`
+			HoldLimit                  float64   `json:"let-go-by-ns"`
+			ClientsResume              bool      `json:"resume"`
+			RoleOfKind                 []string  `json:"stage-of-kind"`
+			InterTokenTarget           []float64 `json:"token-aim-ns"`
+			CrossCellPrice             float64   `json:"transfer-price"`
+			WriterReadsAllowed         bool      `json:"writers-read"`
 		} `json:"family-info"`
-		Lanes []struct {
-			Name   string  `json:"name"`
-			Aim    float64 `json:"aim-ns"`
-			GiveUp float64 `json:"give-up-ns"`
-			Worth  float64 `json:"worth"`
-			Effect string  `json:"effect"`
-			Group  string  `json:"group"`
-			Window float64 `json:"window-ns"`
+		Workloads []struct {
+			Name          string  `json:"name"`
+			LatencyTarget float64 `json:"aim-ns"`
+			ClientTimeout float64 `json:"give-up-ns"`
+			Value         float64 `json:"worth"`
+			Effect        string  `json:"effect"`
+			DedupScope    string  `json:"group"`
+			DedupWindow   float64 `json:"window-ns"`
 		} `json:"lanes"`
 		Limits struct {
-			Cancel         bool    `json:"cancel"`
-			Probes         bool    `json:"probes"`
-			RetryAfter     bool    `json:"retry-after"`
-			MaxRetryAfter  float64 `json:"max-retry-after-ns"`
-			SendCap        int     `json:"send-cap"`
-			ConnIdle       float64 `json:"conn-idle-ns"`
-			ConnectTimeout float64 `json:"connect-timeout-ns"`
+			CancelAllowed     bool    `json:"cancel"`
+			ProbesAllowed     bool    `json:"probes"`
+			RetryAfter        bool    `json:"retry-after"`
+			MaxRetryAfter     float64 `json:"max-retry-after-ns"`
+			MaxDispatches     int     `json:"send-cap"`
+			EngineIdleTimeout float64 `json:"conn-idle-ns"`
+			ConnectTimeout    float64 `json:"connect-timeout-ns"`
 		} `json:"limits"`
 		Prices struct {
-			CrossZone float64 `json:"cross-zone"`
+			CrossZonePrice float64 `json:"cross-zone"`
 		} `json:"prices"`
 		Rules struct {
-			ColdFrom    float64 `json:"cold-from"`
-			WarmUp      float64 `json:"warm-up-ns"`
-			TipMultiple float64 `json:"tip-multiple"`
-			Fall        float64 `json:"fall-ns"`
+			ColdStartShare   float64 `json:"cold-from"`
+			WarmUpTime       float64 `json:"warm-up-ns"`
+			OverloadMultiple float64 `json:"tip-multiple"`
+			OverloadWindow   float64 `json:"fall-ns"`
 		} `json:"rules"`
 		Telemetry struct {
-			Columns []string `json:"columns"`
+			ReportColumns []string `json:"columns"`
 		} `json:"telemetry"`
 		Tenants []struct {
-			Name      string  `json:"name"`
-			Allowance float64 `json:"allowance-per-s"`
+			Name string  `json:"name"`
+			Rate float64 `json:"allowance-per-s"`
 		} `json:"tenants"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return Settings{}, fmt.Errorf("settings.%s: a %s where a %s is wanted, at byte %d", kind.Field, kind.Value, kind.Type, kind.Offset)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return Settings{}, fmt.Errorf("settings.%s: got %s, want %s, at byte %d", typeErr.Field, typeErr.Value, typeErr.Type, typeErr.Offset)
 		}
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	fam := raw.FamilyInfo
-	s := decide.Settings{
-		Routers: raw.Balancers, Zone: raw.MyZone, Tick: raw.Tick / 1e9, OverShareValue: raw.OverShare,
-		Memory: fam.KVTokens, ReportColumns: raw.Telemetry.Columns,
-		ProbesAllowed: raw.Limits.Probes, ReservationsAllowed: fam.HoldsAllowed, WriterReadsAllowed: fam.WritersRead,
-		CancelAllowed: raw.Limits.Cancel, MaxDispatches: raw.Limits.SendCap,
-		ListOnRequest:  raw.Registry == "on_request",
-		ColdStartShare: raw.Rules.ColdFrom, WarmUpTime: raw.Rules.WarmUp / 1e9,
-		OverloadMultiple: raw.Rules.TipMultiple, OverloadWindow: raw.Rules.Fall / 1e9,
-		CrossCellPrice: fam.TransferPrice, CrossZonePrice: raw.Prices.CrossZone,
+	family := raw.FamilyInfo
+	router := decide.Settings{
+		Routers: raw.Routers, Zone: raw.MyZone, Tick: raw.Tick / 1e9, OverShareValue: raw.OverShareValue,
+		Memory: family.Memory, ReportColumns: raw.Telemetry.ReportColumns,
+		ProbesAllowed: raw.Limits.ProbesAllowed, ReservationsAllowed: family.ReservationsAllowed, WriterReadsAllowed: family.WriterReadsAllowed,
+		CancelAllowed: raw.Limits.CancelAllowed, MaxDispatches: raw.Limits.MaxDispatches,
+		ListOnRequest:  raw.ListMode == "on_request",
+		ColdStartShare: raw.Rules.ColdStartShare, WarmUpTime: raw.Rules.WarmUpTime / 1e9,
+		OverloadMultiple: raw.Rules.OverloadMultiple, OverloadWindow: raw.Rules.OverloadWindow / 1e9,
+		CrossCellPrice: family.CrossCellPrice, CrossZonePrice: raw.Prices.CrossZonePrice,
 	}
 	if raw.Limits.RetryAfter {
-		s.MaxRetryAfter = raw.Limits.MaxRetryAfter / 1e9
+		router.MaxRetryAfter = raw.Limits.MaxRetryAfter / 1e9
 	}
-	for _, stage := range fam.StageOfKind {
+	for _, stage := range family.RoleOfKind {
 		role, known := rolesByStage[stage]
 		if !known {
-			return Settings{}, fmt.Errorf("settings.family-info.stage-of-kind: %q is none of read, write, both", stage)
+			return Settings{}, fmt.Errorf("settings.family-info.stage-of-kind: %q is not one of read, write, both", stage)
 		}
-		s.Roles = append(s.Roles, role)
+		router.Roles = append(router.Roles, role)
 	}
-	all := Settings{Zones: raw.Zones, MachineKinds: raw.Kinds, EngineIdleTimeout: time.Duration(raw.Limits.ConnIdle),
-		ConnectTimeout: time.Duration(raw.Limits.ConnectTimeout), HoldLimit: time.Duration(fam.LetGo), ClientsResume: fam.Resume}
-	for i, l := range raw.Lanes {
-		w := decide.Workload{LatencyTarget: l.Aim / 1e9, Value: l.Worth, DedupWindow: l.Window / 1e9}
-		switch l.Effect {
+	parsed := Settings{Zones: raw.Zones, MachineKinds: raw.MachineKinds, EngineIdleTimeout: time.Duration(raw.Limits.EngineIdleTimeout),
+		ConnectTimeout: time.Duration(raw.Limits.ConnectTimeout), HoldLimit: time.Duration(family.HoldLimit), ClientsResume: family.ClientsResume}
+	for i, rawWorkload := range raw.Workloads {
+		workload := decide.Workload{LatencyTarget: rawWorkload.LatencyTarget / 1e9, Value: rawWorkload.Value, DedupWindow: rawWorkload.DedupWindow / 1e9}
+		switch rawWorkload.Effect {
 		case "free":
-			w.Idempotency = decide.Idempotent
+			workload.Idempotency = decide.Idempotent
 		case "guarded":
-			w.Idempotency = decide.Tokened
-		default: // an unknown kind is taken for the strictest
-			w.Idempotency = decide.NonIdempotent
+			workload.Idempotency = decide.Tokened
+		default: // an unknown effect is treated as the strictest
+			workload.Idempotency = decide.NonIdempotent
 		}
-		switch l.Group {
+		switch rawWorkload.DedupScope {
 		case "", "all":
-			w.DedupScope = decide.DedupAll
+			workload.DedupScope = decide.DedupAll
 		case "zone":
-			w.DedupScope = decide.DedupZone
+			workload.DedupScope = decide.DedupZone
 		default:
-			w.DedupScope = decide.DedupCell
+			workload.DedupScope = decide.DedupCell
 		}
-		if i < len(fam.TargetPerThousand) {
-			w.LatencyTargetPerToken = fam.TargetPerThousand[i] / 1e9
+		if i < len(family.LatencyTargetPer1000Tokens) {
+			workload.LatencyTargetPerToken = family.LatencyTargetPer1000Tokens[i] / 1e9
 		}
-		if i < len(fam.TokenTarget) {
-			w.InterTokenTarget = fam.TokenTarget[i] / 1e9
+		if i < len(family.InterTokenTarget) {
+			workload.InterTokenTarget = family.InterTokenTarget[i] / 1e9
 		}
-		s.Workloads = append(s.Workloads, w)
-		all.Workloads = append(all.Workloads, l.Name)
-		all.ClientTimeouts = append(all.ClientTimeouts, time.Duration(l.GiveUp))
+		router.Workloads = append(router.Workloads, workload)
+		parsed.Workloads = append(parsed.Workloads, rawWorkload.Name)
+		parsed.ClientTimeouts = append(parsed.ClientTimeouts, time.Duration(rawWorkload.ClientTimeout))
 	}
-	for _, t := range raw.Tenants {
-		s.Tenants = append(s.Tenants, decide.Tenant{Rate: t.Allowance})
-		all.Tenants = append(all.Tenants, t.Name)
+	for _, tenant := range raw.Tenants {
+		router.Tenants = append(router.Tenants, decide.Tenant{Rate: tenant.Rate})
+		parsed.Tenants = append(parsed.Tenants, tenant.Name)
 	}
-	all.Decide = s
-	return all, nil
+	parsed.Decide = router
+	return parsed, nil
 }
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// act starts an action's record of so many bytes after the instance's number.
+// beginAction starts the record of an action: its code, its size and the instance's id. The caller appends size bytes.
 func (in *instance) beginAction(code uint16, size int) {
 	*in.reply = binary.LittleEndian.AppendUint16(*in.reply, code)
 	*in.reply = binary.LittleEndian.AppendUint32(*in.reply, uint32(size+4))
@@ -26,9 +26,9 @@
 
 func (in *instance) reportFatal(text string) { in.appendText(1090, text) }
 
-func nanoseconds(s float64) uint64 { return uint64(max(0, math.Ceil(s*1e9))) }
+func nanoseconds(seconds float64) uint64 { return uint64(max(0, math.Ceil(seconds*1e9))) }
 
-// Dispatch is the action of that name in decide.Actions, as are the methods below.
+// Dispatch and the methods below implement decide.Actions.
 func (in *instance) Dispatch(completion uint64, engine int, timeout float64) {
 	in.beginAction(1030, 22)
 	in.appendUint64(completion)
@@ -47,10 +47,10 @@
 	in.appendUint64(completion)
 }
 
-func (in *instance) RateLimit(completion uint64, comeBack float64) {
+func (in *instance) RateLimit(completion uint64, retryAfter float64) {
 	in.beginAction(1080, 16)
 	in.appendUint64(completion)
-	in.appendUint64(nanoseconds(comeBack))
+	in.appendUint64(nanoseconds(retryAfter))
 }
 
 func (in *instance) Abort(completion uint64) {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,7 +7,7 @@
 	"cherryhub/internal/settings"
 )
 
-var handlers = map[int]func(h *Host, f *recordReader, clock uint64){
+var handlers = map[int]func(h *Host, r *recordReader, clock uint64){
 	1000: startInstance,
 	1010: updateEngines,
 	1020: routeCompletion,
@@ -33,126 +33,126 @@
 	100: decide.Read,
 }
 
-// outcome takes an unknown code for an error, which promises nothing.
+// outcomeOf treats an unknown code as an error, after which the dispatch may or may not have run.
 func outcomeOf(code uint16) decide.Outcome {
-	if o, known := outcomesByCode[code]; known {
-		return o
+	if outcome, known := outcomesByCode[code]; known {
+		return outcome
 	}
 	return decide.Errored
 }
 
-func startInstance(h *Host, f *recordReader, clock uint64) {
-	who, seed := f.u32(), f.u64()
-	text := f.take(int(f.u32()))
-	if f.err != nil {
+func startInstance(h *Host, r *recordReader, clock uint64) {
+	instanceID, seed := r.u32(), r.u64()
+	text := r.take(int(r.u32()))
+	if r.err != nil {
 		return
 	}
-	in := &instance{id: who, reply: &h.reply, actionCount: &h.actionCount, startClock: clock,
+	in := &instance{id: instanceID, reply: &h.reply, actionCount: &h.actionCount, startClock: clock,
 		engineIndexes: map[[6]byte]int{}, completions: map[uint64]*decide.Completion{}}
-	all, err := settings.Parse(text)
+	parsed, err := settings.Parse(text)
 	if err == nil {
-		all.Decide.Seed = seed
-		in.router, err = decide.New(all.Decide, in)
+		parsed.Decide.Seed = seed
+		in.router, err = decide.New(parsed.Decide, in)
 	}
 	if err != nil {
-		delete(h.instances, who)
+		delete(h.instances, instanceID)
 		in.reportFatal(err.Error())
 		return
 	}
-	h.instances[who] = in
+	h.instances[instanceID] = in
 }
 
-func stopInstance(h *Host, f *recordReader, _ uint64) {
-	if who := f.u32(); f.err == nil {
-		delete(h.instances, who)
+func stopInstance(h *Host, r *recordReader, _ uint64) {
+	if instanceID := r.u32(); r.err == nil {
+		delete(h.instances, instanceID)
 	}
 }
 
-func updateEngines(h *Host, f *recordReader, clock uint64) {
-	who, scope := f.u32(), f.u8()
-	f.u64()
-	n := int(f.u32())
-	entries := &recordReader{data: f.data, pos: f.pos, end: f.end, code: f.code}
-	f.take(n * 24)
-	h.withInstance(who, clock, f.err, func(in *instance) {
-		facts := make([]decide.EngineEntry, n)
-		for i := range facts {
+func updateEngines(h *Host, r *recordReader, clock uint64) {
+	instanceID, listKind := r.u32(), r.u8()
+	r.u64()
+	count := int(r.u32())
+	entries := &recordReader{data: r.data, pos: r.pos, end: r.end, code: r.code}
+	r.take(count * 24)
+	h.withInstance(instanceID, clock, r.err, func(in *instance) {
+		engines := make([]decide.EngineEntry, count)
+		for i := range engines {
 			address := entries.address()
-			e := decide.EngineEntry{Index: in.engineIndex(address), Hash: addressHash(address), Zone: int(entries.u16()), MachineKind: int(entries.u8()),
+			entry := decide.EngineEntry{Index: in.engineIndex(address), Hash: addressHash(address), Zone: int(entries.u16()), MachineKind: int(entries.u8()),
 				Cell: int(entries.u16()), Phase: decide.Phase(entries.u8()), StartedAt: startedLongAgo}
 			entries.f32()
-			if since := entries.u64(); since != 0 {
-				e.StartedAt = in.secondsSinceStart(since)
+			if startClock := entries.u64(); startClock != 0 {
+				entry.StartedAt = in.secondsSinceStart(startClock)
 			}
-			facts[i] = e
+			engines[i] = entry
 		}
-		in.router.UpdateEngines(decide.ListKind(scope), facts)
+		in.router.UpdateEngines(decide.ListKind(listKind), engines)
 	})
 }
 
-// mark is an address as a number.
+// addressHash returns the address as a number.
 func addressHash(address [6]byte) uint64 {
 	return uint64(binary.LittleEndian.Uint32(address[:4]))<<16 | uint64(binary.LittleEndian.Uint16(address[4:]))
 }
 
-func routeCompletion(h *Host, f *recordReader, clock uint64) {
-	who, id, bits, hint := f.u32(), f.u64(), f.u16(), f.seconds()
-	p := decide.Prompt{Workload: int(f.u8()), SharedPrefixTokens: f.f32(), MaxOutputTokens: f.f32(), Tokens: f.f32(),
-		Session: f.u64(), SharedPrefix: f.u64(), Tenant: int(f.u16()), TimeLeft: f.seconds()}
-	if bits&1 != 0 {
-		p.OutputTimeHint = hint
+func routeCompletion(h *Host, r *recordReader, clock uint64) {
+	instanceID, id, flags, outputTimeHint := r.u32(), r.u64(), r.u16(), r.seconds()
+	prompt := decide.Prompt{Workload: int(r.u8()), SharedPrefixTokens: r.f32(), MaxOutputTokens: r.f32(), Tokens: r.f32(),
+		Session: r.u64(), SharedPrefix: r.u64(), Tenant: int(r.u16()), TimeLeft: r.seconds()}
+	if flags&1 != 0 {
+		prompt.OutputTimeHint = outputTimeHint
 	}
-	p.Resumed = bits&16 != 0
-	h.withInstance(who, clock, f.err, func(in *instance) {
-		if c := in.router.Route(id, p); !c.Closed() {
+	prompt.Resumed = flags&16 != 0
+	h.withInstance(instanceID, clock, r.err, func(in *instance) {
+		if c := in.router.Route(id, prompt); !c.Closed() {
 			in.completions[id] = c
 		}
 	})
 }
 
-func dispatchStarted(h *Host, f *recordReader, clock uint64) {
-	who, id, n := f.u32(), f.u64(), int(f.u8())
-	f.address()
-	took := f.seconds()
-	h.withCompletion(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.DispatchStarted(n, took) })
+func dispatchStarted(h *Host, r *recordReader, clock uint64) {
+	instanceID, id, dispatch := r.u32(), r.u64(), int(r.u8())
+	r.address()
+	elapsed := r.seconds()
+	h.withCompletion(instanceID, clock, id, r.err, func(_ *instance, c *decide.Completion) { c.DispatchStarted(dispatch, elapsed) })
 }
 
-func dispatchEnded(h *Host, f *recordReader, clock uint64) {
-	who, id, n := f.u32(), f.u64(), int(f.u8())
-	f.address()
-	verdict, took, done, note, report := f.u16(), f.seconds(), f.u8() != 0, f.u32(), f.report()
-	h.withCompletion(who, clock, id, f.err, func(_ *instance, c *decide.Completion) {
-		c.DispatchEnded(n, outcomeOf(verdict), took, done, float64(note), report)
+func dispatchEnded(h *Host, r *recordReader, clock uint64) {
+	instanceID, id, dispatch := r.u32(), r.u64(), int(r.u8())
+	r.address()
+	code, elapsed, finished, cachedTokens, report := r.u16(), r.seconds(), r.u8() != 0, r.u32(), r.report()
+	h.withCompletion(instanceID, clock, id, r.err, func(_ *instance, c *decide.Completion) {
+		c.DispatchEnded(dispatch, outcomeOf(code), elapsed, finished, float64(cachedTokens), report)
 	})
 }
 
-func clientLeft(h *Host, f *recordReader, clock uint64) {
-	who, id := f.u32(), f.u64()
-	h.withCompletion(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.ClientLeft() })
+func clientLeft(h *Host, r *recordReader, clock uint64) {
+	instanceID, id := r.u32(), r.u64()
+	h.withCompletion(instanceID, clock, id, r.err, func(_ *instance, c *decide.Completion) { c.ClientLeft() })
 }
 
-func timerFired(h *Host, f *recordReader, clock uint64) {
-	who, token := f.u32(), f.u64()
-	if token == routerTimerToken {
-		h.withInstance(who, clock, f.err, func(in *instance) { in.router.TimerFired() })
+func timerFired(h *Host, r *recordReader, clock uint64) {
+	instanceID, timerToken := r.u32(), r.u64()
+	if timerToken == routerTimerToken {
+		h.withInstance(instanceID, clock, r.err, func(in *instance) { in.router.TimerFired() })
 		return
 	}
-	h.withCompletion(who, clock, token, f.err, func(_ *instance, c *decide.Completion) { c.TimerFired() })
+	h.withCompletion(instanceID, clock, timerToken, r.err, func(_ *instance, c *decide.Completion) { c.TimerFired() })
 }
 
-func probeEnded(h *Host, f *recordReader, clock uint64) {
-	who, engine, verdict, _, report := f.u32(), f.address(), f.u16(), f.seconds(), f.report()
-	h.withInstance(who, clock, f.err, func(in *instance) {
-		in.router.ProbeEnded(in.engineIndex(engine), outcomeOf(verdict), report)
+func probeEnded(h *Host, r *recordReader, clock uint64) {
+	instanceID, address, code, _, report := r.u32(), r.address(), r.u16(), r.seconds(), r.report()
+	h.withInstance(instanceID, clock, r.err, func(in *instance) {
+		in.router.ProbeEnded(in.engineIndex(address), outcomeOf(code), report)
 	})
 }
 
-func skipInbox(_ *Host, f *recordReader, _ uint64) {
-	f.take(6)
-	f.take(int(f.u16()))
+func skipInbox(_ *Host, r *recordReader, _ uint64) {
+	r.take(6)
+	r.take(int(r.u16()))
 }
 
-func reservationAnswered(h *Host, f *recordReader, clock uint64) {
-	who, id, _, n, _, kind := f.u32(), f.u64(), f.f32(), int(f.u8()), f.address(), f.u8()
-	h.withCompletion(who, clock, id, f.err, func(_ *instance, c *decide.Completion) { c.ReservationAnswered(n, kind == 1) })
+func reservationAnswered(h *Host, r *recordReader, clock uint64) {
+	instanceID, id, _, dispatch, _, result := r.u32(), r.u64(), r.f32(), int(r.u8()), r.address(), r.u8()
+	h.withCompletion(instanceID, clock, id, r.err, func(_ *instance, c *decide.Completion) { c.ReservationAnswered(dispatch, result == 1) })
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,6 @@
-// Package wire turns binary frames into calls on routers and their actions into a reply. It decides nothing.
+// Package wire implements the binary protocol of the simulator's adapter: it translates batches of records into calls of
+// decide's routers, and the actions of the routers into a reply. All integers are little-endian, times are in
+// nanoseconds. It makes no decisions.
 package wire
 
 import (
@@ -14,61 +16,61 @@
 const (
 	batchHeaderBytes = 16
 	maxBatchBytes    = 1 << 30
-	routerTimerToken = math.MaxUint64 // the timer token that means the router, not a completion
+	routerTimerToken = math.MaxUint64 // timer token of a router, instead of a completion's id
 	startedLongAgo   = -1e9
 )
 
-// frame reads fields in sequence; its first misfit is kept in err.
+// recordReader reads the fields of a record in sequence. It keeps the first error in err and returns zeros from then on.
 type recordReader struct {
 	data []byte
 	pos  int
-	end  int // of the record
-	code int
+	end  int // of the current record
+	code int // of the current record
 	err  error
 }
 
-func (f *recordReader) take(n int) []byte {
-	if f.err == nil && (n < 0 || n > f.end-f.pos) {
-		f.err = fmt.Errorf("code %d: %d bytes wanted at byte %d, the record ends at byte %d",
-			f.code, n, f.pos, f.end)
+func (r *recordReader) take(n int) []byte {
+	if r.err == nil && (n < 0 || n > r.end-r.pos) {
+		r.err = fmt.Errorf("code %d: %d bytes wanted at byte %d, the record ends at byte %d",
+			r.code, n, r.pos, r.end)
 	}
-	if f.err != nil {
+	if r.err != nil {
 		return make([]byte, max(0, min(n, 8)))
 	}
-	f.pos += n
-	return f.data[f.pos-n : f.pos]
+	r.pos += n
+	return r.data[r.pos-n : r.pos]
 }
 
-func (f *recordReader) u8() uint8   { return f.take(1)[0] }
-func (f *recordReader) u16() uint16 { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *recordReader) u32() uint32 { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *recordReader) u64() uint64 { return binary.LittleEndian.Uint64(f.take(8)) }
+func (r *recordReader) u8() uint8   { return r.take(1)[0] }
+func (r *recordReader) u16() uint16 { return binary.LittleEndian.Uint16(r.take(2)) }
+func (r *recordReader) u32() uint32 { return binary.LittleEndian.Uint32(r.take(4)) }
+func (r *recordReader) u64() uint64 { return binary.LittleEndian.Uint64(r.take(8)) }
 
-func (f *recordReader) f32() float64 {
-	return float64(math.Float32frombits(binary.LittleEndian.Uint32(f.take(4))))
+func (r *recordReader) f32() float64 {
+	return float64(math.Float32frombits(binary.LittleEndian.Uint32(r.take(4))))
 }
 
-func (f *recordReader) seconds() float64 { return float64(f.u64()) / 1e9 }
+func (r *recordReader) seconds() float64 { return float64(r.u64()) / 1e9 }
 
-func (f *recordReader) address() (a [6]byte) {
-	copy(a[:], f.take(6))
+func (r *recordReader) address() (a [6]byte) {
+	copy(a[:], r.take(6))
 	return a
 }
 
-func (f *recordReader) report() []float64 {
-	n := int(f.u8())
-	if n == 0 || n*4 > f.end-f.pos {
-		f.take(n * 4)
+func (r *recordReader) report() []float64 {
+	n := int(r.u8())
+	if n == 0 || n*4 > r.end-r.pos {
+		r.take(n * 4)
 		return nil
 	}
 	values := make([]float64, n)
 	for i := range values {
-		values[i] = f.f32()
+		values[i] = r.f32()
 	}
 	return values
 }
 
-// instance is one router and its door: ids on the wire to small indices and back.
+// instance is one router, with the tables that translate addresses and ids of the protocol.
 type instance struct {
 	id            uint32
 	reply         *[]byte
@@ -80,28 +82,28 @@
 	completions   map[uint64]*decide.Completion
 }
 
-func (in *instance) engineIndex(a [6]byte) int {
-	i, known := in.engineIndexes[a]
+func (in *instance) engineIndex(address [6]byte) int {
+	index, known := in.engineIndexes[address]
 	if !known {
-		i = len(in.addresses)
-		in.engineIndexes[a] = i
-		in.addresses = append(in.addresses, a)
+		index = len(in.addresses)
+		in.engineIndexes[address] = index
+		in.addresses = append(in.addresses, address)
 	}
-	return i
+	return index
 }
 
 func (in *instance) secondsSinceStart(clock uint64) float64 {
 	return float64(int64(clock-in.startClock)) / 1e9
 }
 
-// Host holds the instances of one process.
+// Host runs the router instances of one process.
 type Host struct {
 	instances   map[uint32]*instance
 	reply       []byte
 	actionCount int
 }
 
-// NewHost makes a host without instances.
+// NewHost returns a host without instances.
 func NewHost() *Host { return &Host{instances: map[uint32]*instance{}} }
 
 // Serve answers batches until the input ends.
@@ -138,62 +140,63 @@
 	}
 }
 
-// Batch carries out one batch and returns the whole reply, which holds until the next call.
+// HandleBatch executes one batch of count records and returns the reply, which is valid until the next call.
 func (h *Host) HandleBatch(count int, clock uint64, body []byte) ([]byte, error) {
 	h.reply, h.actionCount = append(h.reply[:0], make([]byte, 8)...), 0
-	f := &recordReader{data: body}
+	r := &recordReader{data: body}
 	for range count {
-		f.code, f.end = 0, len(body)
-		code, size := int(f.u16()), int(f.u32())
-		if f.err != nil {
-			return nil, f.err
+		r.code, r.end = 0, len(body)
+		code, size := int(r.u16()), int(r.u32())
+		if r.err != nil {
+			return nil, r.err
 		}
-		if f.code = code; size > len(body)-f.pos {
+		if r.code = code; size > len(body)-r.pos {
 			return nil, fmt.Errorf("code %d: a record of %d bytes at byte %d, the batch ends at byte %d",
-				code, size, f.pos, len(body))
+				code, size, r.pos, len(body))
 		}
-		f.end = f.pos + size
+		r.end = r.pos + size
 		if handler := handlers[code]; handler == nil {
-			f.pos = f.end
+			r.pos = r.end
 		} else {
-			handler(h, f, clock)
+			handler(h, r, clock)
 		}
-		if f.err != nil {
-			return nil, f.err
+		if r.err != nil {
+			return nil, r.err
 		}
-		if f.pos != f.end {
-			return nil, fmt.Errorf("code %d: %d bytes too many at byte %d", code, f.end-f.pos, f.pos)
+		if r.pos != r.end {
+			return nil, fmt.Errorf("code %d: %d bytes too many at byte %d", code, r.end-r.pos, r.pos)
 		}
 	}
-	if f.pos != len(body) {
-		return nil, fmt.Errorf("code 0: %d bytes after the last record at byte %d", len(body)-f.pos, f.pos)
+	if r.pos != len(body) {
+		return nil, fmt.Errorf("code 0: %d bytes after the last record at byte %d", len(body)-r.pos, r.pos)
 	}
 	binary.LittleEndian.PutUint32(h.reply, uint32(h.actionCount))
 	binary.LittleEndian.PutUint32(h.reply[4:], uint32(len(h.reply)-8))
 	return h.reply, nil
 }
 
-// call runs f for the instance at the clock's time; a panic becomes the instance's fault.
-func (h *Host) withInstance(who uint32, clock uint64, err error, f func(in *instance)) {
-	in := h.instances[who]
+// withInstance sets the instance's time and runs call. After a panic it reports a fatal error of the instance and removes
+// it. It does nothing after a read error or for an unknown instance.
+func (h *Host) withInstance(id uint32, clock uint64, err error, call func(in *instance)) {
+	in := h.instances[id]
 	if in == nil || err != nil {
 		return
 	}
 	defer func() {
-		if trouble := recover(); trouble != nil {
-			delete(h.instances, who)
-			in.reportFatal(fmt.Sprint(trouble))
+		if panicValue := recover(); panicValue != nil {
+			delete(h.instances, id)
+			in.reportFatal(fmt.Sprint(panicValue))
 		}
 	}()
 	in.router.SetTime(in.secondsSinceStart(clock))
-	f(in)
+	call(in)
 }
 
-// onHandle runs f for a completion; one that is unknown or over is left alone.
-func (h *Host) withCompletion(who uint32, clock, id uint64, err error, f func(in *instance, c *decide.Completion)) {
-	h.withInstance(who, clock, err, func(in *instance) {
+// withCompletion runs call for a completion. It does nothing for one that is unknown or closed.
+func (h *Host) withCompletion(instanceID uint32, clock, id uint64, err error, call func(in *instance, c *decide.Completion)) {
+	h.withInstance(instanceID, clock, err, func(in *instance) {
 		if c := in.completions[id]; c != nil {
-			f(in, c)
+			call(in, c)
 			if c.Closed() {
 				delete(in.completions, id)
 			}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,40 +6,40 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestBadFrames(t *testing.T) {
+func TestMalformedBatches(t *testing.T) {
 	for name, c := range map[string]struct {
-		count int
-		body  []byte
-		says  string
-		acts  []byte // the reply's first bytes after its header
+		count     int
+		body      []byte
+		wantErr   string
+		wantReply []byte // first bytes of the reply after its header
 	}{
-		"no record":        {1, nil, "code 0: 2 bytes wanted at byte 0", nil},
+		"record missing":   {1, nil, "code 0: 2 bytes wanted at byte 0", nil},
 		"record too long":  {1, []byte{0xfc, 3, 9, 0, 0, 0}, "code 1020: a record of 9 bytes at byte 6", nil},
 		"record too short": {1, []byte{0x42, 4, 2, 0, 0, 0, 1, 2}, "code 1090: 4 bytes wanted at byte 6", nil},
-		"bytes after":      {0, []byte{1}, "code 0: 1 bytes after the last record at byte 0", nil},
+		"trailing bytes":   {0, []byte{1}, "code 0: 1 bytes after the last record at byte 0", nil},
 		"field left over": {1, []byte{0x42, 4, 5, 0, 0, 0, 1, 0, 0, 0, 9},
 			"code 1090: 1 bytes too many at byte 10", nil},
-		"count past end":  {1, []byte{0x38, 4, 8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9, 0}, "code 1080: 9 bytes wanted", nil},
-		"unknown skipped": {1, []byte{9, 9, 1, 0, 0, 0, 7}, "", nil},
-		"unknown who":     {1, []byte{0x42, 4, 4, 0, 0, 0, 1, 2, 0, 0}, "", nil},
-		"empty batch":     {0, nil, "", nil},
-		"bad settings: die": {1, append([]byte{0xe8, 3, 17, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0},
+		"count past end":   {1, []byte{0x38, 4, 8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9, 0}, "code 1080: 9 bytes wanted", nil},
+		"unknown code":     {1, []byte{9, 9, 1, 0, 0, 0, 7}, "", nil},
+		"unknown instance": {1, []byte{0x42, 4, 4, 0, 0, 0, 1, 2, 0, 0}, "", nil},
+		"empty batch":      {0, nil, "", nil},
+		"invalid settings": {1, append([]byte{0xe8, 3, 17, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0},
 			'['), "", []byte{0x42, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reply, err := NewHost().HandleBatch(c.count, 1, c.body)
-			if c.says != "" {
-				assert.ErrorContains(t, err, c.says)
+			if c.wantErr != "" {
+				assert.ErrorContains(t, err, c.wantErr)
 				assert.Nil(t, reply)
 				return
 			}
 			assert.NoError(t, err)
-			assert.Equal(t, c.acts, append([]byte(nil), reply[8:min(len(reply), 10)]...))
+			assert.Equal(t, c.wantReply, append([]byte(nil), reply[8:min(len(reply), 10)]...))
 		})
 	}
 }
 
-// FuzzBatch: whatever comes on the wire, the host answers or says what is malformed; it never panics.
+// FuzzBatch checks that the host answers any batch or reports what is malformed, and never panics.
 func FuzzBatch(f *testing.F) {
 	f.Add(1, []byte{0x42, 0x04, 4, 0, 0, 0, 3, 0, 0, 0})
 	f.Add(2, []byte{0xf2, 0x03, 17, 0, 0, 0, 3, 0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff})
