--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,6 +1,7 @@
-// Package memory sets the collector's pace by what lives: a fixed headroom over a small heap, so that a router
-// with few streams collects rarely, and a small part over a large one, so that many open streams don't cost
-// twice their memory. It changes nothing else. cmd/cherryhub's serve calls it, for the process as a whole.
+// Package memory sets the garbage collector's target percentage (GOGC) from the size of the live heap. A small heap may
+// grow by a fixed amount, so that a router with few streams collects rarely. A large heap may grow only by a small share,
+// so that many open streams do not take twice their memory. The setting is process-wide. The serve command of
+// cmd/cherryhub uses it.
 package memory
 
 import (
@@ -11,13 +12,13 @@
 )
 
 const (
-	headroomBytes = 64 << 20 // bytes; garbage that may gather over a small heap
-	minGCPercent  = 25       // percent of a large heap; below it collecting costs more than streams do
-	maxGCPercent  = 800      // percent; what lives may grow fast between two collections
+	headroomBytes = 64 << 20 // garbage that may accumulate above a small heap
+	minGCPercent  = 25       // with less, garbage collection would cost more than the streams themselves
+	maxGCPercent  = 800      // the live heap may grow fast between two collections
 )
 
-// Tune sets the pace after each collection from now on. Where GOGC or GOMEMLIMIT is set it does nothing: the
-// operator has decided.
+// TuneGC adjusts the target percentage now and after each garbage collection. If GOGC or GOMEMLIMIT is set, it leaves the
+// operator's choice unchanged.
 func TuneGC() {
 	if os.Getenv("GOGC") != "" || os.Getenv("GOMEMLIMIT") != "" {
 		return
@@ -25,7 +26,7 @@
 	setGCPercent()
 }
 
-// mark is garbage from the start: its finalizer runs after each collection and makes the next one.
+// gcSentinel is never referenced: its finalizer runs after the next garbage collection and creates a new sentinel.
 type gcSentinel struct{ _ [16]byte }
 
 func setGCPercent() {
@@ -33,7 +34,7 @@
 	runtime.SetFinalizer(&gcSentinel{}, func(*gcSentinel) { setGCPercent() })
 }
 
-// live is what the last collection left, in bytes.
+// liveHeapBytes returns the size of the heap after the last garbage collection, 0 if it is unknown.
 func liveHeapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
--- a/internal/telemetry/admission.go
+++ b/internal/telemetry/admission.go
@@ -6,23 +6,23 @@
 	"cherryhub/internal/admit"
 )
 
-// Door is what is asked of a door.
+// AdmissionStats is the source of the admission metrics, implemented by door.Listener.
 type AdmissionStats interface {
 	Stats(top int) (admit.Stats, []admit.Holder)
 }
 
-// doorFigures collects a door's figures when they are asked for.
+// admissionCollector reads the statistics of admission control at each scrape.
 type admissionCollector struct {
 	source                                           AdmissionStats
 	refused, evicted, accepted, used, max, addresses *prometheus.Desc
 }
 
-// WatchDoor adds the figures of a door.
-func (m *Metrics) WatchAdmission(d AdmissionStats) {
+// WatchAdmission registers the admission metrics of a listener.
+func (m *Metrics) WatchAdmission(source AdmissionStats) {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("cherryhub_admission_"+name, help, labels, nil)
 	}
-	m.Registry.MustRegister(&admissionCollector{d,
+	m.Registry.MustRegister(&admissionCollector{source,
 		desc("refused_total", "Connections, calls and completions refused, by reason.", "reason"),
 		desc("ended_total", "Connections without a call that were ended, by reason.", "reason"),
 		desc("let_in_total", "Connections let in."),
@@ -31,24 +31,24 @@
 		desc("addresses", "Addresses not known that hold something.")})
 }
 
-// Describe is of prometheus.Collector.
-func (d *admissionCollector) Describe(to chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{d.refused, d.evicted, d.accepted, d.used, d.max, d.addresses} {
-		to <- one
+// Describe implements prometheus.Collector.
+func (c *admissionCollector) Describe(descs chan<- *prometheus.Desc) {
+	for _, desc := range []*prometheus.Desc{c.refused, c.evicted, c.accepted, c.used, c.max, c.addresses} {
+		descs <- desc
 	}
 }
 
-// Collect is of prometheus.Collector.
-func (d *admissionCollector) Collect(to chan<- prometheus.Metric) {
-	f, _ := d.source.Stats(0)
-	for r := admit.Reason(1); int(r) < admit.NumReasons; r++ {
-		to <- prometheus.MustNewConstMetric(d.refused, prometheus.CounterValue, float64(f.Refused[r]), r.String())
-		to <- prometheus.MustNewConstMetric(d.evicted, prometheus.CounterValue, float64(f.Evicted[r]), r.String())
+// Collect implements prometheus.Collector.
+func (c *admissionCollector) Collect(metrics chan<- prometheus.Metric) {
+	stats, _ := c.source.Stats(0)
+	for reason := admit.Reason(1); int(reason) < admit.NumReasons; reason++ {
+		metrics <- prometheus.MustNewConstMetric(c.refused, prometheus.CounterValue, float64(stats.Refused[reason]), reason.String())
+		metrics <- prometheus.MustNewConstMetric(c.evicted, prometheus.CounterValue, float64(stats.Evicted[reason]), reason.String())
 	}
-	to <- prometheus.MustNewConstMetric(d.accepted, prometheus.CounterValue, float64(f.Accepted))
-	for _, room := range f.Pools() {
-		to <- prometheus.MustNewConstMetric(d.used, prometheus.GaugeValue, float64(room.Used), room.Name)
-		to <- prometheus.MustNewConstMetric(d.max, prometheus.GaugeValue, float64(room.Max), room.Name)
+	metrics <- prometheus.MustNewConstMetric(c.accepted, prometheus.CounterValue, float64(stats.Accepted))
+	for _, pool := range stats.Pools() {
+		metrics <- prometheus.MustNewConstMetric(c.used, prometheus.GaugeValue, float64(pool.Used), pool.Name)
+		metrics <- prometheus.MustNewConstMetric(c.max, prometheus.GaugeValue, float64(pool.Max), pool.Name)
 	}
-	to <- prometheus.MustNewConstMetric(d.addresses, prometheus.GaugeValue, float64(f.Addresses))
+	metrics <- prometheus.MustNewConstMetric(c.addresses, prometheus.GaugeValue, float64(stats.Addresses))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds a router's log and figures: slog, and Prometheus metrics on its admin address. It
-// decides nothing and is told everything. internal/router makes it.
+// Package telemetry provides a router's log, with slog, and its Prometheus metrics, which the router serves on its admin
+// address. It only records what other packages report. internal/router creates both.
 package telemetry
 
 import (
@@ -17,10 +17,10 @@
 	pb "cherryhub/proto"
 )
 
-// Log is a router's log.
+// NewLogger returns a logger with the handler of NewLogHandler.
 func NewLogger(w io.Writer, l *pb.Log) *slog.Logger { return slog.New(NewLogHandler(w, l)) }
 
-// LogHandler writes a router's log as its settings say.
+// NewLogHandler returns a handler with the configured level that writes JSON or text.
 func NewLogHandler(w io.Writer, l *pb.Log) slog.Handler {
 	level := map[pb.Level]slog.Level{pb.Level_DEBUG: slog.LevelDebug, pb.Level_INFO: slog.LevelInfo,
 		pb.Level_WARN: slog.LevelWarn, pb.Level_ERROR: slog.LevelError}[l.GetLevel()]
@@ -34,7 +34,7 @@
 	decide.TimedOut: "timed_out", decide.Unreachable: "unreachable", decide.Broken: "broken", decide.Cancelled: "cancelled",
 	decide.NotSent: "moot"}
 
-// Metrics are a router's figures. It is an edge.Observer.
+// Metrics is a router's metrics. It implements edge.Observer and peer.Observer.
 type Metrics struct {
 	Registry *prometheus.Registry
 
@@ -54,7 +54,7 @@
 	dutyLateness prometheus.Histogram
 }
 
-// NewMetrics makes the figures of a router with workloads of those names.
+// NewMetrics returns the metrics of a router with workloads of the given names.
 func NewMetrics(workloads []string) *Metrics {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -69,12 +69,12 @@
 		reg.MustRegister(v)
 		return v
 	}
-	taken := counter("completions_taken_total", "Completions taken.", "workload")
+	accepted := counter("completions_taken_total", "Completions taken.", "workload")
 	answered := counter("completions_total", "Completions by final answer.", "workload", "answer")
 	answerTime := seconds("completion_seconds", "From the call's arrival to its final answer.", 0.001, "workload")
 	ttft := seconds("ttft_seconds", "From the call's arrival to the first token.", 0.001, "workload")
-	dispatched := counter("dispatches_total", "Dispatches by outcome.", "stage", "outcome")
-	dispatch := seconds("dispatch_seconds", "From a dispatch's start to its end.", 0.001, "stage")
+	dispatches := counter("dispatches_total", "Dispatches by outcome.", "stage", "outcome")
+	dispatchTime := seconds("dispatch_seconds", "From a dispatch's start to its end.", 0.001, "stage")
 	m := &Metrics{Registry: reg,
 		refused:     counter("refused_total", "Calls refused before a completion was taken.", "status"),
 		releases:    counter("released_total", "States and places let go, by who saw to it.", "reason"),
@@ -88,26 +88,26 @@
 	m.holdTime = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cherryhub", Name: "held_seconds",
 		Help: "From the last known use of what was held to its release.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)})
 	reg.MustRegister(m.plannerDelay, m.dutyLateness, m.holdTime)
-	for _, w := range workloads {
-		m.accepted = append(m.accepted, taken.WithLabelValues(w))
-		m.answerTime = append(m.answerTime, answerTime.WithLabelValues(w))
-		m.ttft = append(m.ttft, ttft.WithLabelValues(w))
-		var by []prometheus.Counter
+	for _, workload := range workloads {
+		m.accepted = append(m.accepted, accepted.WithLabelValues(workload))
+		m.answerTime = append(m.answerTime, answerTime.WithLabelValues(workload))
+		m.ttft = append(m.ttft, ttft.WithLabelValues(workload))
+		var byAnswer []prometheus.Counter
 		for a := edge.Finished; a <= edge.ClientLeft; a++ {
-			by = append(by, answered.WithLabelValues(w, a.String()))
+			byAnswer = append(byAnswer, answered.WithLabelValues(workload, a.String()))
 		}
-		m.answered = append(m.answered, by)
+		m.answered = append(m.answered, byAnswer)
 	}
 	for i, stage := range [...]string{"write", "read"} {
-		m.dispatchTime[i] = dispatch.WithLabelValues(stage)
-		for _, o := range outcomeLabels {
-			m.dispatches[i] = append(m.dispatches[i], dispatched.WithLabelValues(stage, o))
+		m.dispatchTime[i] = dispatchTime.WithLabelValues(stage)
+		for _, outcome := range outcomeLabels {
+			m.dispatches[i] = append(m.dispatches[i], dispatches.WithLabelValues(stage, outcome))
 		}
 	}
 	return m
 }
 
-// Watch adds gauges of a planner and an edge.
+// Watch registers gauges of a planner and an edge.
 func (m *Metrics) Watch(p *planner.Planner, e *edge.Edge) {
 	gauge := func(name, help string, value func() float64) {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "cherryhub", Name: name, Help: help}, value))
@@ -122,33 +122,35 @@
 	})
 }
 
-// Delay hears how long a fact waited for the planner, in seconds.
+// ObservePlannerDelay records how long an event waited for the planner.
 func (m *Metrics) ObservePlannerDelay(seconds float64) { m.plannerDelay.Observe(seconds) }
 
-// Took is of edge.Observer, as are the methods below.
-func (m *Metrics) CompletionAccepted(work int) { m.accepted[work].Inc() }
+// CompletionAccepted and the methods below implement edge.Observer.
+func (m *Metrics) CompletionAccepted(workload int) { m.accepted[workload].Inc() }
 
-func (m *Metrics) CompletionAnswered(work int, how edge.Answer, took time.Duration) {
-	m.answered[work][how].Inc()
-	m.answerTime[work].Observe(took.Seconds())
+func (m *Metrics) CompletionAnswered(workload int, answer edge.Answer, elapsed time.Duration) {
+	m.answered[workload][answer].Inc()
+	m.answerTime[workload].Observe(elapsed.Seconds())
 }
 
-func (m *Metrics) FirstToken(work int, took time.Duration) { m.ttft[work].Observe(took.Seconds()) }
+func (m *Metrics) FirstToken(workload int, elapsed time.Duration) {
+	m.ttft[workload].Observe(elapsed.Seconds())
+}
 
-func (m *Metrics) DispatchEnded(reads bool, o decide.Outcome, took time.Duration) {
+func (m *Metrics) DispatchEnded(isRead bool, outcome decide.Outcome, elapsed time.Duration) {
 	stage := 0
-	if reads {
+	if isRead {
 		stage = 1
 	}
-	m.dispatches[stage][o].Inc()
-	m.dispatchTime[stage].Observe(took.Seconds())
+	m.dispatches[stage][outcome].Inc()
+	m.dispatchTime[stage].Observe(elapsed.Seconds())
 }
 
 func (m *Metrics) Refused(status int)               { m.refused.WithLabelValues(strconv.Itoa(status)).Inc() }
 func (m *Metrics) ReleaseStarted(reason string)     { m.releases.WithLabelValues(reason).Inc() }
 func (m *Metrics) StateReleased(held time.Duration) { m.holdTime.Observe(held.Seconds()) }
 
-// Probed is of peer.Observer, as are those below.
+// ProbeHandled and the methods below implement peer.Observer.
 func (m *Metrics) ProbeHandled(reason string)     { m.probes.WithLabelValues(reason).Inc() }
 func (m *Metrics) DutyTakenOver(cause string)     { m.takeovers.WithLabelValues(cause).Inc() }
 func (m *Metrics) ResultReceived(standing string) { m.peerResults.WithLabelValues(standing).Inc() }
