--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,6 +1,6 @@
-// Package logwriter keeps whoever reads a program's log from holding the program up: lines are handed to one goroutine that writes
-// them. Where that falls behind, as the reader of a pipe stands still or a disk hangs, lines are dropped, and how many is logged once
-// it goes on. cmd/cherryhub makes one for each router's process.
+// Package logwriter keeps a slow log output from blocking the program: a single goroutine writes the lines. If it falls
+// behind, because the reader of a pipe has stalled or a disk hangs, lines are dropped, and their number is logged when
+// writing continues. cmd/cherryhub and internal/router use it.
 package logwriter
 
 import (
@@ -11,31 +11,32 @@
 )
 
 const (
-	maxPendingBytes = 256 << 10              // bytes that wait to be written
-	closeTimeout    = 200 * time.Millisecond // for what is left at the end
+	maxPendingBytes = 256 << 10              // lines that wait to be written
+	closeTimeout    = 200 * time.Millisecond // for the lines that remain at the end
 )
 
-// Writer takes lines without waiting. It is safe for concurrent use.
+// Writer buffers lines without blocking. It is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
-	dropLog *slog.Logger  // writes straight to it
-	wake    chan struct{} // there is something to write
-	done    chan struct{} // all is written, after Close
+	dropLog *slog.Logger  // writes to out without a buffer
+	wake    chan struct{} // lines are pending, or Close was called
+	done    chan struct{} // closed when all lines are written after Close
 
 	mu      sync.Mutex
 	pending []byte
-	dropped int // lines, since the last note
+	dropped int // number of lines since the last message about them
 	closed  bool
 }
 
-// Start starts a writer and gives a logger on it, with a handler that handler makes.
-func Start(to io.Writer, handler func(io.Writer) slog.Handler) (*slog.Logger, *Writer) {
-	w := &Writer{out: to, dropLog: slog.New(handler(to)), wake: make(chan struct{}, 1), done: make(chan struct{})}
+// Start starts a writer to the given output and returns it with a logger that writes to it. handler creates the
+// handler for an output.
+func Start(out io.Writer, handler func(io.Writer) slog.Handler) (*slog.Logger, *Writer) {
+	w := &Writer{out: out, dropLog: slog.New(handler(out)), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return slog.New(handler(w)), w
 }
 
-// Write is of io.Writer: it takes one line, whole or not at all, and never fails.
+// Write implements io.Writer. It buffers or drops one line as a whole and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.closed || len(w.pending)+len(line) > maxPendingBytes {
@@ -48,15 +49,15 @@
 	return len(line), nil
 }
 
-// signal tells the goroutine that there is something to do.
+// signal wakes the writing goroutine.
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // it has been told
+	default: // a signal is pending already
 	}
 }
 
-// run writes what comes, up to Close.
+// run writes pending lines until Close.
 func (w *Writer) run() {
 	defer close(w.done)
 	var lines []byte
@@ -67,10 +68,10 @@
 		w.dropped = 0
 		w.mu.Unlock()
 		if len(lines) > 0 {
-			w.out.Write(lines) //nolint:errcheck // there is no other place to tell it
+			w.out.Write(lines) //nolint:errcheck // there is nowhere else to report it
 		}
 		if dropped > 0 {
-			w.dropLog.Warn("log lines dropped, as the log's reader fell behind", "lines", dropped)
+			w.dropLog.Warn("log lines dropped because the log output was too slow", "lines", dropped)
 		}
 		if closed {
 			return
@@ -78,7 +79,7 @@
 	}
 }
 
-// Close writes what is left, as far as that is taken soon.
+// Close stops the writer. It waits up to closeTimeout for the remaining lines to be written.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,10 +1,10 @@
-// Package loopback finds ports for servers that are taken down and brought back at the same place: below the
-// range from which the system picks the ports of outgoing connections, so that none of those takes it
-// meanwhile. internal/standin, internal/day and tests use it; a router never does.
+// Package loopback finds free ports for servers that are stopped and restarted on the same port. The ports are below the
+// range from which the system assigns ports to outgoing connections, so that no such connection takes the port in
+// between. internal/standin, internal/day and tests use it; a router never does.
 //
-// A port that was found free is nobody's until its server listens. So that no other process of ours finds it
-// meanwhile (tests of several packages run at once), each process has a stretch of ports to itself, by a lock on a
-// file that ends with the process, and hands out each port of it once before it begins anew.
+// A free port is not reserved until its server listens. Tests of several packages run at the same time, so to keep other
+// processes from finding the same port, each process has a range of ports of its own, protected by a file lock that ends
+// with the process. It returns each port of the range once before it starts over.
 package loopback
 
 import (
@@ -25,53 +25,53 @@
 	portsPerProcess = 200
 )
 
-// ports are this process's: a stretch is of the process, so there is one.
+// ports is the port range of this process.
 var ports struct {
-	mu   sync.Mutex
-	lock *os.File // keeps the stretch
-	from int
-	next int
+	mu         sync.Mutex
+	lockFile   *os.File // its lock reserves the range; nil if none could be locked
+	first      int
+	nextOffset int
 }
 
-// claim takes a stretch that no other process has. Where locks can't be had it takes one by chance.
+// claimRange reserves a range that no other process has. If no lock is available, it picks a range at random.
 func claimRange() {
-	const stretches = (maxPort - minPort) / portsPerProcess
-	first := rand.IntN(stretches)
-	ports.from = minPort + first*portsPerProcess
-	for i := range stretches {
-		n := (first + i) % stretches
+	const rangeCount = (maxPort - minPort) / portsPerProcess
+	start := rand.IntN(rangeCount)
+	ports.first = minPort + start*portsPerProcess
+	for i := range rangeCount {
+		n := (start + i) % rangeCount
 		f, err := os.OpenFile(filepath.Join(os.TempDir(), "cherryhub-ports-"+strconv.Itoa(n)), os.O_CREATE|os.O_RDWR, 0o666)
 		if err != nil {
 			continue
 		}
 		if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil {
-			ports.lock, ports.from = f, minPort+n*portsPerProcess
+			ports.lockFile, ports.first = f, minPort+n*portsPerProcess
 			return
 		}
 		f.Close() //nolint:errcheck // it was not locked
 	}
 }
 
-// Listen listens at a free port of an address.
+// Listen listens on a free port of the host.
 func Listen(host string) (net.Listener, error) {
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
-	if ports.from == 0 {
+	if ports.first == 0 {
 		claimRange()
 	}
 	var err error
 	for range portsPerProcess {
-		port := ports.from + ports.next
-		ports.next = (ports.next + 1) % portsPerProcess
+		port := ports.first + ports.nextOffset
+		ports.nextOffset = (ports.nextOffset + 1) % portsPerProcess
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port))); err == nil {
 			return ln, nil
 		}
 	}
-	return nil, fmt.Errorf("no free port at %s from %d to %d: %w", host, ports.from, ports.from+portsPerProcess-1, err)
+	return nil, fmt.Errorf("no free port on %s from %d to %d: %w", host, ports.first, ports.first+portsPerProcess-1, err)
 }
 
-// Address is a free address, for a server that is started next.
+// FreeAddress returns an address with a free port for a server that is started next.
 func FreeAddress(host string) (string, error) {
 	ln, err := Listen(host)
 	if err != nil {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -11,47 +11,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-const asOther = "CHERRYHUB_TEST_PORTS"
+const childEnv = "CHERRYHUB_TEST_PORTS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asOther) == "" {
+	if os.Getenv(childEnv) == "" {
 		os.Exit(m.Run())
 	}
 	for range 50 {
 		fmt.Println(FreeAddress("127.0.0.1"))
 	}
-	fmt.Scanln() // it keeps its stretch until it is told to end
+	fmt.Scanln() // keeps the port range until standard input is closed
 }
 
-// Two processes that look for ports at once are never given the same, though neither listens yet.
-func TestNoTwoProcessesGetThePort(t *testing.T) {
-	self, err := os.Executable()
+// TestProcessesGetDistinctPorts checks that processes that look for ports at the same time never get the same port, even
+// though none of them listens yet.
+func TestProcessesGetDistinctPorts(t *testing.T) {
+	executable, err := os.Executable()
 	require.NoError(t, err)
-	var outs []*strings.Builder
-	var ends []func()
+	var outputs []*strings.Builder
+	var stops []func()
 	for range 4 {
-		cmd := exec.Command(self)
-		cmd.Env = append(os.Environ(), asOther+"=1")
-		in, err := cmd.StdinPipe()
+		cmd := exec.Command(executable)
+		cmd.Env = append(os.Environ(), childEnv+"=1")
+		stdin, err := cmd.StdinPipe()
 		require.NoError(t, err)
 		out := &strings.Builder{}
 		cmd.Stdout = out
 		require.NoError(t, cmd.Start())
-		outs, ends = append(outs, out), append(ends, func() { in.Close(); assert.NoError(t, cmd.Wait()) })
+		outputs, stops = append(outputs, out), append(stops, func() { stdin.Close(); assert.NoError(t, cmd.Wait()) })
 	}
 	seen := map[string]bool{}
 	for range 50 {
 		a, err := FreeAddress("127.0.0.1")
 		require.NoError(t, err)
-		assert.False(t, seen[a], "handed out twice")
+		assert.False(t, seen[a], "returned twice")
 		seen[a] = true
 	}
-	for i, end := range ends {
-		end()
-		lines := strings.Fields(strings.ReplaceAll(outs[i].String(), "<nil>", ""))
+	for i, stop := range stops {
+		stop()
+		lines := strings.Fields(strings.ReplaceAll(outputs[i].String(), "<nil>", ""))
 		require.Len(t, lines, 50)
 		for _, a := range lines {
-			assert.False(t, seen[a], "%s is another's", a)
+			assert.False(t, seen[a], "%s was returned to two processes", a)
 			seen[a] = true
 		}
 	}
