--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,6 +1,6 @@
-// Package logwriter keeps a slow log output from blocking the program: a single goroutine writes the lines. If it falls
-// behind, because the reader of a pipe has stalled or a disk hangs, lines are dropped, and their number is logged when
-// writing continues. cmd/cherryhub and internal/router use it.
+// Package logwriter keeps a slow log output from blocking the program: a single goroutine writes the lines. If it
+// falls behind, because the reader of a pipe has stalled or a disk hangs, lines are dropped, and their number is
+// logged when writing continues. cmd/cherryhub and internal/router use it.
 package logwriter
 
 import (
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -39,8 +39,8 @@
 
 func textHandler(w io.Writer) slog.Handler { return slog.NewTextHandler(w, nil) }
 
-// TestOutputStalls checks that logging does not block while the output is stalled, that the buffered lines are bounded,
-// complete and in order, and that the number of dropped lines is logged.
+// TestOutputStalls checks that logging does not block while the output is stalled, that the buffered lines are
+// bounded, complete and in order, and that the number of dropped lines is logged.
 func TestOutputStalls(t *testing.T) {
 	const lineBytes, lineCount = 1 << 10, 2 * maxPendingBytes >> 10
 	output := &stalledOutput{writeStarted: make(chan struct{}, 1), resume: make(chan struct{})}
@@ -71,7 +71,8 @@
 	require.Contains(t, lines[len(lines)-1], "last")
 }
 
-// TestCloseDoesNotWait checks that Close does not wait for a stalled output, and that lines logged after it are dropped.
+// TestCloseDoesNotWait checks that Close does not wait for a stalled output, and that lines logged after it are
+// dropped.
 func TestCloseDoesNotWait(t *testing.T) {
 	output := &stalledOutput{resume: make(chan struct{})}
 	defer close(output.resume)
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,10 +1,10 @@
-// Package loopback finds free ports for servers that are stopped and restarted on the same port. The ports are below the
-// range from which the system assigns ports to outgoing connections, so that no such connection takes the port in
-// between. internal/standin, internal/day and tests use it; a router never does.
+// Package loopback finds free ports for servers that are stopped and restarted on the same port. The ports are
+// below the range from which the system assigns ports to outgoing connections, so that no such connection takes
+// the port in between. internal/standin, internal/day and tests use it; a router never does.
 //
-// A free port is not reserved until its server listens. Tests of several packages run at the same time, so to keep other
-// processes from finding the same port, each process has a range of ports of its own, protected by a file lock that ends
-// with the process. It returns each port of the range once before it starts over.
+// A free port is not reserved until its server listens. Tests of several packages run at the same time, so to keep
+// other processes from finding the same port, each process has a range of ports of its own, protected by a file
+// lock that ends with the process. It returns each port of the range once before it starts over.
 package loopback
 
 import (
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -23,8 +23,8 @@
 	fmt.Scanln() // keeps the port range until standard input is closed
 }
 
-// TestProcessesGetDistinctPorts checks that processes that look for ports at the same time never get the same port, even
-// though none of them listens yet.
+// TestProcessesGetDistinctPorts checks that processes that look for ports at the same time never get the same
+// port, even though none of them listens yet.
 func TestProcessesGetDistinctPorts(t *testing.T) {
 	executable, err := os.Executable()
 	require.NoError(t, err)
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,7 +1,7 @@
-// Package memory sets the garbage collector's target percentage (GOGC) from the size of the live heap. A small heap may
-// grow by a fixed amount, so that a router with few streams collects rarely. A large heap may grow only by a small share,
-// so that many open streams do not take twice their memory. The setting is process-wide. The serve command of
-// cmd/cherryhub uses it.
+// Package memory sets the garbage collector's target percentage (GOGC) from the size of the live heap. A small
+// heap may grow by a fixed amount, so that a router with few streams collects rarely. A large heap may grow only
+// by a small share, so that many open streams do not take twice their memory. The setting is process-wide. The
+// serve command of cmd/cherryhub uses it.
 package memory
 
 import (
@@ -17,8 +17,8 @@
 	maxGCPercent  = 800      // the live heap may grow fast between two collections
 )
 
-// TuneGC adjusts the target percentage now and after each garbage collection. If GOGC or GOMEMLIMIT is set, it leaves the
-// operator's choice unchanged.
+// TuneGC adjusts the target percentage now and after each garbage collection. If GOGC or GOMEMLIMIT is set, it
+// leaves the operator's choice unchanged.
 func TuneGC() {
 	if os.Getenv("GOGC") != "" || os.Getenv("GOMEMLIMIT") != "" {
 		return
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// TestTuneGC checks that the target percentage follows the live heap from collection to collection, and that it is left
-// unchanged if GOGC is set.
+// TestTuneGC checks that the target percentage follows the live heap from collection to collection, and that it is
+// left unchanged if GOGC is set.
 func TestTuneGC(t *testing.T) {
 	previous := debug.SetGCPercent(100)
 	defer debug.SetGCPercent(previous)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record writes and reads records of a day (proto/record.proto): length-prefixed protobuf entries on one clock,
-// with a head first and a foot last. It does not interpret them. internal/standin and internal/day write records,
-// internal/rules checks them.
+// Package record writes and reads records of a day (proto/record.proto): length-prefixed protobuf entries on one
+// clock, with a head first and a foot last. It does not interpret them. internal/standin and internal/day write
+// records, internal/rules checks them.
 package record
 
 import (
--- a/internal/rules/probes.go
+++ b/internal/rules/probes.go
@@ -15,8 +15,9 @@
 	Routers     int     `json:"routers"` // number of routers that probed it
 }
 
-// CountProbes summarises the probes of each engine between from and to. MaxInWindow is the largest number in any period of
-// the given length. A gap ends when the engine becomes unreachable and a new one starts when it is reachable again.
+// CountProbes summarises the probes of each engine between from and to. MaxInWindow is the largest number in any
+// period of the given length. A gap ends when the engine becomes unreachable and a new one starts when it is
+// reachable again.
 func CountProbes(entries []*pb.Entry, from, to, window float64) []ProbeStats {
 	type engineProbes struct {
 		times       []float64
@@ -77,7 +78,8 @@
 	return stats
 }
 
-// unreachableReason returns why an engine receives nothing: it is down, or it is deaf to one router or to all.
+// unreachableReason returns why an engine receives nothing: it is down, or it receives nothing from one router or
+// from all (DEAF).
 func unreachableReason(ev *pb.EngineEvent) string {
 	if k := ev.GetKind(); k == pb.EngineEvent_DOWN || k == pb.EngineEvent_UP {
 		return reasonDown
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,6 +1,6 @@
-// Package rules checks the record of a day against the five rules. It relies only on what engines, the list service and
-// clients observed on their own sockets, never on what a router reports. It does no I/O. cmd/cherryhub and tests of
-// several packages use it.
+// Package rules checks the record of a day against the five rules. It relies only on what engines, the list
+// service and clients observed on their own sockets, never on what a router reports. It does no I/O. cmd/cherryhub
+// and tests of several packages use it.
 package rules
 
 import (
@@ -38,8 +38,8 @@
 	Message  string  `json:"text"`
 }
 
-// WorkloadStats counts the outcomes of a workload's completions. Each attempt of a client is counted, but the value of
-// its completion only once.
+// WorkloadStats counts the outcomes of a workload's completions. Each attempt of a client is counted, but the
+// value of its completion only once.
 type WorkloadStats struct {
 	Name         string  `json:"workload"`
 	Accepted     int     `json:"taken"` // attempts that a router answered or had to answer
@@ -199,8 +199,8 @@
 	return all
 }
 
-// checkAnswers checks that each accepted attempt has exactly one final answer before its client timeout, and fills in the
-// workload statistics.
+// checkAnswers checks that each accepted attempt has exactly one final answer before its client timeout, and fills
+// in the workload statistics.
 func (r *Report) checkAnswers(attempts []*attempt) {
 	r.Workloads = make([]WorkloadStats, len(r.head.GetWorkloads()))
 	for i, w := range r.head.GetWorkloads() {
@@ -279,8 +279,8 @@
 	}
 }
 
-// checkEffects checks that no completion with side effects ran twice, and that no client was rate-limited, and so invited
-// to retry, after its non-idempotent completion had run.
+// checkEffects checks that no completion with side effects ran twice, and that no client was rate-limited, and so
+// invited to retry, after its non-idempotent completion had run.
 func (r *Report) checkEffects(attempts []*attempt) {
 	type effect struct {
 		runs []*pb.Entry
@@ -325,8 +325,8 @@
 	return r.head.GetWorkloads()[workload].GetEffect()
 }
 
-// checkDrains checks that no router sent a dispatch to an engine later than the grace period after the list service told
-// that router that the engine is draining or gone.
+// checkDrains checks that no router sent a dispatch to an engine later than the grace period after the list
+// service told that router that the engine is draining or gone.
 func (r *Report) checkDrains() {
 	notReadySince := map[string]float64{} // since when the list has said that the engine is not ready, by router and engine
 	for _, e := range r.entries {
@@ -348,8 +348,8 @@
 	}
 }
 
-// checkColdEngines checks that no cold engine was overloaded by routers that knew of its start. An overload is a violation
-// only if at least two thirds of the work came from routers that had been told of the start.
+// checkColdEngines checks that no cold engine was overloaded by routers that knew of its start. An overload is a
+// violation only if at least two thirds of the work came from routers that had been told of the start.
 func (r *Report) checkColdEngines() {
 	cold := r.head.GetCold()
 	type arrival struct {
@@ -417,9 +417,9 @@
 	}
 }
 
-// checkHeldResources checks that no state and no reservation of KV cache space is held longer than the limit while no
-// dispatch of its completion is running. Time in which the engine is unreachable does not count, because no release can
-// arrive. Resources of a router that was killed meanwhile do not count either.
+// checkHeldResources checks that no state and no reservation of KV cache space is held longer than the limit while
+// no dispatch of its completion is running. Time in which the engine is unreachable does not count, because no
+// release can arrive. Resources of a router that was killed meanwhile do not count either.
 func (r *Report) checkHeldResources() {
 	type held struct {
 		since                        float64
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings parses the settings of a router instance. The same JSON object is sent to the simulator's adapter and
-// is part of the platform's configuration, with the same names and units. internal/wire and internal/platform/service
-// use it.
+// Package settings parses the settings of a router instance. The same JSON object is sent to the simulator's
+// adapter and is part of the platform's configuration, with the same names and units. internal/wire and
+// internal/platform/service use it.
 package settings
 
 import (
@@ -27,8 +27,8 @@
 	ClientsResume     bool          // clients request the rest of a broken stream from another router
 }
 
-// Validate checks that the settings have all that a router of the platform needs: the names used by clients and service
-// discovery, and the limits of connections and held state. The simulator's adapter does not need them.
+// Validate checks that the settings have all that a router of the platform needs: the names used by clients and
+// service discovery, and the limits of connections and held state. The simulator's adapter does not need them.
 func (s *Settings) Validate() error {
 	for _, field := range [...]struct {
 		name    string
@@ -48,7 +48,8 @@
 
 var rolesByStage = map[string]decide.Role{"read": decide.Reader, "write": decide.Writer, "both": decide.Mixed}
 
-// Parse parses the settings. It skips unknown keys. An absent optional key means that the site does not have the feature.
+// Parse parses the settings. It skips unknown keys. An absent optional key means that the site does not have the
+// feature.
 func Parse(text []byte) (Settings, error) {
 	var raw struct {
 		Routers        int      `json:"balancers"`
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry provides a router's log, with slog, and its Prometheus metrics, which the router serves on its admin
-// address. It only records what other packages report. internal/router creates both.
+// Package telemetry provides a router's log, with slog, and its Prometheus metrics, which the router serves on its
+// admin address. It only records what other packages report. internal/router creates both.
 package telemetry
 
 import (
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// beginAction starts the record of an action: its code, its size and the instance's id. The caller appends size bytes.
+// beginAction starts the record of an action: its code, its size and the instance's id. The caller appends size
+// bytes.
 func (in *instance) beginAction(code uint16, size int) {
 	*in.reply = binary.LittleEndian.AppendUint16(*in.reply, code)
 	*in.reply = binary.LittleEndian.AppendUint32(*in.reply, uint32(size+4))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire implements the binary protocol of the simulator's adapter: it translates batches of records into calls of
-// decide's routers, and the actions of the routers into a reply. All integers are little-endian, times are in
-// nanoseconds. It makes no decisions.
+// Package wire implements the binary protocol of the simulator's adapter: it translates batches of records into
+// calls of decide's routers, and the actions of the routers into a reply. All integers are little-endian, times
+// are in nanoseconds. It makes no decisions.
 package wire
 
 import (
@@ -20,7 +20,8 @@
 	startedLongAgo   = -1e9
 )
 
-// recordReader reads the fields of a record in sequence. It keeps the first error in err and returns zeros from then on.
+// recordReader reads the fields of a record in sequence. It keeps the first error in err and returns zeros from
+// then on.
 type recordReader struct {
 	data []byte
 	pos  int
@@ -175,8 +176,8 @@
 	return h.reply, nil
 }
 
-// withInstance sets the instance's time and runs call. After a panic it reports a fatal error of the instance and removes
-// it. It does nothing after a read error or for an unknown instance.
+// withInstance sets the instance's time and runs call. After a panic it reports a fatal error of the instance and
+// removes it. It does nothing after a read error or for an unknown instance.
 func (h *Host) withInstance(id uint32, clock uint64, err error, call func(in *instance)) {
 	in := h.instances[id]
 	if in == nil || err != nil {
