--- a/internal/emulate/clock.go
+++ b/internal/emulate/clock.go
@@ -1,20 +1,20 @@
-// Package emulate models engines in virtual time: batches that go step by step, prompts read in chunks between
-// tokens written, KV memory in blocks shared by beginnings, preemption when blocks run out, states sent over
-// links that share their capacity. It is deterministic: same inputs, same events, in the same order. It decides
-// nothing of a router and does no I/O; time comes from a Scheduler, virtual here, real where sockets are in front.
-// The laboratory and its tests call it. docs/emulator.md names each part's model and what it leaves out.
+// Package emulate models engines in virtual time: continuous batching in discrete steps, chunked prefill between output
+// tokens, KV memory in blocks shared by common prefixes, preemption when blocks run out, and state transfers over
+// shared links. It is deterministic: the same inputs give the same events in the same order. It makes no routing
+// decisions and does no I/O; time comes from a Scheduler, which is virtual in package lab and real where sockets are in
+// front. docs/emulator.md describes each part's model and what it leaves out.
 package emulate
 
 import "container/heap"
 
-// Scheduler is time. Calls and what it calls come one after the other.
+// Scheduler provides time and timers. Its callbacks run one after another, never concurrently.
 type Scheduler interface {
-	Now() float64                              // seconds from its start
-	After(d float64, f func()) (cancel func()) // f is called once d seconds are over; cancelling it twice is harmless
+	Now() float64                                  // seconds since its start
+	After(delay float64, f func()) (cancel func()) // runs f after delay seconds; cancel may be called twice
 }
 
-// Clock is virtual time: it stands still while something is done, and jumps to what is due next. What is due at
-// the same time comes in the order in which it was asked for.
+// Clock is a Scheduler in virtual time. Time stands still while a callback runs and then jumps to the next event.
+// Events of the same time run in the order in which they were scheduled.
 type Clock struct {
 	now        float64
 	events     eventHeap
@@ -29,18 +29,18 @@
 	cancelled bool
 }
 
-// Now is of Scheduler.
+// Now implements Scheduler.
 func (c *Clock) Now() float64 { return c.now }
 
-// After is of Scheduler.
-func (c *Clock) After(d float64, f func()) func() {
+// After implements Scheduler.
+func (c *Clock) After(delay float64, f func()) func() {
 	c.lastSeq++
-	e := &event{at: c.now + max(0, d), seq: c.lastSeq, run: f}
+	e := &event{at: c.now + max(0, delay), seq: c.lastSeq, run: f}
 	heap.Push(&c.events, e)
 	return func() { e.cancelled, e.run = true, nil }
 }
 
-// Run plays all that is due until a time, and stands there.
+// Run executes all events up to a time and sets the clock to it.
 func (c *Clock) Run(until float64) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		c.runNext()
@@ -48,19 +48,19 @@
 	c.now = max(c.now, until)
 }
 
-// Drain plays until nothing is due any more, or so many events were played; it tells whether nothing is left.
-func (c *Clock) Drain(most uint64) bool {
-	for end := c.eventCount + most; len(c.events) > 0 && c.eventCount < end; {
+// Drain executes events until none is left or maxEvents were executed, and reports whether none is left.
+func (c *Clock) Drain(maxEvents uint64) bool {
+	for limit := c.eventCount + maxEvents; len(c.events) > 0 && c.eventCount < limit; {
 		c.runNext()
 	}
 	return len(c.events) == 0
 }
 
-// Played is how many events there were.
+// EventCount returns the number of events executed so far.
 func (c *Clock) EventCount() uint64 { return c.eventCount }
 
 func (c *Clock) runNext() {
-	e := heap.Pop(&c.events).(*event) //nolint:forcetypeassert // it holds nothing else
+	e := heap.Pop(&c.events).(*event) //nolint:forcetypeassert // the heap holds only events
 	if e.cancelled {
 		return
 	}
@@ -76,7 +76,7 @@
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(*event)) } //nolint:forcetypeassert // as in next
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(*event)) } //nolint:forcetypeassert // the heap holds only events
 func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	(*h)[len(*h)-1] = nil
--- a/internal/emulate/engine.go
+++ b/internal/emulate/engine.go
@@ -5,125 +5,125 @@
 	"math"
 )
 
-// Model is what an engine can do. Times are seconds.
+// Model describes the capacity and the speed of an engine. Times are in seconds.
 type Model struct {
-	Slots        int     // sequences in a batch at most
-	Queue        int     // that may wait for a slot
-	BlockTokens  int     // of a block of KV memory
-	Blocks       int     // of KV memory
-	StepTokens   int     // read and written in one step at most: how long prompts are cut
-	StepBase     float64 // a step at least: launches, the weights' way through memory
-	ReadToken    float64 // more for each token read
-	WriteToken   float64 // more for each sequence that writes
-	ContextToken float64 // more for each token of context of those that write
-	StartShare   float64 // of its speed, just started; 1 for no such thing
-	Warm         float64 // until it has all of it
+	Slots        int     // maximum sequences in a batch
+	Queue        int     // maximum jobs that wait for a slot
+	BlockTokens  int     // tokens in a block of KV memory
+	Blocks       int     // blocks of KV memory
+	StepTokens   int     // maximum tokens read and written in one step; limits the prefill chunk
+	StepBase     float64 // fixed time of a step: kernel launches, reading the weights from memory
+	ReadToken    float64 // added for each prompt token read
+	WriteToken   float64 // added for each sequence that writes
+	ContextToken float64 // added for each token of context of the sequences that write
+	StartShare   float64 // share of its speed that an engine has right after its start; 1 for no warm-up
+	Warm         float64 // time from the start to full speed
 }
 
-func (m *Model) validate() error {
+func (model *Model) validate() error {
 	switch {
-	case m.Slots < 1 || m.Queue < 0 || m.BlockTokens < 1 || m.Blocks < 1 || m.StepTokens < 1:
-		return fmt.Errorf("emulate: slots, block tokens, blocks and step tokens: wanted 1 or more, queue 0 or more: %+v", *m)
-	case !(m.StepBase >= 0 && m.ReadToken >= 0 && m.WriteToken >= 0 && m.ContextToken >= 0 && m.Warm >= 0):
-		return fmt.Errorf("emulate: times: wanted 0 or more: %+v", *m)
-	case m.StepBase+m.WriteToken <= 0 || m.StepBase+m.ReadToken <= 0:
-		return fmt.Errorf("emulate: a step would take no time, wanted a base or a time for each token: %+v", *m)
-	case !(m.StartShare > 0 && m.StartShare <= 1):
-		return fmt.Errorf("emulate: start share %v: wanted above 0, up to 1", m.StartShare)
+	case model.Slots < 1 || model.Queue < 0 || model.BlockTokens < 1 || model.Blocks < 1 || model.StepTokens < 1:
+		return fmt.Errorf("emulate: want slots, block tokens, blocks and step tokens of 1 or more, and a queue of 0 or more: %+v", *model)
+	case !(model.StepBase >= 0 && model.ReadToken >= 0 && model.WriteToken >= 0 && model.ContextToken >= 0 && model.Warm >= 0):
+		return fmt.Errorf("emulate: want times of 0 or more: %+v", *model)
+	case model.StepBase+model.WriteToken <= 0 || model.StepBase+model.ReadToken <= 0:
+		return fmt.Errorf("emulate: a step would take no time, want a base time or a time for each token: %+v", *model)
+	case !(model.StartShare > 0 && model.StartShare <= 1):
+		return fmt.Errorf("emulate: start share is %v, want above 0 and up to 1", model.StartShare)
 	}
 	return nil
 }
 
-// Kind is what a job wants.
+// JobKind is the work that a job asks for.
 type JobKind uint8
 
-// The kinds.
+// Job kinds.
 const (
 	Read  JobKind = iota // reads the prompt and holds its state under the job's ID
-	Write                // reads what is not kept of the prompt, and writes
-	Fetch                // writes from a state that has come: nothing is read
+	Write                // reads the uncached part of the prompt, and writes
+	Fetch                // writes from a state that was transferred; reads nothing
 )
 
-// End is how a job ended.
+// Outcome is how a job ended.
 type Outcome uint8
 
-// The ends.
+// Outcomes.
 const (
 	Done       Outcome = iota
-	Full               // no room to wait, or it could never fit
-	EngineDied         // the engine died under it
-	Cancelled          // it was cancelled
+	Full               // the queue is full, or the job exceeds the memory
+	EngineDied         // the engine died while the job was queued or running
+	Cancelled          // cancelled by the caller
 )
 
-func (e Outcome) String() string { return [...]string{"done", "full", "gone", "left"}[e] }
+func (o Outcome) String() string { return [...]string{"done", "full", "gone", "left"}[o] }
 
-// Job is one dispatch as an engine sees it.
+// Job is a dispatch as received by an engine.
 type Job struct {
-	ID           uint64 // unlike any other at this engine
+	ID           uint64 // unique at this engine
 	Kind         JobKind
-	BlockHashes  []uint64 // of the prompt's whole blocks, each of all up to its end
-	PromptTokens int      // tokens, 1 or more
-	OutputTokens int      // tokens to write, 1 or more; of no meaning for Read
+	BlockHashes  []uint64 // of the prompt's full blocks; each covers all tokens up to the block's end
+	PromptTokens int      // 1 or more
+	OutputTokens int      // 1 or more; ignored for Read
 
-	OnStart func(kept int) // it has a slot for the first time; so many tokens of its prompt were kept
-	OnToken func(n int)    // its n-th token is written, from 0
-	OnEnd   func(Outcome)  // is called once, last
+	OnStart func(cachedTokens int) // called when it first gets a slot, with the prompt tokens found in the cache
+	OnToken func(n int)            // called for each output token, counted from 0
+	OnEnd   func(Outcome)          // called once, after all other callbacks
 }
 
-// sequence is a job with a place in the queue or the batch.
+// sequence is a job that is queued or in the batch.
 type sequence struct {
 	*Job
 	blocks          []int32
-	tokensRead      int // tokens of prompt, and of what was written before a preemption, that are in memory
-	tokensWritten   int // tokens that were written, over preemptions
-	recomputeTokens int // of them, those that must be read again
+	tokensRead      int // tokens in memory, of the prompt and of output written before a preemption
+	tokensWritten   int // in total, across preemptions
+	recomputeTokens int // part of tokensWritten that has to be read again after a preemption
 	started         bool
-	chunkTokens     int // read in the step that runs
+	chunkTokens     int // tokens read in the current step
 	writing         bool
-	stateLost       bool // its state was fetched, and lost by preemption
+	stateLost       bool // preempted: a fetched state is gone and the prompt has to be read
 	finished        bool
-	endReported     bool // its end
+	endReported     bool // OnEnd was called
 }
 
-// end tells a sequence's end, once.
-func (s *sequence) reportEnd(how Outcome) {
+// reportEnd marks a sequence as finished and calls OnEnd, once.
+func (s *sequence) reportEnd(outcome Outcome) {
 	if s.finished = true; !s.endReported {
 		s.endReported = true
-		s.OnEnd(how)
+		s.OnEnd(outcome)
 	}
 }
 
-// toRead is how much must be in memory before it writes.
+// tokensToRead returns the tokens that must be in memory before the sequence can write.
 func (s *sequence) tokensToRead() int { return s.PromptTokens + s.recomputeTokens }
 
-// tokens is how many are in memory.
+// tokensInMemory returns the tokens that the sequence has in memory.
 func (s *sequence) tokensInMemory() int { return s.tokensRead + s.tokensWritten - s.recomputeTokens }
 
-// Report is an engine's load as its own figures tell it.
+// Report is the load report of an engine.
 type Report struct {
 	Waiting, Running int
-	SlotsUsed        float64 // share in use
-	MemoryUsed       float64 // share in use
-	UnreadTokens     int     // tokens that wait to be read, of those in the batch and the queue
+	SlotsUsed        float64 // share of slots in use
+	MemoryUsed       float64 // share of blocks in use
+	UnreadTokens     int     // tokens still to be read, in the batch and in the queue
 }
 
-// Engine is one engine. After continuous batching (Yu et al., "Orca", OSDI 2022) with chunked reads (Agrawal et
-// al., "Sarathi-Serve", OSDI 2024): at each step those that write get a token each, what is left of StepTokens
-// goes to prompts in order of arrival, new ones join between steps. Where a sequence that writes finds no block,
-// the one that joined last is preempted: it loses its blocks, goes to the queue's head, and reads again what it had
-// (recomputation). Left out: speculative writing, priorities, swapping, the time of sampling and of the host.
+// Engine models one engine: continuous batching (Yu et al., "Orca", OSDI 2022) with chunked prefill (Agrawal et al.,
+// "Sarathi-Serve", OSDI 2024). In each step every sequence that writes gets a token, and the rest of StepTokens goes to
+// prompts in order of arrival; new sequences join between steps. When a sequence that writes finds no free block, the
+// sequence that joined last is preempted: it loses its blocks, goes to the head of the queue and reads again what it
+// had (recomputation). Left out: speculative decoding, priorities, swapping, the time of sampling and of the host.
 type Engine struct {
 	model          Model
 	scheduler      Scheduler
 	memory         *memory
 	waiting        []*sequence
-	batch          []*sequence // in the order in which they joined
+	batch          []*sequence // in the order of joining
 	heldStates     map[uint64][]int32
 	startedAt      float64
 	slowdown       float64
 	paused         bool
-	onStepEnd      func() // what is to be done at the end of the step that runs, nil if none runs
-	stepEndPending bool   // the step's end came during a pause
+	onStepEnd      func() // called at the end of the current step, nil if no step runs
+	stepEndPending bool   // the current step ended while the engine was paused
 	cancelStep     func()
 	lifetime       int
 	admitting      bool
@@ -131,47 +131,49 @@
 	preemptions uint64
 }
 
-// New makes an engine that is warm.
-func New(m Model, at Scheduler) (*Engine, error) {
-	if err := m.validate(); err != nil {
+// New returns a warm engine.
+func New(model Model, scheduler Scheduler) (*Engine, error) {
+	if err := model.validate(); err != nil {
 		return nil, err
 	}
-	return &Engine{model: m, scheduler: at, memory: newMemory(m.Blocks), heldStates: map[uint64][]int32{}, startedAt: math.Inf(-1), slowdown: 1}, nil
+	return &Engine{model: model, scheduler: scheduler, memory: newMemory(model.Blocks), heldStates: map[uint64][]int32{},
+		startedAt: math.Inf(-1), slowdown: 1}, nil
 }
 
-// Start has it be as one just started: cold, empty.
+// Restart puts the engine into its state after a cold start: empty, at StartShare of its speed.
 func (e *Engine) Restart() {
 	e.Kill()
 	e.startedAt = e.scheduler.Now()
 }
 
-// Slower makes every step take so many times as long, from the next one on.
-func (e *Engine) SetSlowdown(times float64) { e.slowdown = times }
+// SetSlowdown multiplies the time of each step by a factor, starting with the next one.
+func (e *Engine) SetSlowdown(factor float64) { e.slowdown = factor }
 
-// Pause has it stand still, or go on: a step that runs ends when the pause does. Nothing fails by it.
-func (e *Engine) SetPaused(so bool) {
-	if e.paused = so; !so && e.stepEndPending {
+// SetPaused pauses or resumes the engine. A step that ends during a pause is completed at its end. No job fails by a
+// pause.
+func (e *Engine) SetPaused(paused bool) {
+	if e.paused = paused; !paused && e.stepEndPending {
 		e.stepEndPending = false
 		e.stepDue()
 	}
 }
 
-// Die ends all jobs and forgets all memory.
+// Kill ends all jobs with EngineDied and clears the memory.
 func (e *Engine) Kill() {
 	e.lifetime++
 	if e.cancelStep != nil {
 		e.cancelStep()
 	}
 	e.onStepEnd, e.stepEndPending, e.cancelStep = nil, false, nil
-	all := append(e.batch, e.waiting...)
+	sequences := append(e.batch, e.waiting...)
 	e.batch, e.waiting = nil, nil
 	e.memory, e.heldStates = newMemory(e.model.Blocks), map[uint64][]int32{}
-	for _, s := range all {
+	for _, s := range sequences {
 		s.reportEnd(EngineDied)
 	}
 }
 
-// share is the part of its speed that it has.
+// speedShare returns the share of its full speed that the engine has now.
 func (e *Engine) speedShare() float64 {
 	if e.model.Warm <= 0 {
 		return 1
@@ -179,18 +181,18 @@
 	return math.Min(1, e.model.StartShare+(1-e.model.StartShare)*(e.scheduler.Now()-e.startedAt)/e.model.Warm)
 }
 
-// need is how many blocks so many tokens have.
+// blocksFor returns the number of blocks that hold the given number of tokens.
 func (e *Engine) blocksFor(tokens int) int {
 	return (tokens + e.model.BlockTokens - 1) / e.model.BlockTokens
 }
 
-// Submit gives it a job.
+// Submit queues a job. It ends with Full at once if there is no space in the queue or if it can never fit.
 func (e *Engine) Submit(j *Job) {
-	most := j.PromptTokens
+	maxTokens := j.PromptTokens
 	if j.Kind != Read {
-		most += j.OutputTokens
+		maxTokens += j.OutputTokens
 	}
-	if e.blocksFor(most) > e.model.Blocks || len(e.waiting) >= e.model.Queue+max(0, e.model.Slots-len(e.batch)) {
+	if e.blocksFor(maxTokens) > e.model.Blocks || len(e.waiting) >= e.model.Queue+max(0, e.model.Slots-len(e.batch)) {
 		j.OnEnd(Full)
 		return
 	}
@@ -198,7 +200,7 @@
 	e.startStep()
 }
 
-// Cancel ends a job that is not over.
+// Cancel ends a job that has not finished.
 func (e *Engine) Cancel(id uint64) {
 	for i, s := range e.waiting {
 		if s.ID == id {
@@ -209,7 +211,7 @@
 	}
 	for _, s := range e.batch {
 		if s.ID == id && !s.finished {
-			s.finished = true // its blocks are free at the step's end, as the step uses them
+			s.finished = true // the current step still uses its blocks, they are released at the step's end
 			if e.onStepEnd == nil {
 				e.removeFinished()
 			}
@@ -219,13 +221,13 @@
 	}
 }
 
-// Held is how many tokens' blocks a state has, 0 if there is none.
+// HeldTokens returns the capacity in tokens of the blocks of a held state, 0 if there is none.
 func (e *Engine) HeldTokens(id uint64) int { return len(e.heldStates[id]) * e.model.BlockTokens }
 
-// Release lets go of a state, and tells whether there was one.
+// Release frees a held state and reports whether there was one.
 func (e *Engine) Release(id uint64) bool {
-	blocks, there := e.heldStates[id]
-	if !there {
+	blocks, held := e.heldStates[id]
+	if !held {
 		return false
 	}
 	delete(e.heldStates, id)
@@ -234,9 +236,9 @@
 	return true
 }
 
-// Report tells its load.
 func (e *Engine) Report() Report {
-	r := Report{Waiting: len(e.waiting), Running: len(e.batch), SlotsUsed: float64(len(e.batch)) / float64(e.model.Slots), MemoryUsed: e.memory.usedShare()}
+	r := Report{Waiting: len(e.waiting), Running: len(e.batch), SlotsUsed: float64(len(e.batch)) / float64(e.model.Slots),
+		MemoryUsed: e.memory.usedShare()}
 	for _, s := range e.batch {
 		r.UnreadTokens += s.tokensToRead() - s.tokensRead
 	}
@@ -248,77 +250,78 @@
 	return r
 }
 
-// Preemptions is how many there were.
 func (e *Engine) Preemptions() uint64 { return e.preemptions }
 
 func (e *Engine) releaseBlocks(blocks []int32) {
-	for _, at := range blocks {
-		e.memory.release(at)
+	for _, index := range blocks {
+		e.memory.release(index)
 	}
 }
 
-// begin starts a step if none runs and there is something to do.
+// startStep starts a step if none runs and there is work.
 func (e *Engine) startStep() {
 	if e.onStepEnd != nil || e.admitting {
 		return
 	}
-	e.admitting = true // who is told that it has a slot may submit another
+	e.admitting = true // OnStart may submit another job
 	e.admitWaiting()
 	e.admitting = false
 	if len(e.batch) == 0 {
 		return
 	}
-	budget, writing, context, chunk := e.model.StepTokens, 0, 0, 0
-	for i := 0; i < len(e.batch); i++ { // those that write come first
+	budget, writers, contextTokens, readTokens := e.model.StepTokens, 0, 0, 0
+	for i := 0; i < len(e.batch); i++ { // sequences that write come first
 		s := e.batch[i]
 		s.writing, s.chunkTokens = false, 0
 		if s.Kind == Read || s.tokensRead < s.tokensToRead() || budget == 0 {
 			continue
 		}
 		if !e.allocateFor(s, s.tokensInMemory()+1) {
-			break // it was preempted itself, as the last
+			break // s itself joined last and was preempted
 		}
 		s.writing = true
 		budget--
 	}
 	for _, s := range e.batch {
 		if s.writing {
-			writing++
-			context += s.tokensInMemory()
+			writers++
+			contextTokens += s.tokensInMemory()
 			continue
 		}
 		s.chunkTokens = min(budget, s.tokensToRead()-s.tokensRead)
-		chunk += s.chunkTokens
+		readTokens += s.chunkTokens
 		budget -= s.chunkTokens
 	}
 	if len(e.batch) == 0 {
 		return
 	}
-	d := e.model.StepBase + e.model.ReadToken*float64(chunk) + e.model.WriteToken*float64(writing) + e.model.ContextToken*float64(context)
+	duration := e.model.StepBase + e.model.ReadToken*float64(readTokens) + e.model.WriteToken*float64(writers) +
+		e.model.ContextToken*float64(contextTokens)
 	e.onStepEnd = e.finishStep
-	e.cancelStep = e.scheduler.After(d*e.slowdown/e.speedShare(), e.stepDue)
+	e.cancelStep = e.scheduler.After(duration*e.slowdown/e.speedShare(), e.stepDue)
 }
 
-// join takes those that wait into the batch, in order, while there is a slot and blocks for what they read.
+// admitWaiting moves waiting sequences into the batch, in order, while there are a slot and blocks for the tokens to
+// read.
 func (e *Engine) admitWaiting() {
 	for len(e.waiting) > 0 && len(e.batch) < e.model.Slots {
 		s := e.waiting[0]
-		known := s.BlockHashes[:e.memory.countCached(s.BlockHashes)]
-		if len(known)*e.model.BlockTokens >= s.tokensToRead() { // the last token is read always: it gives the first answer
-			known = known[:(s.tokensToRead()-1)/e.model.BlockTokens]
+		cached := s.BlockHashes[:e.memory.countCached(s.BlockHashes)]
+		if len(cached)*e.model.BlockTokens >= s.tokensToRead() { // the last token is always read: it yields the first output token
+			cached = cached[:(s.tokensToRead()-1)/e.model.BlockTokens]
 		}
-		fresh := e.blocksFor(s.tokensToRead()) - len(known)
-		if fresh+e.memory.countCachedUnused(known) > e.memory.available() {
+		newBlocks := e.blocksFor(s.tokensToRead()) - len(cached)
+		if newBlocks+e.memory.countCachedUnused(cached) > e.memory.available() {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		for _, h := range known {
+		for _, h := range cached {
 			s.blocks = append(s.blocks, e.memory.acquireCached(h))
 		}
-		for range fresh {
+		for range newBlocks {
 			s.blocks = append(s.blocks, e.memory.allocate())
 		}
-		s.tokensRead = len(known) * e.model.BlockTokens
+		s.tokensRead = len(cached) * e.model.BlockTokens
 		if s.Kind == Fetch && !s.stateLost {
 			s.tokensRead = s.tokensToRead()
 			e.registerBlocks(s)
@@ -327,25 +330,25 @@
 		if !s.started {
 			s.started = true
 			if s.OnStart != nil {
-				s.OnStart(len(known) * e.model.BlockTokens)
+				s.OnStart(len(cached) * e.model.BlockTokens)
 			}
 		}
 	}
 }
 
-// nameBlocks makes the prompt's whole blocks known to those that begin alike.
+// registerBlocks makes the full blocks of a prompt available to sequences with the same prefix.
 func (e *Engine) registerBlocks(s *sequence) {
 	for i := range min(len(s.BlockHashes), s.tokensRead/e.model.BlockTokens, len(s.blocks)) {
 		e.memory.setHash(s.blocks[i], s.BlockHashes[i])
 	}
 }
 
-// grow sees to blocks for so many tokens of a sequence, by preemption of the last that joined if it must. It fails
-// if that is the sequence itself.
+// allocateFor allocates blocks for the given number of tokens of a sequence, preempting the sequence that joined last
+// as often as needed. It returns false if that is the sequence itself.
 func (e *Engine) allocateFor(s *sequence, tokens int) bool {
 	for len(s.blocks) < e.blocksFor(tokens) {
-		if at := e.memory.allocate(); at >= 0 {
-			s.blocks = append(s.blocks, at)
+		if index := e.memory.allocate(); index >= 0 {
+			s.blocks = append(s.blocks, index)
 			continue
 		}
 		last := e.batch[len(e.batch)-1]
@@ -371,27 +374,27 @@
 		e.stepEndPending = true
 		return
 	}
-	f := e.onStepEnd
+	finish := e.onStepEnd
 	e.onStepEnd, e.cancelStep = nil, nil
-	if f != nil {
-		f()
+	if finish != nil {
+		finish()
 	}
 }
 
-// stepOver books what a step did, tells it, and begins the next.
+// finishStep applies the results of a step, reports them and starts the next step.
 func (e *Engine) finishStep() {
-	life := e.lifetime
-	type told struct {
+	lifetime := e.lifetime
+	type tokenEvent struct {
 		s *sequence
 		n int
 	}
-	var tokens []told
+	var written []tokenEvent
 	var ended []*sequence
 	for _, s := range e.batch {
 		switch {
 		case s.finished:
 		case s.writing:
-			tokens = append(tokens, told{s, s.tokensWritten})
+			written = append(written, tokenEvent{s, s.tokensWritten})
 			s.tokensWritten++
 			if s.tokensWritten == s.OutputTokens {
 				s.finished = true
@@ -409,34 +412,34 @@
 		}
 	}
 	e.removeFinished()
-	for _, t := range tokens { // told after all is booked: who is told may call back
+	for _, t := range written { // reported after all state is updated: the callbacks may call the engine
 		if !t.s.endReported && t.s.OnToken != nil {
 			t.s.OnToken(t.n)
 		}
 	}
-	how := Done
+	outcome := Done
 	for _, s := range ended {
-		if e.lifetime != life { // it died by what was told
-			how = EngineDied
+		if e.lifetime != lifetime { // a callback killed the engine
+			outcome = EngineDied
 		}
-		s.reportEnd(how)
+		s.reportEnd(outcome)
 	}
-	if e.lifetime == life {
+	if e.lifetime == lifetime {
 		e.startStep()
 	}
 }
 
-// sweep takes those that are over out of the batch.
+// removeFinished removes finished sequences from the batch and releases their blocks.
 func (e *Engine) removeFinished() {
-	kept := e.batch[:0]
+	remaining := e.batch[:0]
 	for _, s := range e.batch {
 		if s.finished {
 			e.releaseBlocks(s.blocks)
 			s.blocks = nil
 			continue
 		}
-		kept = append(kept, s)
+		remaining = append(remaining, s)
 	}
-	clear(e.batch[len(kept):])
-	e.batch = kept
+	clear(e.batch[len(remaining):])
+	e.batch = remaining
 }
--- a/internal/emulate/link.go
+++ b/internal/emulate/link.go
@@ -1,10 +1,10 @@
 package emulate
 
-// Link is a way between racks whose capacity is shared evenly by the transfers on it at each moment (processor
-// sharing, as long TCP or RDMA flows of equal kind come near to). Left out: latency, loss, unequal flows.
+// Link models a network link between racks whose capacity is shared evenly by the active transfers (processor sharing,
+// which long TCP or RDMA flows of the same kind come close to). Left out: latency, loss, unequal flows.
 type Link struct {
 	scheduler       Scheduler
-	tokensPerSecond float64 // tokens of state a second, in all
+	tokensPerSecond float64 // total capacity, in tokens of state
 	transfers       []*transfer
 	updatedAt       float64
 	cancel          func()
@@ -15,10 +15,12 @@
 	done            func()
 }
 
-// NewLink makes a link of so many tokens a second.
-func NewLink(rate float64, at Scheduler) *Link { return &Link{scheduler: at, tokensPerSecond: rate} }
+// NewLink returns an idle link with the given capacity.
+func NewLink(tokensPerSecond float64, scheduler Scheduler) *Link {
+	return &Link{scheduler: scheduler, tokensPerSecond: tokensPerSecond}
+}
 
-// Send sends a state; done is called when all of it has come. The transfer may be cancelled until then.
+// Send starts the transfer of a state; done is called when it is complete. Until then the transfer may be cancelled.
 func (l *Link) Send(tokens float64, done func()) (cancel func()) {
 	l.update()
 	t := &transfer{remainingTokens: tokens, done: done}
@@ -36,22 +38,22 @@
 	}
 }
 
-// Busy is how many transfers there are.
+// ActiveTransfers returns the number of transfers in progress.
 func (l *Link) ActiveTransfers() int { return len(l.transfers) }
 
-// book counts what came since it was last called.
+// update subtracts what was transferred since the last call.
 func (l *Link) update() {
 	now := l.scheduler.Now()
 	if n := len(l.transfers); n > 0 {
-		each := (now - l.updatedAt) * l.tokensPerSecond / float64(n)
+		received := (now - l.updatedAt) * l.tokensPerSecond / float64(n)
 		for _, t := range l.transfers {
-			t.remainingTokens -= each
+			t.remainingTokens -= received
 		}
 	}
 	l.updatedAt = now
 }
 
-// nearly is what rounding leaves of a transfer that has come, in tokens.
+// transferToleranceTokens is the rounding error below which a transfer counts as complete.
 const transferToleranceTokens = 1e-6
 
 func (l *Link) scheduleNext() {
@@ -62,28 +64,28 @@
 	if len(l.transfers) == 0 {
 		return
 	}
-	least := l.transfers[0].remainingTokens
+	minRemaining := l.transfers[0].remainingTokens
 	for _, t := range l.transfers {
-		least = min(least, t.remainingTokens)
+		minRemaining = min(minRemaining, t.remainingTokens)
 	}
-	l.cancel = l.scheduler.After(max(0, least)*float64(len(l.transfers))/l.tokensPerSecond, l.finishTransfers)
+	l.cancel = l.scheduler.After(max(0, minRemaining)*float64(len(l.transfers))/l.tokensPerSecond, l.finishTransfers)
 }
 
 func (l *Link) finishTransfers() {
 	l.cancel = nil
 	l.update()
-	var over []*transfer
-	kept := l.transfers[:0]
+	var finished []*transfer
+	remaining := l.transfers[:0]
 	for _, t := range l.transfers {
 		if t.remainingTokens <= transferToleranceTokens {
-			over = append(over, t)
+			finished = append(finished, t)
 		} else {
-			kept = append(kept, t)
+			remaining = append(remaining, t)
 		}
 	}
-	l.transfers = kept
+	l.transfers = remaining
 	l.scheduleNext()
-	for _, t := range over {
+	for _, t := range finished {
 		t.done()
 	}
 }
