--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -12,30 +12,32 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Variant is one way to set a day.
+// Variant is one change to the settings of a day.
 type Variant struct {
 	Name  string
-	Apply func(*Settings) // nil: the day as it is
+	Apply func(*Settings) // nil for the day unchanged
 }
 
-// Experiment plays variants of days with seeds. The first variant is what the others are compared to.
+// Experiment runs each day with each variant and each seed. The other variants are compared with the first.
 type Experiment struct {
 	Days     []Settings
 	Variants []Variant
 	Seeds    []uint64
-	Workers  int // days at once, 0 for one a core
+	Workers  int // days run in parallel, 0 for one per core
 }
 
-// Outcome is the results of an experiment, by day, variant and seed.
+// ExperimentResults holds the results of an experiment by day, variant and seed.
 type ExperimentResults struct {
 	Variants []string
 	Results  [][][]*Result
 }
 
-// Run plays an experiment. The result does not depend on how many days are played at once. Errors tell the day.
+// Run runs an experiment. The results do not depend on the number of workers. Errors name the day, the variant and the
+// seed.
 func (x *Experiment) Run(ctx context.Context) (*ExperimentResults, error) {
 	if len(x.Days) == 0 || len(x.Variants) == 0 || len(x.Seeds) == 0 {
-		return nil, fmt.Errorf("lab: an experiment of %d days, %d variants, %d seeds: wanted one of each at least", len(x.Days), len(x.Variants), len(x.Seeds))
+		return nil, fmt.Errorf("lab: experiment has %d days, %d variants and %d seeds, want at least one of each", len(x.Days), len(x.Variants),
+			len(x.Seeds))
 	}
 	o := &ExperimentResults{}
 	type task struct{ day, variant, seed int }
@@ -44,35 +46,35 @@
 		o.Variants = append(o.Variants, v.Name)
 	}
 	for range x.Days {
-		by := make([][]*Result, len(x.Variants))
-		for v := range by {
-			by[v] = make([]*Result, len(x.Seeds))
+		byVariant := make([][]*Result, len(x.Variants))
+		for v := range byVariant {
+			byVariant[v] = make([]*Result, len(x.Seeds))
 		}
-		o.Results = append(o.Results, by)
+		o.Results = append(o.Results, byVariant)
 	}
 	workers := x.Workers
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	ctx, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	var all sync.WaitGroup
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	var workersDone sync.WaitGroup
 	for range workers {
-		all.Go(func() {
-			for k := range tasks {
-				s := x.Days[k.day]
+		workersDone.Go(func() {
+			for t := range tasks {
+				s := x.Days[t.day]
 				s.Groups, s.Loads = slices.Clone(s.Groups), slices.Clone(s.Loads)
 				s.Decide.Workloads = slices.Clone(s.Decide.Workloads)
-				if change := x.Variants[k.variant].Apply; change != nil {
+				if change := x.Variants[t.variant].Apply; change != nil {
 					change(&s)
 				}
-				s.Seed = x.Seeds[k.seed]
+				s.Seed = x.Seeds[t.seed]
 				r, err := Run(s)
 				if err != nil {
-					stop(fmt.Errorf("lab: day %d, variant %s, seed %d: %w", k.day, x.Variants[k.variant].Name, s.Seed, err))
+					cancel(fmt.Errorf("lab: day %d, variant %s, seed %d: %w", t.day, x.Variants[t.variant].Name, s.Seed, err))
 					return
 				}
-				o.Results[k.day][k.variant][k.seed] = r // each task has its own place
+				o.Results[t.day][t.variant][t.seed] = r // each task has its own element
 			}
 		})
 	}
@@ -89,42 +91,43 @@
 		}
 	}
 	close(tasks)
-	all.Wait()
+	workersDone.Wait()
 	if err := context.Cause(ctx); err != nil {
 		return nil, err
 	}
 	return o, nil
 }
 
-// Difference is how a figure of a variant differs from that of the first, over days and seeds in pairs.
+// Difference is the difference in a metric between a variant and the first variant, over pairs of the same day and
+// seed.
 type Difference struct {
 	Variant   string
 	Mean      float64
-	Low, High float64 // 95% interval, by bootstrap over pairs
+	Low, High float64 // 95% confidence interval, by bootstrap over the pairs
 	Pairs     int
-	Distinct  bool // the interval has no 0 in it: else it may be noise
+	Distinct  bool // the interval does not contain 0; otherwise the difference may be noise
 }
 
-// bootstraps is how many times pairs are drawn anew.
+// bootstrapSamples is the number of bootstrap resamples.
 const bootstrapSamples = 4000
 
-// Compare tells the differences of a figure, such as (*Result).Score. Chance for the bootstrap is of a fixed seed,
-// so that the same results give the same intervals.
-func (o *ExperimentResults) Compare(figure func(*Result) float64) []Difference {
-	var all []Difference
+// Compare returns the differences in a metric, such as (*Result).Score, of each variant to the first. The bootstrap has
+// a fixed seed, so that the same results give the same intervals.
+func (o *ExperimentResults) Compare(metric func(*Result) float64) []Difference {
+	var differences []Difference
 	for v := 1; v < len(o.Variants); v++ {
 		var pairs []float64
-		for _, by := range o.Results {
-			for s := range by[v] {
-				pairs = append(pairs, figure(by[v][s])-figure(by[0][s]))
+		for _, byVariant := range o.Results {
+			for s := range byVariant[v] {
+				pairs = append(pairs, metric(byVariant[v][s])-metric(byVariant[0][s]))
 			}
 		}
-		all = append(all, NewDifference(o.Variants[v], pairs))
+		differences = append(differences, NewDifference(o.Variants[v], pairs))
 	}
-	return all
+	return differences
 }
 
-// Differ is the difference that pairs tell.
+// NewDifference computes the difference from the paired differences of a metric.
 func NewDifference(variant string, pairs []float64) Difference {
 	d := Difference{Variant: variant, Mean: stat.Mean(pairs, nil), Pairs: len(pairs)}
 	d.Low, d.High = confidenceInterval(pairs)
@@ -132,11 +135,11 @@
 	return d
 }
 
-// fewest pairs from which anything may be told: of five that differ by chance alone, all do in the same direction
-// once in sixteen times.
+// minPairs is the fewest pairs from which a difference may be distinct: five pairs that differ by chance alone all have
+// the same sign once in sixteen times.
 const minPairs = 6
 
-// interval is the 95% percentile bootstrap interval of the mean (Efron and Tibshirani, 1993).
+// confidenceInterval is the 95% percentile bootstrap interval of the mean (Efron and Tibshirani, 1993).
 func confidenceInterval(pairs []float64) (low, high float64) {
 	if len(pairs) < 2 {
 		return math.Inf(-1), math.Inf(1)
--- a/internal/lab/experiment_test.go
+++ b/internal/lab/experiment_test.go
@@ -9,84 +9,85 @@
 	"github.com/stretchr/testify/require"
 )
 
-func seeds(n int) (all []uint64) {
+func firstSeeds(n int) (seeds []uint64) {
 	for i := range n {
-		all = append(all, uint64(i+1))
+		seeds = append(seeds, uint64(i+1))
 	}
-	return all
+	return seeds
 }
 
-func TestExperimentTellsADifferenceFromNoise(t *testing.T) {
-	d := day(40)
+func TestCompareTellsDifferenceFromNoise(t *testing.T) {
+	d := testDay(40)
 	d.Duration = 10
-	x := &Experiment{Days: []Settings{d}, Seeds: seeds(8), Variants: []Variant{{Name: "as it is"}, {Name: "the same"},
+	x := &Experiment{Days: []Settings{d}, Seeds: firstSeeds(8), Variants: []Variant{{Name: "as it is"}, {Name: "the same"},
 		{Name: "half of the readers", Apply: func(s *Settings) { s.Groups[0].Count /= 2 }}}}
-	o, err := x.Run(t.Context())
+	results, err := x.Run(t.Context())
 	require.NoError(t, err)
-	all := o.Compare((*Result).Score)
-	require.Len(t, all, 2)
-	t.Logf("%+v", all)
-	assert.False(t, all[0].Distinct)
-	assert.Zero(t, all[0].Mean, "paired: the same seeds")
-	assert.True(t, all[1].Distinct)
-	assert.Negative(t, all[1].High)
-	assert.Equal(t, 2, x.Days[0].Groups[0].Count/2, "the day itself is left as it is")
+	differences := results.Compare((*Result).Score)
+	require.Len(t, differences, 2)
+	t.Logf("%+v", differences)
+	assert.False(t, differences[0].Distinct)
+	assert.Zero(t, differences[0].Mean, "paired: the same seeds")
+	assert.True(t, differences[1].Distinct)
+	assert.Negative(t, differences[1].High)
+	assert.Equal(t, 2, x.Days[0].Groups[0].Count/2, "variants do not change the day itself")
 
 	x.Workers = 1
 	again, err := x.Run(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, o, again, "however many days are played at once")
+	assert.Equal(t, results, again, "the results do not depend on the number of workers")
 }
 
-func TestIntervalHoldsTheMeanAsOftenAsItSays(t *testing.T) {
+func TestConfidenceIntervalCoverage(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
-	held := 0
-	const tries = 200
-	for range tries {
+	covered := 0
+	const samples = 200
+	for range samples {
 		pairs := make([]float64, 30)
 		for i := range pairs {
 			pairs[i] = 1 + r.NormFloat64()
 		}
 		if low, high := confidenceInterval(pairs); low <= 1 && 1 <= high {
-			held++
+			covered++
 		}
 	}
-	assert.InDelta(t, 0.95, float64(held)/tries, 0.05)
+	assert.InDelta(t, 0.95, float64(covered)/samples, 0.05)
 }
 
-func TestExperimentsThatCannotBe(t *testing.T) {
+func TestInvalidExperiments(t *testing.T) {
 	_, err := (&Experiment{}).Run(t.Context())
-	assert.ErrorContains(t, err, "wanted one of each")
-	bad := day(1)
-	bad.Groups[0].Model.Slots = 0
-	_, err = (&Experiment{Days: []Settings{bad}, Variants: []Variant{{Name: "v"}}, Seeds: seeds(2)}).Run(t.Context())
+	assert.ErrorContains(t, err, "at least one of each")
+	invalid := testDay(1)
+	invalid.Groups[0].Model.Slots = 0
+	_, err = (&Experiment{Days: []Settings{invalid}, Variants: []Variant{{Name: "v"}}, Seeds: firstSeeds(2)}).Run(t.Context())
 	assert.ErrorContains(t, err, "variant v, seed")
-	ctx, stop := context.WithCancel(t.Context())
-	stop()
-	_, err = (&Experiment{Days: []Settings{day(1)}, Variants: []Variant{{Name: "v"}}, Seeds: seeds(50)}).Run(ctx)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, err = (&Experiment{Days: []Settings{testDay(1)}, Variants: []Variant{{Name: "v"}}, Seeds: firstSeeds(50)}).Run(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// The program's decisions against the baselines, on a troubled day near its engines' capacity.
+// Compares the program's decisions with the baselines, on a day with troubles and a load close to the engines'
+// capacity.
 func TestBaselines(t *testing.T) {
-	d := day(40)
+	d := testDay(40)
 	d.Duration, d.ListDelay = 15, 0.2
 	d.Troubles = []Trouble{{Kind: Pause, At: 3, Duration: 3, Group: 1, EngineCount: 1}, {Kind: Die, At: 6, Duration: 4, Group: 0, EngineCount: 1},
 		{Kind: Slow, At: 8, Duration: 4, Group: 1, FirstEngine: 2, EngineCount: 1, Slowdown: 6}}
-	x := &Experiment{Days: []Settings{d}, Seeds: seeds(6), Variants: []Variant{{Name: "decide"}}}
+	x := &Experiment{Days: []Settings{d}, Seeds: firstSeeds(6), Variants: []Variant{{Name: "decide"}}}
 	for b := Random; int(b) < baselineCount; b++ {
 		x.Variants = append(x.Variants, Variant{b.String(), func(s *Settings) { s.Baseline = b }})
 	}
-	o, err := x.Run(t.Context())
+	results, err := x.Run(t.Context())
 	require.NoError(t, err)
-	for v, name := range o.Variants {
-		for _, r := range o.Results[0][v] {
+	for v, name := range results.Variants {
+		for _, r := range results.Results[0][v] {
 			assert.Equal(t, r.Completions, r.Finished+r.RateLimited+r.Aborted, name)
 			assert.Zero(t, r.Unanswered+r.DuplicateAnswers+r.LateAnswers, name)
 		}
 	}
-	for _, c := range o.Compare((*Result).Score) {
-		t.Logf("%+v", c)
-		assert.Negative(t, c.High, "%s is worse than decide", c.Variant)
+	for _, difference := range results.Compare((*Result).Score) {
+		t.Logf("%+v", difference)
+		assert.Negative(t, difference.High, "%s is worse than decide", difference.Variant)
 	}
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -10,30 +10,31 @@
 	"cherryhub/internal/duty"
 )
 
-// Peers has the routers of a day talk: they split the probing of engines with internal/duty as it is. In place of
-// memberlist and UDP stand a time until a death or a start is seen and a message's way; none is lost.
+// Peers has the routers of a day share the probing of engines, with the scheduler of internal/duty. A fixed delay until
+// a start or a death is noticed stands for memberlist, and the one-way delay of a message stands for UDP; no message is
+// lost. Times are in seconds; Settle, Lease and HandOver are those of duty.Settings.
 type Peers struct {
-	Interval   float64 // each engine is probed so often
+	Interval   float64 // between two probes of an engine
 	Candidates int
 	Settle     float64
 	Lease      float64
 	HandOver   float64
-	Seen       float64 // seconds until the others see that one died or came
+	Seen       float64 // until the other routers notice a start or a death
 }
 
-func (p *Peers) validate() error {
-	if !(p.Interval > 0 && p.Candidates >= 1 && p.Settle > 0 && p.Lease > p.Settle && p.HandOver > 0 && p.Seen >= 0) {
-		return fmt.Errorf("lab: peers: wanted times above 0, a lease above settle, 1 candidate or more: %+v", *p)
+func (peers *Peers) validate() error {
+	if !(peers.Interval > 0 && peers.Candidates >= 1 && peers.Settle > 0 && peers.Lease > peers.Settle && peers.HandOver > 0 && peers.Seen >= 0) {
+		return fmt.Errorf("lab: peers: want times above 0, a lease above settle and at least 1 candidate: %+v", *peers)
 	}
 	return nil
 }
 
-// shared is a router's part in it.
+// peer is a router's part in shared probing.
 type peer struct {
 	router    *router
 	lifetime  int
 	scheduler *duty.Scheduler
-	reports   []timedReport // by engine: the newest that was shared
+	reports   []timedReport // by engine: the newest shared report
 }
 
 type timedReport struct {
@@ -41,26 +42,27 @@
 	report     []float64
 }
 
-// join has a router take part, from now on.
+// joinPeers starts a router's part in shared probing.
 func (r *router) joinPeers() error {
-	p := r.world.settings.Peers
-	if p == nil {
+	peers := r.world.settings.Peers
+	if peers == nil {
 		return nil
 	}
-	table, err := duty.New(r.world.clock.Now(), duty.Settings{Self: r.member(), SettleTime: p.Settle, LeaseTime: p.Lease, HandoverDelay: p.HandOver, MaxJoins: math.MaxInt32})
+	scheduler, err := duty.New(r.world.clock.Now(), duty.Settings{Self: r.member(), SettleTime: peers.Settle, LeaseTime: peers.Lease,
+		HandoverDelay: peers.HandOver, MaxJoins: math.MaxInt32})
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	r.peer = &peer{router: r, lifetime: r.lifetime, scheduler: table, reports: make([]timedReport, len(r.world.engines))}
-	var all []duty.Duty
+	r.peer = &peer{router: r, lifetime: r.lifetime, scheduler: scheduler, reports: make([]timedReport, len(r.world.engines))}
+	var duties []duty.Duty
 	for _, e := range r.world.engines {
-		all = append(all, duty.Duty{Key: duty.Key{Kind: "probe", Subject: strconv.Itoa(e.index)}, Zone: strconv.Itoa(e.group.Zone),
-			Interval: p.Interval, Candidates: p.Candidates})
+		duties = append(duties, duty.Duty{Key: duty.Key{Kind: "probe", Subject: strconv.Itoa(e.index)}, Zone: strconv.Itoa(e.group.Zone),
+			Interval: peers.Interval, Candidates: peers.Candidates})
 		r.peer.reports[e.index].receivedAt = math.Inf(-1)
 	}
-	table.SetDuties(r.world.clock.Now(), all)
+	scheduler.SetDuties(r.world.clock.Now(), duties)
 	r.world.clock.After(0, r.peer.tick)
-	r.world.clock.After(p.Seen, r.world.updateMembers)
+	r.world.clock.After(peers.Seen, r.world.updateMembers)
 	return nil
 }
 
@@ -68,104 +70,105 @@
 	return duty.Member{Name: fmt.Sprintf("router-%04d", r.index), Incarnation: uint64(r.lifetime + 1), Zone: strconv.Itoa(r.zone), Weight: 1}
 }
 
-// sight tells all who is up.
+// updateMembers gives each router the list of routers that are up.
 func (w *world) updateMembers() {
-	var up []duty.Member
+	var members []duty.Member
 	for _, r := range w.routers {
 		if !r.down {
-			up = append(up, r.member())
+			members = append(members, r.member())
 		}
 	}
 	for _, r := range w.routers {
 		if !r.down && r.peer != nil {
-			r.peer.scheduler.SetMembers(w.clock.Now(), up)
+			r.peer.scheduler.SetMembers(w.clock.Now(), members)
 		}
 	}
 }
 
-func (s *peer) stopped() bool {
-	return s.lifetime != s.router.lifetime || s.router.world.clock.Now() > s.router.world.settings.Duration+timerGraceSeconds
+func (p *peer) stopped() bool {
+	return p.lifetime != p.router.lifetime || p.router.world.clock.Now() > p.router.world.settings.Duration+timerGraceSeconds
 }
 
-func (s *peer) tick() {
-	if s.stopped() {
+func (p *peer) tick() {
+	if p.stopped() {
 		return
 	}
-	w := s.router.world
-	acts, next := s.scheduler.Tick(w.clock.Now())
-	for _, a := range acts {
-		s.runTask(a)
+	w := p.router.world
+	tasks, nextTick := p.scheduler.Tick(w.clock.Now())
+	for _, task := range tasks {
+		p.runTask(task)
 	}
-	w.clock.After(math.Max(next-w.clock.Now(), minTickSeconds), s.tick)
+	w.clock.After(math.Max(nextTick-w.clock.Now(), minTickSeconds), p.tick)
 }
 
-// leastTick keeps ticks apart, in seconds.
+// minTickSeconds is the shortest time between two ticks.
 const minTickSeconds = 0.001
 
-// act probes an engine and tells the others.
-func (s *peer) runTask(a duty.Task) {
-	w := s.router.world
-	at, err := strconv.Atoi(a.Subject)
+// runTask probes an engine and sends the result to the other routers.
+func (p *peer) runTask(task duty.Task) {
+	w := p.router.world
+	engine, err := strconv.Atoi(task.Subject)
 	if err != nil {
-		panic(err) // join wrote it
+		panic(err) // the subject was written by joinPeers
 	}
 	w.result.Probes++
-	s.router.probeEngine(at, s.lifetime, func(o decide.Outcome, report []float64) {
-		s.storeReport(at, o, report)
-		result, ok := s.scheduler.Finish(w.clock.Now(), a, encodeResult(o, report))
+	p.router.probeEngine(engine, p.lifetime, func(outcome decide.Outcome, report []float64) {
+		p.storeReport(engine, outcome, report)
+		result, ok := p.scheduler.Finish(w.clock.Now(), task, encodeResult(outcome, report))
 		if !ok {
 			return
 		}
-		for _, other := range w.routers {
-			if other != s.router && !other.down {
-				to := other.peer
-				w.clock.After(w.settings.OneWayDelay, func() { to.receiveResult(result, at) })
+		for _, r := range w.routers {
+			if r != p.router && !r.down {
+				target := r.peer
+				w.clock.After(w.settings.OneWayDelay, func() { target.receiveResult(result, engine) })
 			}
 		}
 	})
 }
 
-// heard takes another's result. A failure that another met has this router look for itself.
-func (s *peer) receiveResult(result duty.Result, at int) {
-	if s.stopped() || s.scheduler.ReceiveResult(s.router.world.clock.Now(), result) != duty.Fresh {
+// receiveResult handles another router's result. After a failed probe of another router, this router probes the engine
+// itself.
+func (p *peer) receiveResult(result duty.Result, engine int) {
+	if p.stopped() || p.scheduler.ReceiveResult(p.router.world.clock.Now(), result) != duty.Fresh {
 		return
 	}
-	o, report := decodeResult(result.Payload)
-	if o != decide.Finished {
-		s.router.world.result.Probes++
-		s.router.probeEngine(at, s.lifetime, func(decide.Outcome, []float64) {})
+	outcome, report := decodeResult(result.Payload)
+	if outcome != decide.Finished {
+		p.router.world.result.Probes++
+		p.router.probeEngine(engine, p.lifetime, func(decide.Outcome, []float64) {})
 		return
 	}
-	s.storeReport(at, o, report)
-	s.router.callPolicy(func() { s.router.policy.ProbeEnded(at, o, report) })
+	p.storeReport(engine, outcome, report)
+	p.router.callPolicy(func() { p.router.policy.ProbeEnded(engine, outcome, report) })
 }
 
-func (s *peer) storeReport(at int, o decide.Outcome, report []float64) {
-	if o == decide.Finished {
-		s.reports[at] = timedReport{s.router.world.clock.Now(), report}
+func (p *peer) storeReport(engine int, outcome decide.Outcome, report []float64) {
+	if outcome == decide.Finished {
+		p.reports[engine] = timedReport{p.router.world.clock.Now(), report}
 	}
 }
 
-// fresh is a shared report that answers an own need, nil if there is none.
-func (s *peer) freshReport(at int) []float64 {
-	if s == nil || s.router.world.clock.Now()-s.reports[at].receivedAt > s.router.world.settings.Peers.Interval {
+// freshReport returns a shared report that is recent enough to replace a probe, nil if there is none.
+func (p *peer) freshReport(engine int) []float64 {
+	if p == nil || p.router.world.clock.Now()-p.reports[engine].receivedAt > p.router.world.settings.Peers.Interval {
 		return nil
 	}
-	return s.reports[at].report
+	return p.reports[engine].report
 }
 
-func encodeResult(o decide.Outcome, report []float64) []byte {
-	b := []byte{byte(o)}
-	for _, x := range report {
-		b = binary.LittleEndian.AppendUint64(b, math.Float64bits(x))
+func encodeResult(outcome decide.Outcome, report []float64) []byte {
+	payload := []byte{byte(outcome)}
+	for _, value := range report {
+		payload = binary.LittleEndian.AppendUint64(payload, math.Float64bits(value))
 	}
-	return b
+	return payload
 }
 
-func decodeResult(b []byte) (o decide.Outcome, report []float64) {
-	o = decide.Outcome(b[0])
-	for b = b[1:]; len(b) >= 8; b = b[8:] {
-		report = append(report, math.Float64frombits(binary.LittleEndian.Uint64(b)))
+func decodeResult(payload []byte) (outcome decide.Outcome, report []float64) {
+	outcome = decide.Outcome(payload[0])
+	for payload = payload[1:]; len(payload) >= 8; payload = payload[8:] {
+		report = append(report, math.Float64frombits(binary.LittleEndian.Uint64(payload)))
 	}
-	return o, report
+	return outcome, report
 }
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -7,40 +7,43 @@
 	"cherryhub/decide"
 )
 
-// policy is what decides in a router. The program's own is decide.Router; the others are baselines.
+// policy makes the decisions of a router: the decide.Router that the program runs, or a baseline.
 type policy interface {
 	SetTime(now float64)
-	UpdateEngines(kind decide.ListKind, facts []decide.EngineEntry)
-	Route(id uint64, p decide.Prompt) handle
-	ProbeEnded(engine int, o decide.Outcome, report []float64)
+	UpdateEngines(kind decide.ListKind, entries []decide.EngineEntry)
+	Route(id uint64, prompt decide.Prompt) handle
+	ProbeEnded(engine int, outcome decide.Outcome, report []float64)
 	TimerFired()
 }
 
-// handle is a completion as a policy knows it.
+// handle is a policy's view of a completion.
 type handle interface {
 	Closed() bool
-	DispatchStarted(dispatch int, took float64)
-	DispatchEnded(dispatch int, o decide.Outcome, took float64, done bool, kept float64, report []float64)
-	ReservationAnswered(dispatch int, held bool)
+	DispatchStarted(dispatch int, elapsed float64)
+	DispatchEnded(dispatch int, outcome decide.Outcome, elapsed float64, answered bool, cachedTokens float64, report []float64)
+	ReservationAnswered(dispatch int, reserved bool)
 	TimerFired()
 }
 
-// ownPolicy is the program's.
+// decidePolicy adapts decide.Router to policy.
 type decidePolicy struct{ *decide.Router }
 
-func (o decidePolicy) Route(id uint64, p decide.Prompt) handle { return o.Router.Route(id, p) }
+func (p decidePolicy) Route(id uint64, prompt decide.Prompt) handle {
+	return p.Router.Route(id, prompt)
+}
 
-// Baseline names what decides instead of decide.Router: readers and writers are picked by one simple rule, what
-// fails without having run is tried elsewhere, what may have run only where that is harmless.
+// Baseline is a policy to compare decide.Router with. It picks readers and writers by one simple rule. A dispatch that
+// failed without having run is retried at another engine; one that may have run is retried only if the completion is
+// idempotent.
 type Baseline uint8
 
-// The baselines.
+// Baselines.
 const (
 	NoBaseline       Baseline = iota // decide.Router decides
-	Random                           // any that is ready
-	LeastOutstanding                 // with the fewest dispatches of this router out
-	TwoChoices                       // of two by chance the one with fewer
-	PrefixOnly                       // where the session's hash falls, whatever the load
+	Random                           // any ready engine, at random
+	LeastOutstanding                 // the engine with the fewest open dispatches of this router
+	TwoChoices                       // of two random engines the one with fewer open dispatches of this router
+	PrefixOnly                       // rendezvous hashing of the session, whatever the load
 	baselineCount    = iota
 )
 
@@ -48,7 +51,7 @@
 	return [baselineCount]string{"decide", "random", "least own", "two choices", "prefix only"}[b]
 }
 
-// simple is a baseline in a router.
+// baselinePolicy is a baseline at one router.
 type baselinePolicy struct {
 	rule     Baseline
 	actions  decide.Actions
@@ -62,87 +65,87 @@
 	hash        uint64
 	role        decide.Role
 	ready       bool
-	outstanding int // this router's dispatches
+	outstanding int // open dispatches of this router
 }
 
-func newBaselinePolicy(b Baseline, s decide.Settings, a decide.Actions) *baselinePolicy {
-	return &baselinePolicy{rule: b, actions: a, settings: s, rng: rand.New(rand.NewPCG(s.Seed, 3))}
+func newBaselinePolicy(b Baseline, settings decide.Settings, actions decide.Actions) *baselinePolicy {
+	return &baselinePolicy{rule: b, actions: actions, settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 3))}
 }
 
 func (p *baselinePolicy) SetTime(now float64)                       { p.now = now }
 func (p *baselinePolicy) ProbeEnded(int, decide.Outcome, []float64) {}
 func (p *baselinePolicy) TimerFired()                               {}
 
-func (p *baselinePolicy) UpdateEngines(_ decide.ListKind, facts []decide.EngineEntry) {
-	for _, f := range facts {
-		for len(p.engines) <= f.Index {
+func (p *baselinePolicy) UpdateEngines(_ decide.ListKind, entries []decide.EngineEntry) {
+	for _, entry := range entries {
+		for len(p.engines) <= entry.Index {
 			p.engines = append(p.engines, baselineEngine{})
 		}
-		e := &p.engines[f.Index]
-		e.hash, e.role, e.ready = f.Hash, p.settings.Roles[f.MachineKind], f.Phase == decide.Ready
+		e := &p.engines[entry.Index]
+		e.hash, e.role, e.ready = entry.Hash, p.settings.Roles[entry.MachineKind], entry.Phase == decide.Ready
 	}
 }
 
-// pick is an engine that reads, or one that writes; -1 if none is ready but those that were tried.
-func (p *baselinePolicy) pickEngine(reads bool, session uint64, tried []int) int {
-	var all []int
+// pickEngine picks a ready engine that reads, or one that writes, and has not been tried; -1 if there is none.
+func (p *baselinePolicy) pickEngine(reader bool, session uint64, tried []int) int {
+	var candidates []int
 	for i := range p.engines {
 		e := &p.engines[i]
-		if e.ready && (e.role == decide.Reader) == reads && !slices.Contains(tried, i) {
-			all = append(all, i)
+		if e.ready && (e.role == decide.Reader) == reader && !slices.Contains(tried, i) {
+			candidates = append(candidates, i)
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
-	best := all[p.rng.IntN(len(all))]
+	best := candidates[p.rng.IntN(len(candidates))]
 	switch p.rule {
 	case LeastOutstanding:
-		for _, i := range all {
+		for _, i := range candidates {
 			if p.engines[i].outstanding < p.engines[best].outstanding {
 				best = i
 			}
 		}
 	case TwoChoices:
-		if other := all[p.rng.IntN(len(all))]; p.engines[other].outstanding < p.engines[best].outstanding {
+		if other := candidates[p.rng.IntN(len(candidates))]; p.engines[other].outstanding < p.engines[best].outstanding {
 			best = other
 		}
 	case PrefixOnly:
-		top := uint64(0)
-		for _, i := range all {
-			if h := mixBits(p.engines[i].hash ^ mixBits(session)); h >= top {
-				top, best = h, i
+		maxHash := uint64(0)
+		for _, i := range candidates {
+			if hash := mixBits(p.engines[i].hash ^ mixBits(session)); hash >= maxHash {
+				maxHash, best = hash, i
 			}
 		}
 	}
 	return best
 }
 
-// mix spreads a number's bits (the finalizer of SplitMix64, Steele and others, 2014).
+// mixBits spreads a number's bits (the finalizer of SplitMix64, Steele and others, 2014).
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// simpleRun is a completion of a baseline.
+// baselineCompletion is a completion under a baseline.
 type baselineCompletion struct {
 	policy          *baselinePolicy
 	id              uint64
 	prompt          decide.Prompt
 	deadline        float64
-	dispatchEngines []int // of each dispatch
+	dispatchEngines []int // by dispatch
 	outstanding     int
-	hasState        bool // its state waits
-	mayHaveRun      bool // something may have run
+	hasState        bool // a reader holds its state
+	mayHaveRun      bool // a dispatch may have run
 	outputStarted   bool
 	answered        bool
 }
 
-// shortPrompt is what a writer reads itself in a baseline, in tokens.
+// shortPromptTokens is the longest prompt that a baseline has a writer read.
 const shortPromptTokens = 512
 
-// early is how long before the client timeout a baseline answers, in seconds.
+// answerMarginSeconds is how long before the client timeout a baseline gives up.
 const answerMarginSeconds = 0.05
 
 func (p *baselinePolicy) Route(id uint64, prompt decide.Prompt) handle {
@@ -152,29 +155,29 @@
 	return c
 }
 
-// next makes the next dispatch, or gives up.
+// dispatchNext starts the next dispatch, or gives up.
 func (c *baselineCompletion) dispatchNext() {
-	effect := c.policy.settings.Workloads[c.prompt.Workload].Idempotency
+	idempotency := c.policy.settings.Workloads[c.prompt.Workload].Idempotency
 	if c.answered || c.outputStarted || c.outstanding > 0 {
 		return
 	}
-	to := -1
-	if len(c.dispatchEngines) < c.policy.settings.MaxDispatches && c.policy.now < c.deadline && (!c.mayHaveRun || effect == decide.Idempotent) {
+	target := -1
+	if len(c.dispatchEngines) < c.policy.settings.MaxDispatches && c.policy.now < c.deadline && (!c.mayHaveRun || idempotency == decide.Idempotent) {
 		if !c.hasState && c.prompt.Tokens > shortPromptTokens {
-			to = c.policy.pickEngine(true, c.prompt.Session, c.dispatchEngines)
+			target = c.policy.pickEngine(true, c.prompt.Session, c.dispatchEngines)
 		}
-		if to < 0 {
-			to = c.policy.pickEngine(false, c.prompt.Session, c.dispatchEngines)
+		if target < 0 {
+			target = c.policy.pickEngine(false, c.prompt.Session, c.dispatchEngines)
 		}
 	}
-	if to < 0 {
+	if target < 0 {
 		c.giveUp()
 		return
 	}
-	c.dispatchEngines = append(c.dispatchEngines, to)
+	c.dispatchEngines = append(c.dispatchEngines, target)
 	c.outstanding++
-	c.policy.engines[to].outstanding++
-	c.policy.actions.Dispatch(c.id, to, c.deadline-c.policy.now)
+	c.policy.engines[target].outstanding++
+	c.policy.actions.Dispatch(c.id, target, c.deadline-c.policy.now)
 }
 
 func (c *baselineCompletion) giveUp() {
@@ -191,22 +194,22 @@
 func (c *baselineCompletion) DispatchStarted(int, float64)  { c.outputStarted = true }
 func (c *baselineCompletion) ReservationAnswered(int, bool) {}
 
-func (c *baselineCompletion) DispatchEnded(n int, o decide.Outcome, _ float64, done bool, _ float64, _ []float64) {
-	at := c.dispatchEngines[n]
+func (c *baselineCompletion) DispatchEnded(dispatch int, outcome decide.Outcome, _ float64, answered bool, _ float64, _ []float64) {
+	engine := c.dispatchEngines[dispatch]
 	c.outstanding--
-	c.policy.engines[at].outstanding--
-	if done {
+	c.policy.engines[engine].outstanding--
+	if answered {
 		c.answered = true
 		return
 	}
-	reads := c.policy.engines[at].role == decide.Reader
-	switch o {
+	isReader := c.policy.engines[engine].role == decide.Reader
+	switch outcome {
 	case decide.Read:
 		c.hasState = true
 	case decide.Full, decide.Unreachable, decide.NotSent:
-		c.hasState = c.hasState && reads
+		c.hasState = c.hasState && isReader
 	default:
-		c.mayHaveRun = c.mayHaveRun || !reads
+		c.mayHaveRun = c.mayHaveRun || !isReader
 		c.hasState = false
 	}
 	c.dispatchNext()
@@ -216,8 +219,8 @@
 	if c.answered || c.outputStarted || c.policy.now < c.deadline {
 		return
 	}
-	for n := range c.dispatchEngines {
-		c.policy.actions.Cancel(c.id, n)
+	for dispatch := range c.dispatchEngines {
+		c.policy.actions.Cancel(c.id, dispatch)
 	}
 	c.mayHaveRun = c.mayHaveRun || c.outstanding > 0
 	c.giveUp()
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -9,62 +9,62 @@
 	"cherryhub/internal/emulate"
 )
 
-// router is one router: a decide.Router or a baseline, and in place of the edge what is done for it in virtual time. It does as
-// internal/edge does: the first token wins, a state is let go once, timeouts of writes are to their first token.
+// router simulates one router: its policy, and in virtual time what internal/edge does for it. As there, the first
+// dispatch with a token wins, a state is released once, and the timeout of a write ends at its first token.
 type router struct {
 	world           *world
 	index           int
 	zone            int
 	policy          policy
 	openCompletions map[uint64]*completion
-	startedAt       float64 // of its clock
-	lifetime        int     // how often it was started anew
+	startedAt       float64 // start of the router's own clock
+	lifetime        int     // counts restarts
 	down            bool
-	peer            *peer // nil where routers don't talk
+	peer            *peer // nil without shared probing
 }
 
-// begin starts it with the list as it is.
+// start creates the router's policy and gives it the current engine list.
 func (r *router) start() error {
-	own := r.world.settings.Decide
-	own.Seed = r.world.settings.Seed*1_000_003 + uint64(r.index)*1_009 + uint64(r.lifetime) + 1
-	own.Zone = r.zone
+	settings := r.world.settings.Decide
+	settings.Seed = r.world.settings.Seed*1_000_003 + uint64(r.index)*1_009 + uint64(r.lifetime) + 1
+	settings.Zone = r.zone
 	r.openCompletions = map[uint64]*completion{}
-	if b := r.world.settings.Baseline; b != NoBaseline {
-		r.policy = newBaselinePolicy(b, own, r)
+	if baseline := r.world.settings.Baseline; baseline != NoBaseline {
+		r.policy = newBaselinePolicy(baseline, settings, r)
 	} else {
-		one, err := decide.New(own, r)
+		decider, err := decide.New(settings, r)
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		r.policy = decidePolicy{one}
+		r.policy = decidePolicy{decider}
 	}
-	var facts []decide.EngineEntry
+	var entries []decide.EngineEntry
 	for _, e := range r.world.engines {
-		facts = append(facts, r.world.engineEntry(e, e.phase, r))
+		entries = append(entries, r.world.engineEntry(e, e.phase, r))
 	}
-	r.callPolicy(func() { r.policy.UpdateEngines(decide.ListSnapshot, facts) })
+	r.callPolicy(func() { r.policy.UpdateEngines(decide.ListSnapshot, entries) })
 	return nil
 }
 
-// order is its open completions by number: a map has none.
+// openIDs returns the IDs of the open completions in order, for determinism.
 func (r *router) openIDs() []uint64 { return slices.Sorted(maps.Keys(r.openCompletions)) }
 
-// completion is one that was taken.
+// completion is a completion that a router accepted.
 type completion struct {
 	id, session                uint64
 	load                       *Load
 	promptTokens, outputTokens int
 	arrivedAt                  float64
 	router                     *router
-	lifetime                   int // of the router
+	lifetime                   int // the router's lifetime that accepted it
 	handle                     handle
 	dispatches                 []*dispatch
 	winner                     *dispatch
 	answered                   bool
-	heldState                  *dispatch // the read whose state waits
+	heldState                  *dispatch // the read whose state is held at its reader
 }
 
-// run is one dispatch.
+// dispatch is a read or a write at an engine.
 type dispatch struct {
 	completion     *completion
 	index          int
@@ -74,24 +74,24 @@
 	sentAt         float64
 	cachedTokens   int
 	ended          bool
-	cancelTimeout  func()    // cancels it
-	cancelTransfer func()    // cancels the transfer
-	fetchFrom      *dispatch // the read whose state it fetches
+	cancelTimeout  func()
+	cancelTransfer func()    // nil if no transfer is in progress
+	fetchFrom      *dispatch // the read whose state a write fetches
 }
 
-// call makes a call on decide at the clock's time.
-func (r *router) callPolicy(f func()) {
+// callPolicy makes a call to the policy at the clock's time.
+func (r *router) callPolicy(call func()) {
 	r.policy.SetTime(r.world.clock.Now() - r.startedAt)
-	f()
+	call()
 }
 
-// of makes a call about a completion, unless it is over.
-func (r *router) callCompletion(c *completion, f func(h handle)) {
-	if c.lifetime != r.lifetime { // of a router that is gone
+// callCompletion makes a policy call about a completion, unless it is closed.
+func (r *router) callCompletion(c *completion, call func(h handle)) {
+	if c.lifetime != r.lifetime { // the router has restarted since
 		return
 	}
 	if c.handle != nil && !c.handle.Closed() {
-		r.callPolicy(func() { f(c.handle) })
+		r.callPolicy(func() { call(c.handle) })
 	}
 	r.removeIfClosed(c)
 }
@@ -108,10 +108,11 @@
 	r.openCompletions[c.id] = c
 	w.result.Completions++
 	w.result.OfferedValue += c.value()
-	l := c.load
-	p := decide.Prompt{Workload: l.Workload, Session: c.session, SharedPrefix: uint64(l.Workload) + 1, SharedPrefixTokens: float64(l.SharedPrefixTokens), Tokens: float64(c.promptTokens),
-		MaxOutputTokens: float64(max(1, l.MaxOutputTokens)), TimeLeft: l.ClientTimeout}
-	r.callPolicy(func() { c.handle = r.policy.Route(c.id, p) })
+	load := c.load
+	prompt := decide.Prompt{Workload: load.Workload, Session: c.session, SharedPrefix: uint64(load.Workload) + 1,
+		SharedPrefixTokens: float64(load.SharedPrefixTokens), Tokens: float64(c.promptTokens),
+		MaxOutputTokens: float64(max(1, load.MaxOutputTokens)), TimeLeft: load.ClientTimeout}
+	r.callPolicy(func() { c.handle = r.policy.Route(c.id, prompt) })
 	r.removeIfClosed(c)
 }
 
@@ -119,7 +120,7 @@
 	return c.load.ValuePerToken * float64(c.promptTokens+c.outputTokens)
 }
 
-// answered books a final answer.
+// recordAnswer counts a final answer.
 func (c *completion) recordAnswer(count *int) {
 	if c.answered {
 		c.router.world.result.DuplicateAnswers++
@@ -130,10 +131,10 @@
 	if c.winner == nil && c.router.world.clock.Now()-c.arrivedAt > c.load.ClientTimeout {
 		c.router.world.result.LateAnswers++
 	}
-	c.router.world.clock.After(0, func() { c.router.removeIfClosed(c) }) // it may be over by a call on the router, not on it
+	c.router.world.clock.After(0, func() { c.router.removeIfClosed(c) }) // the answer may come from a call on the router instead of the completion
 }
 
-// Dispatch is of decide.Actions, as are those below.
+// Dispatch implements decide.Actions, as do the methods below.
 func (r *router) Dispatch(id uint64, engine int, timeout float64) {
 	c, w := r.openCompletions[id], r.world
 	d := &dispatch{completion: c, index: len(c.dispatches), engine: w.engines[engine], sentAt: w.clock.Now()}
@@ -150,7 +151,7 @@
 	w.clock.After(w.settings.OneWayDelay, d.arriveAtEngine)
 }
 
-// arrive is at the engine.
+// arriveAtEngine runs when the request reaches the engine.
 func (d *dispatch) arriveAtEngine() {
 	if d.ended {
 		return
@@ -164,15 +165,15 @@
 		d.submit(emulate.Write)
 		return
 	}
-	from := d.fetchFrom.engine
-	if from.HeldTokens(d.fetchFrom.job.ID) == 0 { // its reader died meanwhile
-		d.cachedTokens = 1 // as the protocol says that there was no state
+	reader := d.fetchFrom.engine
+	if reader.HeldTokens(d.fetchFrom.job.ID) == 0 { // the reader died since
+		d.cachedTokens = 1 // the protocol's report that there was no state
 		w.clock.After(w.settings.OneWayDelay, func() { d.end(decide.Full) })
 		return
 	}
-	d.cancelTransfer = d.completion.router.world.links[from.group.Cell].Send(float64(d.completion.promptTokens), func() {
+	d.cancelTransfer = d.completion.router.world.links[reader.group.Cell].Send(float64(d.completion.promptTokens), func() {
 		d.cancelTransfer = nil
-		from.Release(d.fetchFrom.job.ID)
+		reader.Release(d.fetchFrom.job.ID)
 		if d.engine.down {
 			w.clock.After(w.settings.OneWayDelay, func() { d.end(decide.Broken) })
 			return
@@ -187,33 +188,34 @@
 		kind = emulate.Read
 	}
 	d.engine.lastJobID++
-	d.job = &emulate.Job{ID: d.engine.lastJobID, Kind: kind, BlockHashes: d.completion.blockHashes(d.engine.group.Model.BlockTokens), PromptTokens: d.completion.promptTokens, OutputTokens: d.completion.outputTokens,
-		OnStart: func(kept int) { d.cachedTokens = kept },
+	d.job = &emulate.Job{ID: d.engine.lastJobID, Kind: kind, BlockHashes: d.completion.blockHashes(d.engine.group.Model.BlockTokens),
+		PromptTokens: d.completion.promptTokens, OutputTokens: d.completion.outputTokens,
+		OnStart: func(cachedTokens int) { d.cachedTokens = cachedTokens },
 		OnToken: func(n int) {
 			if n == 0 {
 				w.clock.After(w.settings.OneWayDelay, d.firstToken)
 			}
 		},
-		OnEnd: func(how emulate.Outcome) {
-			o := decide.Finished
-			switch how {
+		OnEnd: func(jobOutcome emulate.Outcome) {
+			outcome := decide.Finished
+			switch jobOutcome {
 			case emulate.Full:
-				o = decide.Full
+				outcome = decide.Full
 			case emulate.EngineDied:
-				o = decide.Broken
+				outcome = decide.Broken
 			case emulate.Cancelled:
-				return // it was we who left
+				return // the router cancelled it
 			default:
 				if d.isRead {
-					o = decide.Read
+					outcome = decide.Read
 				}
 			}
-			w.clock.After(w.settings.OneWayDelay, func() { d.end(o) })
+			w.clock.After(w.settings.OneWayDelay, func() { d.end(outcome) })
 		}}
 	d.engine.Submit(d.job)
 }
 
-// begun is the first token, back at the router.
+// firstToken runs when the first token reaches the router.
 func (d *dispatch) firstToken() {
 	c := d.completion
 	if d.ended {
@@ -227,20 +229,20 @@
 	c.winner = d
 	w := c.router.world
 	ttft := w.clock.Now() - c.arrivedAt
-	wl := &w.settings.Decide.Workloads[c.load.Workload]
+	workload := &w.settings.Decide.Workloads[c.load.Workload]
 	if ttft > c.load.ClientTimeout {
 		w.result.LateAnswers++
 	}
-	w.result.TTFT.RecordValue(int64(ttft * 1e6)) //nolint:errcheck // within its range
-	if ttft <= wl.LatencyTarget+wl.LatencyTargetPerToken*float64(c.promptTokens) {
+	w.result.TTFT.RecordValue(int64(ttft * 1e6)) //nolint:errcheck // the value is within the histogram's range
+	if ttft <= workload.LatencyTarget+workload.LatencyTargetPerToken*float64(c.promptTokens) {
 		w.result.InTarget++
 		w.result.ServedValue += c.value()
 	}
 	c.router.callCompletion(c, func(h handle) { h.DispatchStarted(d.index, w.clock.Now()-d.sentAt) })
 }
 
-// end tells decide how a dispatch ended, and has the engine leave what it still does of it.
-func (d *dispatch) end(o decide.Outcome) {
+// end reports the end of a dispatch to the policy, and cancels what the engine still does for it.
+func (d *dispatch) end(outcome decide.Outcome) {
 	if d.ended {
 		return
 	}
@@ -251,7 +253,7 @@
 		d.cancelTransfer()
 		d.fetchFrom.releaseState()
 	}
-	if job := d.job; job != nil && (o == decide.TimedOut || o == decide.Cancelled) {
+	if job := d.job; job != nil && (outcome == decide.TimedOut || outcome == decide.Cancelled) {
 		w.clock.After(w.settings.OneWayDelay, func() {
 			d.engine.Cancel(job.ID)
 			if d.isRead {
@@ -259,13 +261,13 @@
 			}
 		})
 	}
-	if o == decide.Read {
+	if outcome == decide.Read {
 		c.heldState = d
 	}
-	done := d == c.winner
-	if done && o == decide.Finished {
+	answered := d == c.winner
+	if answered && outcome == decide.Finished {
 		c.recordAnswer(&w.result.Finished)
-	} else if done {
+	} else if answered {
 		c.recordAnswer(&w.result.Aborted)
 	}
 	report := reportValues(d.engine.Report())
@@ -273,7 +275,7 @@
 		report = nil
 	}
 	c.router.callCompletion(c, func(h handle) {
-		h.DispatchEnded(d.index, o, w.clock.Now()-d.sentAt, done, float64(d.cachedTokens), report)
+		h.DispatchEnded(d.index, outcome, w.clock.Now()-d.sentAt, answered, float64(d.cachedTokens), report)
 	})
 	if c.handle != nil && c.handle.Closed() && c.heldState != nil {
 		c.heldState.releaseState()
@@ -281,7 +283,7 @@
 	}
 }
 
-// cut ends a dispatch whose router is gone: nobody is told.
+// discard ends a dispatch whose router died, without reporting it.
 func (d *dispatch) discard() {
 	if d.ended {
 		return
@@ -298,7 +300,7 @@
 	}
 }
 
-// letGo has a reader drop a state.
+// releaseState has the reader release a held state.
 func (d *dispatch) releaseState() {
 	d.completion.router.world.clock.After(d.completion.router.world.settings.OneWayDelay, func() { d.engine.Release(d.job.ID) })
 }
@@ -307,11 +309,11 @@
 	return []float64{float64(r.Waiting), r.SlotsUsed, r.MemoryUsed, float64(r.UnreadTokens) / 1000}
 }
 
-// Reserve is not played: settings must not allow it.
+// Reserve always reports that nothing is reserved: the model has no reservations, and the settings must not allow them.
 func (r *router) Reserve(id uint64, engine int) {
 	c := r.openCompletions[id]
-	n := len(c.dispatches)
-	r.world.clock.After(0, func() { r.callCompletion(c, func(h handle) { h.ReservationAnswered(n, false) }) })
+	number := len(c.dispatches)
+	r.world.clock.After(0, func() { r.callCompletion(c, func(h handle) { h.ReservationAnswered(number, false) }) })
 }
 
 func (r *router) Release(id uint64) {
@@ -341,47 +343,47 @@
 }
 
 func (r *router) SetRouterTimer(after float64) {
-	if r.world.clock.Now() > r.world.settings.Duration+timerGraceSeconds { // it would go on for ever
+	if r.world.clock.Now() > r.world.settings.Duration+timerGraceSeconds { // otherwise the day would never end
 		return
 	}
-	life := r.lifetime
+	lifetime := r.lifetime
 	r.world.clock.After(after, func() {
-		if life == r.lifetime {
+		if lifetime == r.lifetime {
 			r.callPolicy(r.policy.TimerFired)
 		}
 	})
 }
 
-// wakesAfter is how long after the last completion came a router is still woken, in seconds: longer than any
+// timerGraceSeconds is how long after the last arrival of a completion the router timer still runs: longer than any
 // client timeout.
 const timerGraceSeconds = 120
 
 func (r *router) Probe(engine int) {
-	life := r.lifetime
+	lifetime := r.lifetime
 	if report := r.peer.freshReport(engine); report != nil {
 		r.world.clock.After(0, func() {
-			if life == r.lifetime {
+			if lifetime == r.lifetime {
 				r.callPolicy(func() { r.policy.ProbeEnded(engine, decide.Finished, report) })
 			}
 		})
 		return
 	}
 	r.world.result.Probes++
-	r.probeEngine(engine, life, func(decide.Outcome, []float64) {})
+	r.probeEngine(engine, lifetime, func(decide.Outcome, []float64) {})
 }
 
-// probe asks an engine for its figures, tells decide and then whoever asked.
-func (r *router) probeEngine(engine, life int, told func(decide.Outcome, []float64)) {
+// probeEngine requests an engine's load report, and passes it to the policy and to onResult.
+func (r *router) probeEngine(engine, lifetime int, onResult func(decide.Outcome, []float64)) {
 	w, e := r.world, r.world.engines[engine]
 	w.clock.After(w.settings.OneWayDelay, func() {
-		o, report := decide.Finished, reportValues(e.Report())
+		outcome, report := decide.Finished, reportValues(e.Report())
 		if e.down {
-			o, report = decide.Unreachable, nil
+			outcome, report = decide.Unreachable, nil
 		}
 		w.clock.After(w.settings.OneWayDelay, func() {
-			if life == r.lifetime {
-				r.callPolicy(func() { r.policy.ProbeEnded(engine, o, report) })
-				told(o, report)
+			if lifetime == r.lifetime {
+				r.callPolicy(func() { r.policy.ProbeEnded(engine, outcome, report) })
+				onResult(outcome, report)
 			}
 		})
 	})
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -1,6 +1,6 @@
-// Package lab plays whole days in virtual time: routers, each with the decide.Router that the program runs, before
-// modelled engines (internal/emulate), with clients that come by chance. The same settings and seed give the same
-// result, to the byte. It does no I/O; figures from it are of a model, never of engines.
+// Package lab runs whole days in virtual time: routers with the decide.Router that the program runs, modelled engines
+// (internal/emulate) and clients with random arrivals. The same settings and seed give exactly the same result. It does
+// no I/O; its figures are those of a model, not of real engines.
 package lab
 
 import (
@@ -14,7 +14,7 @@
 	"cherryhub/internal/emulate"
 )
 
-// Group is some engines that are alike.
+// EngineGroup is a set of identical engines.
 type EngineGroup struct {
 	Role  decide.Role
 	Count int
@@ -23,54 +23,54 @@
 	Model emulate.Model
 }
 
-// Load is one kind of completion as clients send it.
+// Load describes one class of completions that clients send. Times are in seconds.
 type Load struct {
 	Rate               float64 // completions a second, over all routers
-	Workload           int     // of Settings.Decide
-	MeanPromptTokens   float64 // mean tokens of what is the client's own, exponential
-	SharedPrefixTokens int     // tokens of the beginning that all of this kind share
-	MeanOutputTokens   float64 // mean tokens, exponential
-	ClientTimeout      float64 // client timeout, seconds to the first token
-	MaxOutputTokens    int     // tokens that a client asks for at most
-	Turns              int     // turns of a session on the mean, 1 or more; a turn's prompt has the one before in it
-	MeanTurnGap        float64 // seconds between two turns, mean
-	ValuePerToken      float64 // of what is counted as value: the workload's value for a thousand tokens, say
+	Workload           int     // index in Settings.Decide.Workloads
+	MeanPromptTokens   float64 // without the shared prefix and the turns before; exponential
+	SharedPrefixTokens int     // prefix that all prompts of this load share
+	MeanOutputTokens   float64 // exponential
+	ClientTimeout      float64 // until the first token
+	MaxOutputTokens    int     // the client's limit
+	Turns              int     // turns of a session, 1 or more; a turn's prompt contains the turns before
+	MeanTurnGap        float64 // between two turns
+	ValuePerToken      float64 // value of a completion for each token of prompt and output
 }
 
-// Settings are a day's.
+// Settings configures a day. Times are in seconds.
 type Settings struct {
 	Seed                uint64
-	Duration            float64 // seconds in which completions come
+	Duration            float64 // time in which completions arrive
 	Routers             int
 	Groups              []EngineGroup
 	Loads               []Load
-	Baseline            Baseline // decides in place of decide.Router, None for none
-	Peers               *Peers   // nil: each router probes for itself
+	Baseline            Baseline // replaces decide.Router, NoBaseline for none
+	Peers               *Peers   // shared probing; nil: each router probes for itself
 	Troubles            []Trouble
-	ListDelay           float64 // seconds until the routers hear of an engine's death or return
-	Zones               int     // of routers, in turn; 0 for one
-	OneWayDelay         float64 // seconds between a router and an engine, one way
-	LinkTokensPerSecond float64 // tokens of state a second out of each reader's cell
+	ListDelay           float64 // until the routers learn of an engine's death or return
+	Zones               int     // zones that routers are assigned to in turn; 0 for one
+	OneWayDelay         float64 // between a router and an engine
+	LinkTokensPerSecond float64 // tokens of state out of each reader's cell
 	Decide              decide.Settings
-	OnDispatch          func(at float64, engine int) // hears of each dispatch, nil for none
+	OnDispatch          func(at float64, engine int) // called for each dispatch; may be nil
 }
 
-// Result is what a day came to.
+// Result holds the figures of a day.
 type Result struct {
 	Completions, Finished, RateLimited, Aborted int
 	InTarget                                    int                     // first token within the latency target
-	OfferedValue, ServedValue                   float64                 // offered; and of those in target
-	TTFT                                        *hdrhistogram.Histogram // µs, of those finished
-	Lost                                        int                     // with their router
+	OfferedValue, ServedValue                   float64                 // of all completions; of those in target
+	TTFT                                        *hdrhistogram.Histogram // µs, of completions with a first token
+	Lost                                        int                     // no final answer because their router died or none was up
 	Dispatches, Probes                          int
 	Preemptions                                 uint64
 	Events                                      uint64
-	Unanswered                                  int // that had no final answer at the end: none, or a rule is broken
-	DuplicateAnswers                            int // final answers after the first: the same
-	LateAnswers                                 int // answers, or first tokens, after the client timeout: the same
+	Unanswered                                  int // without a final answer at the end; above 0 is a broken rule
+	DuplicateAnswers                            int // final answers after the first; above 0 is a broken rule
+	LateAnswers                                 int // answers or first tokens after the client timeout; above 0 is a broken rule
 }
 
-// Score is the part of the value that was served.
+// Score returns the share of the offered value that was served.
 func (r *Result) Score() float64 {
 	if r.OfferedValue == 0 {
 		return 0
@@ -89,7 +89,7 @@
 	result   Result
 }
 
-// box is an engine with its place.
+// engine is a modelled engine with its position in the day's world.
 type engine struct {
 	*emulate.Engine
 	index     int
@@ -97,18 +97,19 @@
 	lastJobID uint64
 	down      bool
 	phase     decide.Phase
-	startedAt float64 // on the clock; far below 0 for long ago
+	startedAt float64 // on the world's clock; far below 0 for long ago
 }
 
-// Run plays a day.
+// Run runs a day.
 func Run(s Settings) (*Result, error) {
 	w := &world{settings: s, links: map[int]*emulate.Link{}, rng: rand.New(rand.NewPCG(s.Seed, 1))}
 	w.result.TTFT = hdrhistogram.New(1, 3_600_000_000, 3)
 	if int(s.Baseline) >= baselineCount {
-		return nil, fmt.Errorf("lab: baseline %d is none", s.Baseline)
+		return nil, fmt.Errorf("lab: unknown baseline %d", s.Baseline)
 	}
 	if s.Routers < 1 || len(s.Groups) == 0 || !(s.Duration > 0) || !(s.LinkTokensPerSecond > 0) || !(s.OneWayDelay >= 0) {
-		return nil, fmt.Errorf("lab: routers, groups, length and link: wanted 1 or more, above 0: %d, %d, %v, %v", s.Routers, len(s.Groups), s.Duration, s.LinkTokensPerSecond)
+		return nil, fmt.Errorf("lab: %d routers, %d groups, length %v, link %v: want at least 1 router and 1 group, a length and a link above 0, a delay of 0 or more",
+			s.Routers, len(s.Groups), s.Duration, s.LinkTokensPerSecond)
 	}
 	s.Decide.Roles, s.Decide.Memory = nil, nil
 	for i := range s.Groups {
@@ -156,7 +157,7 @@
 	}
 	w.clock.Run(s.Duration)
 	if !w.clock.Drain(1 << 40) {
-		return nil, fmt.Errorf("lab: the day never ends")
+		return nil, fmt.Errorf("lab: the day did not end within 2^40 events")
 	}
 	w.result.Events = w.clock.EventCount()
 	for _, e := range w.engines {
@@ -170,31 +171,32 @@
 
 const startedLongAgo = -1e6
 
-// fact is what the list says of an engine, on a router's clock.
+// engineEntry returns an engine's entry in the engine list, with its start on a router's clock.
 func (w *world) engineEntry(e *engine, phase decide.Phase, r *router) decide.EngineEntry {
-	kind := 0
-	for &w.settings.Groups[kind] != e.group {
-		kind++
+	machineKind := 0
+	for &w.settings.Groups[machineKind] != e.group {
+		machineKind++
 	}
-	return decide.EngineEntry{Index: e.index, Hash: uint64(e.index+1) * 0x9E3779B97F4A7C15, Zone: e.group.Zone, MachineKind: kind, Cell: e.group.Cell,
+	return decide.EngineEntry{Index: e.index, Hash: uint64(e.index+1) * 0x9E3779B97F4A7C15, Zone: e.group.Zone, MachineKind: machineKind,
+		Cell:  e.group.Cell,
 		Phase: phase, StartedAt: e.startedAt - r.startedAt}
 }
 
-// pick is the router that a client comes to: any that is up, nil if none is.
+// pickRouter returns a random router that is up, nil if none is.
 func (w *world) pickRouter() *router {
-	first := w.rng.IntN(len(w.routers))
+	offset := w.rng.IntN(len(w.routers))
 	for i := range w.routers {
-		if r := w.routers[(first+i)%len(w.routers)]; !r.down {
+		if r := w.routers[(offset+i)%len(w.routers)]; !r.down {
 			return r
 		}
 	}
 	return nil
 }
 
-// come has a load's next session come, and plans the one after it.
-func (w *world) scheduleSessions(l *Load) {
-	sessions := l.Rate / float64(max(1, l.Turns))
-	if sessions <= 0 {
+// scheduleSessions schedules the sessions of a load as a Poisson process.
+func (w *world) scheduleSessions(load *Load) {
+	sessionRate := load.Rate / float64(max(1, load.Turns))
+	if sessionRate <= 0 {
 		return
 	}
 	var arrive func()
@@ -203,16 +205,16 @@
 			return
 		}
 		w.lastID++
-		w.playTurn(l, w.lastID, 0, l.SharedPrefixTokens)
-		w.clock.After(w.rng.ExpFloat64()/sessions, arrive)
+		w.sendTurn(load, w.lastID, 0, load.SharedPrefixTokens)
+		w.clock.After(w.rng.ExpFloat64()/sessionRate, arrive)
 	}
-	w.clock.After(w.rng.ExpFloat64()/sessions, arrive)
+	w.clock.After(w.rng.ExpFloat64()/sessionRate, arrive)
 }
 
-// turn is one completion of a session whose prompt has so many tokens of the turns before in it.
-func (w *world) playTurn(l *Load, session uint64, n, before int) {
-	c := &completion{load: l, session: session, promptTokens: before + 1 + int(w.rng.ExpFloat64()*l.MeanPromptTokens),
-		outputTokens: min(1+int(w.rng.ExpFloat64()*l.MeanOutputTokens), max(1, l.MaxOutputTokens))}
+// sendTurn sends one completion of a session, whose prompt contains previousTokens of shared prefix and earlier turns.
+func (w *world) sendTurn(load *Load, session uint64, turn, previousTokens int) {
+	c := &completion{load: load, session: session, promptTokens: previousTokens + 1 + int(w.rng.ExpFloat64()*load.MeanPromptTokens),
+		outputTokens: min(1+int(w.rng.ExpFloat64()*load.MeanOutputTokens), max(1, load.MaxOutputTokens))}
 	w.lastID++
 	c.id = w.lastID
 	if r := w.pickRouter(); r != nil {
@@ -222,24 +224,25 @@
 		w.result.OfferedValue += c.value()
 		w.result.Lost++
 	}
-	if n+1 < l.Turns {
-		w.clock.After(w.rng.ExpFloat64()*l.MeanTurnGap, func() {
+	if turn+1 < load.Turns {
+		w.clock.After(w.rng.ExpFloat64()*load.MeanTurnGap, func() {
 			if w.clock.Now() <= w.settings.Duration {
-				w.playTurn(l, session, n+1, c.promptTokens+c.outputTokens)
+				w.sendTurn(load, session, turn+1, c.promptTokens+c.outputTokens)
 			}
 		})
 	}
 }
 
-// hashes are of a prompt's whole blocks: the shared beginning is of the load, the rest of the session.
-func (c *completion) blockHashes(block int) []uint64 {
-	all := make([]uint64, c.promptTokens/block)
-	for i := range all {
-		of := c.session
-		if (i+1)*block <= c.load.SharedPrefixTokens {
-			of = math.MaxUint32 - uint64(c.load.Workload)
+// blockHashes returns the hashes of a prompt's full blocks: those in the shared prefix are common to the workload, the
+// others belong to the session.
+func (c *completion) blockHashes(blockTokens int) []uint64 {
+	hashes := make([]uint64, c.promptTokens/blockTokens)
+	for i := range hashes {
+		owner := c.session
+		if (i+1)*blockTokens <= c.load.SharedPrefixTokens {
+			owner = math.MaxUint32 - uint64(c.load.Workload)
 		}
-		all[i] = of<<24 | uint64(i+1)
+		hashes[i] = owner<<24 | uint64(i+1)
 	}
-	return all
+	return hashes
 }
