--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// completionCall is a completion as its client sends it.
+// completionCall is a completion as its client sends it. The fields after rng describe its current attempt.
 type completionCall struct {
 	load          *clientLoad
 	workload      *pb.Workload
@@ -209,10 +209,10 @@
 	rng           *rand.Rand
 
 	timeout       float64
-	timeoutStated bool
+	timeoutStated bool    // sent in the Cherryhub-Timeout header
 	leaveAfter    float64 // 0: the client does not leave early
 	id            int64
-	firstTry      int64
+	firstTry      int64 // id of the first attempt
 	answer        string
 	promptTokens  int
 }
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -53,11 +53,11 @@
 
 // routerProcess is the process of a router.
 type routerProcess struct {
-	name, zone, address, source string
+	name, zone, address, source string // source is the address that it dials from
 	settingsFile                string
 	mu                          sync.Mutex
 	cmd                         *exec.Cmd
-	exited                      chan error
+	exited                      chan error // receives the result of cmd.Wait
 }
 
 // Run runs a day whose settings were checked. Its error is about the run; broken rules are no error.
--- a/internal/emulate/engine.go
+++ b/internal/emulate/engine.go
@@ -78,8 +78,8 @@
 	tokensWritten   int // in total, across preemptions
 	recomputeTokens int // part of tokensWritten that has to be read again after a preemption
 	started         bool
-	chunkTokens     int // tokens read in the current step
-	writing         bool
+	chunkTokens     int  // tokens read in the current step
+	writing         bool // writes a token in the current step
 	stateLost       bool // preempted: a fetched state is gone and the prompt has to be read
 	finished        bool
 	endReported     bool // OnEnd was called
@@ -125,8 +125,8 @@
 	onStepEnd      func() // called at the end of the current step, nil if no step runs
 	stepEndPending bool   // the current step ended while the engine was paused
 	cancelStep     func()
-	lifetime       int
-	admitting      bool
+	lifetime       int  // counts calls of Kill
+	admitting      bool // admitWaiting runs; its callbacks must not start a step
 
 	preemptions uint64
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -39,18 +39,18 @@
 		return nil, fmt.Errorf("lab: experiment has %d days, %d variants and %d seeds, want at least one of each", len(x.Days), len(x.Variants),
 			len(x.Seeds))
 	}
-	o := &ExperimentResults{}
+	results := &ExperimentResults{}
 	type task struct{ day, variant, seed int }
 	tasks := make(chan task)
 	for _, v := range x.Variants {
-		o.Variants = append(o.Variants, v.Name)
+		results.Variants = append(results.Variants, v.Name)
 	}
 	for range x.Days {
 		byVariant := make([][]*Result, len(x.Variants))
 		for v := range byVariant {
 			byVariant[v] = make([]*Result, len(x.Seeds))
 		}
-		o.Results = append(o.Results, byVariant)
+		results.Results = append(results.Results, byVariant)
 	}
 	workers := x.Workers
 	if workers <= 0 {
@@ -74,7 +74,7 @@
 					cancel(fmt.Errorf("lab: day %d, variant %s, seed %d: %w", t.day, x.Variants[t.variant].Name, s.Seed, err))
 					return
 				}
-				o.Results[t.day][t.variant][t.seed] = r // each task has its own element
+				results.Results[t.day][t.variant][t.seed] = r // each task has its own element
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 	if err := context.Cause(ctx); err != nil {
 		return nil, err
 	}
-	return o, nil
+	return results, nil
 }
 
 // Difference is the difference in a metric between a variant and the first variant, over pairs of the same day and
@@ -113,16 +113,16 @@
 
 // Compare returns the differences in a metric, such as (*Result).Score, of each variant to the first. The bootstrap has
 // a fixed seed, so that the same results give the same intervals.
-func (o *ExperimentResults) Compare(metric func(*Result) float64) []Difference {
+func (results *ExperimentResults) Compare(metric func(*Result) float64) []Difference {
 	var differences []Difference
-	for v := 1; v < len(o.Variants); v++ {
+	for v := 1; v < len(results.Variants); v++ {
 		var pairs []float64
-		for _, byVariant := range o.Results {
+		for _, byVariant := range results.Results {
 			for s := range byVariant[v] {
 				pairs = append(pairs, metric(byVariant[v][s])-metric(byVariant[0][s]))
 			}
 		}
-		differences = append(differences, NewDifference(o.Variants[v], pairs))
+		differences = append(differences, NewDifference(results.Variants[v], pairs))
 	}
 	return differences
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -15,7 +15,7 @@
 // lost. Times are in seconds; Settle, Lease and HandOver are those of duty.Settings.
 type Peers struct {
 	Interval   float64 // between two probes of an engine
-	Candidates int
+	Candidates int     // of each probe, as in duty.Duty
 	Settle     float64
 	Lease      float64
 	HandOver   float64
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -133,8 +133,8 @@
 	policy          *baselinePolicy
 	id              uint64
 	prompt          decide.Prompt
-	deadline        float64
-	dispatchEngines []int // by dispatch
+	deadline        float64 // when the baseline gives up
+	dispatchEngines []int   // by dispatch
 	outstanding     int
 	hasState        bool // a reader holds its state
 	mayHaveRun      bool // a dispatch may have run
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -59,7 +59,7 @@
 	lifetime                   int // the router's lifetime that accepted it
 	handle                     handle
 	dispatches                 []*dispatch
-	winner                     *dispatch
+	winner                     *dispatch // the first dispatch with a token
 	answered                   bool
 	heldState                  *dispatch // the read whose state is held at its reader
 }
@@ -76,7 +76,7 @@
 	ended          bool
 	cancelTimeout  func()
 	cancelTransfer func()    // nil if no transfer is in progress
-	fetchFrom      *dispatch // the read whose state a write fetches
+	fetchFrom      *dispatch // the read whose state a write fetches, nil if it reads the prompt itself
 }
 
 // callPolicy makes a call to the policy at the clock's time.
@@ -131,7 +131,8 @@
 	if c.winner == nil && c.router.world.clock.Now()-c.arrivedAt > c.load.ClientTimeout {
 		c.router.world.result.LateAnswers++
 	}
-	c.router.world.clock.After(0, func() { c.router.removeIfClosed(c) }) // the answer may come from a call on the router instead of the completion
+	// The completion may also close during a policy call that is not about it, after which callCompletion does not check.
+	c.router.world.clock.After(0, func() { c.router.removeIfClosed(c) })
 }
 
 // Dispatch implements decide.Actions, as do the methods below.
@@ -305,6 +306,7 @@
 	d.completion.router.world.clock.After(d.completion.router.world.settings.OneWayDelay, func() { d.engine.Release(d.job.ID) })
 }
 
+// reportValues returns the values of a load report for the columns queue, util, x0 and x1.
 func reportValues(r emulate.Report) []float64 {
 	return []float64{float64(r.Waiting), r.SlotsUsed, r.MemoryUsed, float64(r.UnreadTokens) / 1000}
 }
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -169,6 +169,7 @@
 	return &w.result, nil
 }
 
+// startedLongAgo is the start time in seconds of engines that run since long before the day: they are warm.
 const startedLongAgo = -1e6
 
 // engineEntry returns an engine's entry in the engine list, with its start on a router's clock.
