--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts routers' decisions on the wire of standard input and output.
+// Command adapter serves routing decisions over standard input and output, in the protocol of package wire.
 package main
 
 import (
--- a/cmd/cherryhub/admin.go
+++ b/cmd/cherryhub/admin.go
@@ -16,42 +16,42 @@
 	"cherryhub/internal/router"
 )
 
-// adminMost bounds an answer of an admin address, in bytes.
+// maxAdminResponseBytes limits the response that is read from an admin address.
 const maxAdminResponseBytes = 64 << 20
 
-// ask reads JSON from a running router's admin address.
-func getAdminJSON(address, path string, into any) error {
+// getAdminJSON reads a JSON response from the admin address of a running router.
+func getAdminJSON(address, path string, v any) error {
 	client := &http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", address, err)
+		return fmt.Errorf("admin request to %s: %w", address, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("ask %s%s: status %d", address, path, resp.StatusCode)
+		return fmt.Errorf("admin request to %s%s: status %d", address, path, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAdminResponseBytes)).Decode(into); err != nil {
-		return fmt.Errorf("ask %s%s: %w", address, path, err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAdminResponseBytes)).Decode(v); err != nil {
+		return fmt.Errorf("admin request to %s%s: %w", address, path, err)
 	}
 	return nil
 }
 
-// adminCommand is a command that shows what an admin address tells, as a table or as JSON.
-func adminCommand[T any](use, short, path string, table func(w io.Writer, all T)) *cobra.Command {
+// adminCommand returns a command that shows a JSON response of an admin address, as a table or as JSON.
+func adminCommand[T any](use, short, path string, printTable func(w io.Writer, response T)) *cobra.Command {
 	var address string
 	var asJSON bool
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		var all T
-		if err := getAdminJSON(address, path, &all); err != nil {
+		var response T
+		if err := getAdminJSON(address, path, &response); err != nil {
 			return err
 		}
 		if asJSON {
 			e := json.NewEncoder(os.Stdout)
 			e.SetIndent("", "  ")
-			return e.Encode(all)
+			return e.Encode(response)
 		}
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		table(w, all)
+		printTable(w, response)
 		return w.Flush()
 	}}
 	c.Flags().StringVar(&address, "admin", "127.0.0.1:8081", "the router's admin address")
@@ -59,26 +59,26 @@
 	return c
 }
 
-func yesOrDash(so bool) string {
-	if so {
+func yesOrDash(b bool) string {
+	if b {
 		return "yes"
 	}
 	return "-"
 }
 
 func peersCommand() *cobra.Command {
-	return adminCommand("peers", "Show the routers that a running router knows", "/peers", func(w io.Writer, all []router.PeerStatus) {
+	return adminCommand("peers", "Show the routers that a running router knows", "/peers", func(w io.Writer, peers []router.PeerStatus) {
 		fmt.Fprintln(w, "name\tzone\tweight\tself\tin sight\ton the roster")
-		for _, p := range all {
+		for _, p := range peers {
 			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\n", p.Name, p.Zone, p.Weight, yesOrDash(p.Self), yesOrDash(p.Alive), yesOrDash(p.OnRoster))
 		}
 	})
 }
 
 func dutiesCommand() *cobra.Command {
-	return adminCommand("duties", "Show who does which periodic duty, and which are late", "/duties", func(w io.Writer, all []router.DutyStatus) {
+	return adminCommand("duties", "Show the owner of each periodic duty, and which duties are late", "/duties", func(w io.Writer, duties []router.DutyStatus) {
 		fmt.Fprintln(w, "duty\tsubject\towner\tepoch\tdone\tlate\tcandidates")
-		for _, d := range all {
+		for _, d := range duties {
 			done, late := "never", "-"
 			if d.SecondsSinceDone >= 0 {
 				done = fmt.Sprintf("%.2f s ago", d.SecondsSinceDone)
@@ -92,20 +92,20 @@
 }
 
 func admissionCommand() *cobra.Command {
-	return adminCommand("admission", "Show who holds connections, what is kept for whom, and what was refused", "/admission",
+	return adminCommand("admission", "Show pool usage, connection holders and refusals of a running router", "/admission",
 		func(w io.Writer, s router.AdmissionStatus) {
 			if !s.On {
-				fmt.Fprintln(w, "everybody is let in")
+				fmt.Fprintln(w, "admission control is off")
 				return
 			}
 			fmt.Fprintln(w, s.Descriptors)
 			fmt.Fprintln(w, "\nroom\tused\tmost")
-			for _, r := range s.Pools {
-				fmt.Fprintf(w, "%s\t%d\t%d\n", r.Name, r.Used, r.Max)
+			for _, pool := range s.Pools {
+				fmt.Fprintf(w, "%s\t%d\t%d\n", pool.Name, pool.Used, pool.Max)
 			}
 			fmt.Fprintf(w, "\nlet in\t%d\n\nreason\trefused\tended\n", s.Accepted)
-			for i := range admit.Reason(admit.NumReasons) {
-				if name := i.String(); s.Refused[name]+s.Evicted[name] > 0 {
+			for reason := range admit.Reason(admit.NumReasons) {
+				if name := reason.String(); s.Refused[name]+s.Evicted[name] > 0 {
 					fmt.Fprintf(w, "%s\t%d\t%d\n", name, s.Refused[name], s.Evicted[name])
 				}
 			}
--- a/cmd/cherryhub/day.go
+++ b/cmd/cherryhub/day.go
@@ -23,9 +23,9 @@
 )
 
 func dayCommand() *cobra.Command {
-	var out, logs string
+	var recordFile, logFile string
 	var asJSON bool
-	c := &cobra.Command{Use: "day FILE", Short: "Play a scripted day on loopback and check the rules", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "day FILE", Short: "Run a scripted day on loopback and check the rules", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			d := &pb.Day{}
 			if err := config.Load(args[0], d); err != nil {
@@ -36,19 +36,19 @@
 				return fmt.Errorf("day: %w", err)
 			}
 			defer os.RemoveAll(dir)
-			if out == "" {
-				out = filepath.Join(dir, "record")
+			if recordFile == "" {
+				recordFile = filepath.Join(dir, "record")
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return fmt.Errorf("day: %w", err)
 			}
-			o := day.Options{RouterCommand: []string{self, "serve", "--config"}, WorkDir: dir, RecordPath: out}
+			o := day.Options{RouterCommand: []string{executable, "serve", "--config"}, WorkDir: dir, RecordPath: recordFile}
 			if isTerminal(os.Stderr) {
 				o.OnProgress = func(text string) { fmt.Fprintln(os.Stderr, text) }
 			}
-			if logs != "" {
-				f, err := os.Create(logs)
+			if logFile != "" {
+				f, err := os.Create(logFile)
 				if err != nil {
 					return usageError{fmt.Errorf("--logs: %w", err)}
 				}
@@ -60,17 +60,17 @@
 			if err := day.Run(ctx, d, o); err != nil {
 				return err
 			}
-			return checkRecord(os.Stdout, out, asJSON)
+			return checkRecord(os.Stdout, recordFile, asJSON)
 		}}
-	c.Flags().StringVar(&out, "record", "", "keep the record in this file")
-	c.Flags().StringVar(&logs, "logs", "", "keep the routers' logs in this file")
+	c.Flags().StringVar(&recordFile, "record", "", "write the record to this file")
+	c.Flags().StringVar(&logFile, "logs", "", "write the routers' logs to this file")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
 	return c
 }
 
 func checkCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "check RECORD", Short: "Check the rules again from a record alone", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "check RECORD", Short: "Check the rules on an existing record", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return checkRecord(os.Stdout, args[0], asJSON) }}
 	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
 	return c
@@ -81,7 +81,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// judge prints the verdict on a record.
+// checkRecord checks the rules on a record and prints the report. It returns errCheckFailed if a rule is violated.
 func checkRecord(w io.Writer, file string, asJSON bool) error {
 	entries, err := record.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
@@ -109,18 +109,18 @@
 	return nil
 }
 
-// breachesMost is how many breaches of a rule the table shows; JSON has all.
+// maxViolationsShown is how many violations of one rule the table shows; JSON has all.
 const maxViolationsShown = 5
 
 func printTable(w io.Writer, r *rules.Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "day %s\ttaken\tfinished\trate-limited\taborted\tleft\tlate\tvalue served\n", r.Day)
-	for _, one := range r.Workloads {
+	for _, workload := range r.Workloads {
 		share := "-"
-		if one.OfferedValue > 0 {
-			share = fmt.Sprintf("%.1f%% of %.0f", 100*one.ServedValue/one.OfferedValue, one.OfferedValue)
+		if workload.OfferedValue > 0 {
+			share = fmt.Sprintf("%.1f%% of %.0f", 100*workload.ServedValue/workload.OfferedValue, workload.OfferedValue)
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", one.Name, one.Accepted, one.Finished, one.RateLimited, one.Aborted, one.ClientLeft, one.Late, share)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", workload.Name, workload.Accepted, workload.Finished, workload.RateLimited, workload.Aborted, workload.ClientLeft, workload.Late, share)
 	}
 	fmt.Fprintln(t, strings.Repeat("\t", 1))
 	for _, rule := range rules.AllRules() {
@@ -130,9 +130,9 @@
 		}
 		fmt.Fprintf(t, "rule: %v\t%s\t%d checked\n", rule, verdict, r.Checked[rule])
 		shown := 0
-		for _, b := range r.Violations {
-			if b.Rule == rule && shown < maxViolationsShown {
-				fmt.Fprintf(t, "  %.3f s, %s:\t%s\n", b.At, b.Exchange, b.Message)
+		for _, violation := range r.Violations {
+			if violation.Rule == rule && shown < maxViolationsShown {
+				fmt.Fprintf(t, "  %.3f s, %s:\t%s\n", violation.At, violation.Exchange, violation.Message)
 				shown++
 			}
 		}
--- a/cmd/cherryhub/lab.go
+++ b/cmd/cherryhub/lab.go
@@ -18,11 +18,11 @@
 )
 
 func labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Play experiments in virtual time"}
+	c := &cobra.Command{Use: "lab", Short: "Run simulated experiments in virtual time"}
 	var asJSON bool
 	var workers int
-	var save string
-	run := &cobra.Command{Use: "run EXPERIMENT", Short: "Play days by variants by seeds, and compare each variant with the first", Args: cobra.ExactArgs(1),
+	var saveFile string
+	run := &cobra.Command{Use: "run EXPERIMENT", Short: "Run all combinations of days, variants and seeds, and compare each variant with the first", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			x := &pb.Experiment{}
 			if err := loadSettings(args[0], "", x); err != nil {
@@ -30,43 +30,43 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
-			e := config.LabExperiment(x)
-			e.Workers = workers
-			o, err := e.Run(ctx)
+			experiment := config.LabExperiment(x)
+			experiment.Workers = workers
+			results, err := experiment.Run(ctx)
 			if err != nil {
 				return err
 			}
-			if save != "" {
-				if err := config.SaveResults(save, config.LabResults(x, o)); err != nil {
+			if saveFile != "" {
+				if err := config.SaveResults(saveFile, config.LabResults(x, results)); err != nil {
 					return err
 				}
 			}
-			return printExperiment(os.Stdout, o, asJSON)
+			return printExperiment(os.Stdout, results, asJSON)
 		}}
-	run.Flags().StringVar(&save, "save", "", "keep the results in a file, for lab compare")
+	run.Flags().StringVar(&saveFile, "save", "", "save the results to this file, for lab compare")
 	run.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	run.Flags().IntVar(&workers, "workers", 0, "days at once, 0 for one a core")
+	run.Flags().IntVar(&workers, "workers", 0, "parallel simulations, 0 for one per core")
 	compare := &cobra.Command{Use: "compare A B", Short: "Compare saved results: the same days, variants and seeds in B with those in A", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var both [2]*pb.LabResults
+			var saved [2]*pb.LabResults
 			for i, file := range args {
 				var err error
-				if both[i], err = config.LoadResults(file); err != nil {
+				if saved[i], err = config.LoadResults(file); err != nil {
 					return usageError{err}
 				}
 			}
-			all, err := config.CompareResults(both[0], both[1])
+			differences, err := config.CompareResults(saved[0], saved[1])
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-			fmt.Fprintf(w, "A is of %s, B of %s\nvariant\tscore, B to A\t95%%\tpairs\t\n", orUnknown(both[0].GetRevision()), orUnknown(both[1].GetRevision()))
-			for _, d := range all {
-				noise := ""
+			fmt.Fprintf(w, "A was made by %s, B by %s\nvariant\tscore, B to A\t95%%\tpairs\t\n", orUnknown(saved[0].GetRevision()), orUnknown(saved[1].GetRevision()))
+			for _, d := range differences {
+				note := ""
 				if !d.Distinct {
-					noise = "may be noise"
+					note = "may be noise"
 				}
-				fmt.Fprintf(w, "%s\t%+.3f\t%+.3f to %+.3f\t%d\t%s\n", d.Variant, d.Mean, d.Low, d.High, d.Pairs, noise)
+				fmt.Fprintf(w, "%s\t%+.3f\t%+.3f to %+.3f\t%d\t%s\n", d.Variant, d.Mean, d.Low, d.High, d.Pairs, note)
 			}
 			return w.Flush()
 		}}
@@ -81,7 +81,7 @@
 	return revision
 }
 
-// labRow is a variant over all days and seeds.
+// labRow has the totals of one variant over all days and seeds.
 type labRow struct {
 	Variant     string          `json:"variant"`
 	Score       float64         `json:"score"`
@@ -95,19 +95,19 @@
 	Compared    *lab.Difference `json:"score_compared_to_first,omitempty"`
 }
 
-func printExperiment(to io.Writer, o *lab.ExperimentResults, asJSON bool) error {
-	differences := o.Compare((*lab.Result).Score)
+func printExperiment(out io.Writer, results *lab.ExperimentResults, asJSON bool) error {
+	differences := results.Compare((*lab.Result).Score)
 	var rows []labRow
-	for v, name := range o.Variants {
+	for v, name := range results.Variants {
 		row := labRow{Variant: name}
 		ttft := hdrhistogram.New(1, 3_600_000_000, 3)
-		n := 0
-		for _, day := range o.Results {
+		runs := 0
+		for _, day := range results.Results {
 			for _, r := range day[v] {
 				if r.Unanswered+r.DuplicateAnswers+r.LateAnswers > 0 {
-					return fmt.Errorf("lab: variant %s breaks a rule: %d completions have no final answer, %d two, %d a late one", name, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
+					return fmt.Errorf("lab: variant %s violates a rule: %d completions have no final answer, %d have two, %d have a late one", name, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
 				}
-				n++
+				runs++
 				row.Score += r.Score()
 				row.Completions += r.Completions
 				row.Finished += r.Finished
@@ -117,7 +117,7 @@
 				ttft.Merge(r.TTFT)
 			}
 		}
-		row.Score /= float64(n)
+		row.Score /= float64(runs)
 		row.TTFTP50, row.TTFTP99 = float64(ttft.ValueAtQuantile(50))/1e6, float64(ttft.ValueAtQuantile(99))/1e6
 		if v > 0 {
 			row.Compared = &differences[v-1]
@@ -125,11 +125,11 @@
 		rows = append(rows, row)
 	}
 	if asJSON {
-		e := json.NewEncoder(to)
+		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
 		return e.Encode(rows)
 	}
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "variant\tscore\tcompared to the first (95%)\tttft p50\tp99\tcompletions\tfinished\trate-limited\taborted\tlost")
 	for _, r := range rows {
 		compared := "-"
@@ -142,6 +142,6 @@
 		fmt.Fprintf(w, "%s\t%.3f\t%s\t%.3f s\t%.3f s\t%d\t%d\t%d\t%d\t%d\n", r.Variant, r.Score, compared, r.TTFTP50, r.TTFTP99,
 			r.Completions, r.Finished, r.RateLimited, r.Aborted, r.Lost)
 	}
-	fmt.Fprintln(w, "\nA model in virtual time, no engines: docs/emulator.md.")
+	fmt.Fprintln(w, "\nSimulated in virtual time, without engines: see docs/emulator.md.")
 	return w.Flush()
 }
--- a/cmd/cherryhub/main.go
+++ b/cmd/cherryhub/main.go
@@ -1,7 +1,7 @@
-// Command cherryhub is the operators' program: it serves as a router, starts stand-in engines, plays scripted
-// days and checks records and settings. It decides nothing.
+// Command cherryhub is the program for operators: it runs a router or stand-in engines, runs scripted days, simulations,
+// benchmarks and fault tests, and checks records and settings. It has no routing logic of its own.
 //
-// Exit codes: 0 good; 1 a rule is broken, a check failed or a part failed; 2 bad use or bad settings.
+// Exit codes: 0 success; 1 a rule was violated, a check failed or a component failed; 2 wrong usage or invalid settings.
 package main
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/spf13/cobra"
 )
 
-// usage marks an error of use or settings.
+// usageError marks wrong usage or invalid settings, for exit code 2.
 type usageError struct{ error }
 
 func (u usageError) Unwrap() error { return u.error }
 
-// errBroken is told already: only the exit code is left to say.
-var errCheckFailed = errors.New("broken")
+// errCheckFailed is returned after a failed check has been reported in the output. It only sets the exit code.
+var errCheckFailed = errors.New("check failed")
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -29,13 +29,13 @@
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.SetArgs(args)
 	err := root.Execute()
-	var bad usageError
+	var usageErr usageError
 	switch {
 	case err == nil:
 		return 0
 	case errors.Is(err, errCheckFailed):
 		return 1
-	case errors.As(err, &bad):
+	case errors.As(err, &usageErr):
 		fmt.Fprintln(os.Stderr, "cherryhub:", err)
 		return 2
 	}
--- a/cmd/cherryhub/main_test.go
+++ b/cmd/cherryhub/main_test.go
@@ -19,8 +19,8 @@
 	pb "cherryhub/proto"
 )
 
-// written is a record of one completion that ended as kind says, or of none.
-func written(t *testing.T, kind pb.ClientEvent_Kind) string {
+// writeRecord writes a record of one completion with the given final event and returns the file's path.
+func writeRecord(t *testing.T, kind pb.ClientEvent_Kind) string {
 	file := filepath.Join(t.TempDir(), "record")
 	w, err := record.Create(file, &pb.Head{Day: proto.String("d"), ValueUnitTokens: proto.Float64(1000), Workloads: []*pb.Workload{{Name: proto.String("w")}}})
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 	return file
 }
 
-// TestExitCodes: 0 good, 1 a rule is broken or a check failed, 2 bad use or bad settings.
+// TestExitCodes checks the exit codes: 0 success, 1 a violated rule or a failed check, 2 wrong usage or invalid settings.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad")
 	require.NoError(t, os.WriteFile(bad, []byte("odd: 1"), 0o600))
@@ -39,22 +39,22 @@
 	require.NoError(t, os.WriteFile(small, []byte(`seeds: 2 variants { name: "a" } variants { name: "b" policy: RANDOM }
 days { name: "d" length_s: 5 groups { role: READER } groups { role: WRITER count: 2 } loads { workload: "w" turns: 2 }
 router { machines { name: "m" role: MIXED } workloads { name: "w" } list {} } }`), 0o600))
-	cut := filepath.Join(t.TempDir(), "cut")
-	require.NoError(t, os.WriteFile(cut, []byte("not a record"), 0o600))
+	truncated := filepath.Join(t.TempDir(), "cut")
+	require.NoError(t, os.WriteFile(truncated, []byte("not a record"), 0o600))
 	for line, want := range map[string]int{
 		"config check ../../deploy/examples/router.textproto":             0,
 		"config print ../../deploy/examples/router.textproto":             0,
 		"config check --kind day ../../deploy/days/every.textproto":       0,
 		"config check --kind fleet ../../deploy/examples/fleet.textproto": 0,
-		"check " + written(t, pb.ClientEvent_FINISHED):                    0,
-		"check --json " + written(t, pb.ClientEvent_FINISHED):             0,
-		"check " + written(t, pb.ClientEvent_GAVE_UP):                     1,
-		"check --json " + written(t, pb.ClientEvent_GAVE_UP):              1,
+		"check " + writeRecord(t, pb.ClientEvent_FINISHED):                0,
+		"check --json " + writeRecord(t, pb.ClientEvent_FINISHED):         0,
+		"check " + writeRecord(t, pb.ClientEvent_GAVE_UP):                 1,
+		"check --json " + writeRecord(t, pb.ClientEvent_GAVE_UP):          1,
 		"config check --kind lab ../../deploy/labs/policies.textproto":    0,
 		"lab run " + small:               0,
 		"lab run --json " + small:        0,
 		"lab run " + bad:                 2,
-		"check " + cut:                   1,
+		"check " + truncated:             1,
 		"check /nowhere/at/all":          2,
 		"config check " + bad:            2,
 		"config check --kind odd " + bad: 2,
@@ -71,9 +71,9 @@
 	}
 }
 
-func TestTable(t *testing.T) {
+func TestCheckRecordTable(t *testing.T) {
 	var out bytes.Buffer
-	assert.ErrorIs(t, checkRecord(&out, written(t, pb.ClientEvent_GAVE_UP), false), errCheckFailed)
+	assert.ErrorIs(t, checkRecord(&out, writeRecord(t, pb.ClientEvent_GAVE_UP), false), errCheckFailed)
 	for _, want := range []string{"day d", "taken", "finished", "rate-limited", "aborted", "late", "value served",
 		"one final answer in time", "BROKEN", "client's completion 1", "no final answer within the client timeout of 5.000 s",
 		"nothing left pinned", "kept"} {
@@ -81,17 +81,17 @@
 	}
 }
 
-// TestDemo runs the demo and the call that it prints.
+// TestDemo runs the demo and sends the request of the curl command that it prints.
 func TestDemo(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
-	was := os.Stdout
+	stdout := os.Stdout
 	os.Stdout = w
 	code := make(chan int, 1)
 	go func() { code <- run([]string{"demo"}) }()
 	buf := make([]byte, 4096)
 	n, err := r.Read(buf)
-	os.Stdout = was
+	os.Stdout = stdout
 	require.NoError(t, err)
 	_, curl, found := strings.Cut(string(buf[:n]), "curl -N ")
 	require.True(t, found, string(buf[:n]))
@@ -116,14 +116,15 @@
 	assert.Equal(t, 0, <-code)
 }
 
-// TestAdmin: peers and duties as tables and JSON, from a router's admin address; none there is an error.
+// TestAdmin checks the output of the peers and duties commands, as tables and JSON, and that an admin address on which
+// nothing listens gives an error.
 func TestAdmin(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/peers":
-			io.WriteString(w, `[{"name":"router-a","zone":"z","weight":1,"self":true,"in_sight":true},{"name":"gone","on_roster":true}]`) //nolint:errcheck // the test sees it
+			io.WriteString(w, `[{"name":"router-a","zone":"z","weight":1,"self":true,"in_sight":true},{"name":"gone","on_roster":true}]`) //nolint:errcheck // a failed write fails the assertions below
 		case "/duties":
-			io.WriteString(w, `[{"kind":"probe","subject":"e:1","owner":"router-a","epoch":3,"done_s_ago":1.5,"late_s":0.5,"candidates":["router-a","b"]},{"done_s_ago":-1}]`) //nolint:errcheck // the test sees it
+			io.WriteString(w, `[{"kind":"probe","subject":"e:1","owner":"router-a","epoch":3,"done_s_ago":1.5,"late_s":0.5,"candidates":["router-a","b"]},{"done_s_ago":-1}]`) //nolint:errcheck // a failed write fails the assertions below
 		}
 	}))
 	defer server.Close()
@@ -136,16 +137,16 @@
 	} {
 		r, w, err := os.Pipe()
 		require.NoError(t, err)
-		was := os.Stdout
+		stdout := os.Stdout
 		os.Stdout = w
 		code := run(strings.Fields(line))
-		os.Stdout = was
+		os.Stdout = stdout
 		w.Close()
 		text, err := io.ReadAll(r)
 		require.NoError(t, err)
 		assert.Equal(t, 0, code)
-		for _, one := range want {
-			assert.Contains(t, string(text), one, line)
+		for _, part := range want {
+			assert.Contains(t, string(text), part, line)
 		}
 	}
 	assert.Equal(t, 1, run([]string{"peers", "--admin", "127.0.0.1:1"}))
--- a/cmd/cherryhub/run.go
+++ b/cmd/cherryhub/run.go
@@ -13,9 +13,9 @@
 	"cherryhub/internal/platform/service"
 )
 
-// runCommand serves on the operators' platform, which tells all by variables and a file.
+// runCommand runs a router on the deployment platform, which configures it by environment variables and a file.
 func runCommand() *cobra.Command {
-	return &cobra.Command{Use: "run", Short: "Serve as a router on the platform, by EDGE_CONFIG, until SIGTERM", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "run", Short: "Run a router on the platform, configured by EDGE_CONFIG, until SIGTERM", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			signals := make(chan os.Signal, 8)
 			signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
@@ -24,8 +24,7 @@
 				return usageError{err}
 			}
 			service.ApplyLimits(c)
-			// Standard error goes to the platform, as a pipe: a reader that stands still or has gone must not hold up or end the
-			// router.
+			// Standard error is a pipe to the platform. A reader that stalls or exits must not block or end the router.
 			signal.Ignore(syscall.SIGPIPE)
 			log, logs := logwriter.Start(os.Stderr, service.LogHandler)
 			defer logs.Close()
@@ -42,10 +41,10 @@
 					if s != syscall.SIGHUP {
 						return r.Stop(context.Background())
 					}
-					if next, err := service.Load(os.Getenv); err != nil {
-						log.Error("reload: the configuration in force stays", "err", err)
+					if config, err := service.Load(os.Getenv); err != nil {
+						log.Error("reload failed: keeping the current configuration", "err", err)
 					} else {
-						r.Reload(next)
+						r.Reload(config)
 					}
 				}
 			}
--- a/cmd/cherryhub/serve.go
+++ b/cmd/cherryhub/serve.go
@@ -22,17 +22,17 @@
 	pb "cherryhub/proto"
 )
 
-// isUse tells cobra's own errors of use, which have no type.
+// isCobraUsageError reports whether err is a usage error of cobra. These have no type and are recognised by their text.
 func isCobraUsageError(err error) bool {
-	for _, begin := range [...]string{"unknown command", "unknown flag", "accepts ", "required flag", "requires "} {
-		if strings.HasPrefix(err.Error(), begin) {
+	for _, prefix := range [...]string{"unknown command", "unknown flag", "accepts ", "required flag", "requires "} {
+		if strings.HasPrefix(err.Error(), prefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// settings reads a file, or an embedded example where none is named.
+// loadSettings reads a settings file into m, or the embedded example if file is empty.
 func loadSettings(file, example string, m proto.Message) error {
 	if file != "" {
 		if err := config.Load(file, m); err != nil {
@@ -47,61 +47,61 @@
 	return config.Parse(example, text, m)
 }
 
-// untilSignal waits for an interrupt or for a part that ended by itself.
-func waitForSignal(fault <-chan error) error {
+// waitForSignal waits for an interrupt, SIGTERM or the error of a component on failed.
+func waitForSignal(failed <-chan error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-fault:
+	case err := <-failed:
 		return err
 	}
 }
 
 func serveCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "serve --config FILE", Short: "Serve as a router until a signal", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "serve --config FILE", Short: "Run a router until a signal", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			signal.Ignore(syscall.SIGPIPE) // its log's reader may end before it
+			signal.Ignore(syscall.SIGPIPE) // the reader of its log may exit before it
 			memory.TuneGC()
 			err := router.Serve(ctx, file, os.Stderr)
-			var bad config.FileError
-			if errors.As(err, &bad) || errors.Is(err, fs.ErrNotExist) {
+			var fileErr config.FileError
+			if errors.As(err, &fileErr) || errors.Is(err, fs.ErrNotExist) {
 				return usageError{err}
 			}
 			return err
 		}}
-	c.Flags().StringVar(&file, "config", "", "settings of the router, protobuf text format")
-	c.MarkFlagRequired("config") //nolint:errcheck // the flag is there
+	c.Flags().StringVar(&file, "config", "", "settings file of the router, in protobuf text format")
+	c.MarkFlagRequired("config") //nolint:errcheck // the flag is defined above
 	return c
 }
 
 func enginesCommand() *cobra.Command {
 	var file string
 	var workloads []string
-	c := &cobra.Command{Use: "engines --config FILE", Short: "Start stand-in engines and their list until a signal", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "engines --config FILE", Short: "Run stand-in engines and their list service until a signal", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			f := &pb.Fleet{}
 			if err := loadSettings(file, "", f); err != nil {
 				return err
 			}
-			var all []*pb.Workload
+			var served []*pb.Workload
 			for _, name := range workloads {
-				all = append(all, &pb.Workload{Name: proto.String(name), Effect: pb.Effect_IDEMPOTENT.Enum()})
+				served = append(served, &pb.Workload{Name: proto.String(name), Effect: pb.Effect_IDEMPOTENT.Enum()})
 			}
-			fleet, err := standin.Start(f, all, nil)
+			fleet, err := standin.Start(f, served, nil)
 			if err != nil {
 				return err
 			}
 			fmt.Printf("%v, list at %s\n", fleet, fleet.List.URL())
 			return errors.Join(waitForSignal(nil), fleet.Close())
 		}}
-	c.Flags().StringVar(&file, "config", "", "settings of the fleet, protobuf text format")
+	c.Flags().StringVar(&file, "config", "", "settings file of the fleet, in protobuf text format")
 	c.Flags().StringSliceVar(&workloads, "models", []string{"chat", "notes"}, "models that the engines serve")
-	c.MarkFlagRequired("config") //nolint:errcheck // the flag is there
+	c.MarkFlagRequired("config") //nolint:errcheck // the flag is defined above
 	return c
 }
 
@@ -119,13 +119,13 @@
 			}
 			r.Listen, r.AdminListen = proto.String("127.0.0.1:0"), proto.String("")
 			r.List = &pb.EngineList{Url: proto.String(fleet.List.URL())}
-			one, err := router.Start(r, telemetry.NewLogger(os.Stderr, r.GetLog()))
+			started, err := router.Start(r, telemetry.NewLogger(os.Stderr, r.GetLog()))
 			if err != nil {
 				return errors.Join(err, fleet.Close())
 			}
 			fmt.Printf("%v and a router at http://%s. Try:\n\n  curl -N http://%s/v1/chat/completions -d "+
-				`'{"model":"chat","stream":true,"messages":[{"role":"user","content":"Hello"}]}'`+"\n\n", fleet, one.Address(), one.Address())
-			return errors.Join(waitForSignal(one.Errors()), one.Stop(), fleet.Close())
+				`'{"model":"chat","stream":true,"messages":[{"role":"user","content":"Hello"}]}'`+"\n\n", fleet, started.Address(), started.Address())
+			return errors.Join(waitForSignal(started.Errors()), started.Stop(), fleet.Close())
 		}}
 }
 
@@ -135,11 +135,11 @@
 	load := func(file string) (proto.Message, error) {
 		m := map[string]proto.Message{"router": &pb.Router{}, "fleet": &pb.Fleet{}, "day": &pb.Day{}, "admission": &pb.Admission{}, "lab": &pb.Experiment{}}[kind]
 		if m == nil {
-			return nil, usageError{fmt.Errorf("--kind %q: wanted router, fleet, day, admission or lab", kind)}
+			return nil, usageError{fmt.Errorf("--kind %q: must be router, fleet, day, admission or lab", kind)}
 		}
 		return m, loadSettings(file, "", m)
 	}
-	check := &cobra.Command{Use: "check FILE", Short: "Check a file of settings", Args: cobra.ExactArgs(1),
+	check := &cobra.Command{Use: "check FILE", Short: "Check a settings file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := load(args[0]); err != nil {
 				return err
@@ -147,7 +147,7 @@
 			fmt.Println(args[0] + ": good")
 			return nil
 		}}
-	show := &cobra.Command{Use: "print FILE", Short: "Print settings with every default in its place", Args: cobra.ExactArgs(1),
+	printCommand := &cobra.Command{Use: "print FILE", Short: "Print a settings file with all defaults filled in", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			m, err := load(args[0])
 			if err != nil {
@@ -156,7 +156,7 @@
 			fmt.Print(config.Format(config.WithDefaults(m)))
 			return nil
 		}}
-	c.PersistentFlags().StringVar(&kind, "kind", "router", "what the file holds: router, fleet, day, admission or lab")
-	c.AddCommand(check, show)
+	c.PersistentFlags().StringVar(&kind, "kind", "router", "kind of settings in the file: router, fleet, day, admission or lab")
+	c.AddCommand(check, printCommand)
 	return c
 }
--- a/cmd/cherryhub/soak_test.go
+++ b/cmd/cherryhub/soak_test.go
@@ -11,60 +11,63 @@
 	"cherryhub/internal/platform/soak"
 )
 
-// asRouter has the test's own program be a router, as the soak starts it.
-const asRouter = "run"
+// routerArg makes the test executable run as a router. It is the argument with which the soak starts router processes.
+const routerArg = "run"
 
 func TestMain(m *testing.M) {
-	if len(os.Args) == 2 && os.Args[1] == asRouter {
+	if len(os.Args) == 2 && os.Args[1] == routerArg {
 		os.Exit(run(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// routerProgram is the program that plays the routers of a test.
+// routerProgram returns the command of the router processes in a test.
 func routerProgram(t *testing.T) []string {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	require.NoError(t, err)
-	return []string{self, asRouter}
+	return []string{executable, routerArg}
 }
 
-// silentConnections is a scenario in which connections to all writers fall silent again and again by a fault, while others work.
+// silentConnections returns a scenario in which a fault repeatedly makes connections to all writers silent, while other
+// connections work.
 func silentConnections(fault soak.Fault) *soak.Scenario {
-	const writers, first, each = 3, time.Second, 150 * time.Millisecond
+	const firstWriter, start, interval = 3, time.Second, 150 * time.Millisecond
 	s := &soak.Scenario{Seed: 1, Faults: []soak.Fault{fault}, ClientTimeout: 3 * time.Second, Routers: 3}
 	for n := range 30 {
 		for writer := range 4 {
-			s.Events = append(s.Events, soak.Event{At: first + time.Duration(n)*each, Fault: fault, Engine: writers + writer})
+			s.Events = append(s.Events, soak.Event{At: start + time.Duration(n)*interval, Fault: fault, Engine: firstWriter + writer})
 		}
 	}
 	return s
 }
 
-// TestOpenConnectionsFallSilent: a write that goes out on a connection which has fallen silent has reached nobody. What the
-// read before it left is let go in time, though the writer answers on other connections.
-func TestOpenConnectionsFallSilent(t *testing.T) { playSilentConnections(t, soak.OpenSilent) }
+// TestOpenConnectionsFallSilent guards against a held state that is released too late: a write sent on a connection that
+// has become silent never reaches the writer, so the state left by the preceding read must be released in time, although
+// the writer answers on other connections.
+func TestOpenConnectionsFallSilent(t *testing.T) { runSilentConnections(t, soak.OpenSilent) }
 
-// TestIdleConnectionsFallSilent is that for connections that were idle for a moment: those that are kept.
-func TestIdleConnectionsFallSilent(t *testing.T) { playSilentConnections(t, soak.IdleSilent) }
+// TestIdleConnectionsFallSilent is the same for pooled connections that were idle for a moment.
+func TestIdleConnectionsFallSilent(t *testing.T) { runSilentConnections(t, soak.IdleSilent) }
 
-func playSilentConnections(t *testing.T, fault soak.Fault) {
+func runSilentConnections(t *testing.T, fault soak.Fault) {
 	r, err := soak.RunScenario(t.Context(), routerProgram(t), t.TempDir(), silentConnections(fault))
 	require.NoError(t, err)
 	require.Greater(t, len(r.Requests), 50)
-	breaks, _ := soak.CheckRules(r)
-	for _, b := range breaks {
-		assert.Fail(t, string(b.Rule), "%s: %s", b.ID, b.Detail)
+	violations, _ := soak.CheckRules(r)
+	for _, violation := range violations {
+		assert.Fail(t, string(violation.Rule), "%s: %s", violation.ID, violation.Detail)
 	}
 }
 
-// The soak of CI: so many seeds in all, three of each set of faults.
+// The total number of seeds of TestSoak, three for each set of faults, and how many run in parallel.
 const (
 	soakSeeds    = 30
 	soakParallel = 6
 )
 
-// soaked are the classes of the soak of CI. Connections that swallow a send are played apart.
-var soaked = [][]soak.Fault{
+// soakFaultSets are the fault classes of TestSoak. Connections that are silent when a request is sent have tests of their
+// own below.
+var soakFaultSets = [][]soak.Fault{
 	{soak.IdleSilent, soak.RoutersRestart, soak.ClientsPipeline}, {soak.EngineStopped, soak.ClientsLeave, soak.SlowClients}, {soak.ZoneOneWay, soak.RoutersReload, soak.AllSilent},
 	{soak.EngineHung, soak.RouterPauses, soak.DiscoveryMute, soak.HangsAtCall}, {soak.EnginesDrain, soak.RouterKilled, soak.ClientsReset},
 	{soak.ClientsCrowd, soak.EngineStopped, soak.RoutersRestart}, {soak.EngineVanishes, soak.LateConns, soak.FewDescriptors},
@@ -72,60 +75,63 @@
 	{soak.AnswerLost, soak.LateBytes},
 }
 
-// playKeeping plays seeds, wants all rules kept, and gives each verdict to more, nil for none.
-func playKeeping(t *testing.T, o soak.Options, more func(*soak.Result)) {
+// runWithoutViolations runs seeds and requires that no rule is violated. It passes each result to check, unless that is nil.
+func runWithoutViolations(t *testing.T, o soak.Options, check func(*soak.Result)) {
 	o.Program, o.Dir = routerProgram(t), t.TempDir()
-	require.NoError(t, soak.Run(t.Context(), o, func(v *soak.Result) {
-		assert.NoError(t, v.Err)
-		assert.Empty(t, v.Violations, "seed %d, %v:\n%s", v.Scenario.Seed, v.Scenario.Faults, v.Timeline)
-		if more != nil {
-			more(v)
+	require.NoError(t, soak.Run(t.Context(), o, func(result *soak.Result) {
+		assert.NoError(t, result.Err)
+		assert.Empty(t, result.Violations, "seed %d, %v:\n%s", result.Scenario.Seed, result.Scenario.Faults, result.Timeline)
+		if check != nil {
+			check(result)
 		}
 	}))
 }
 
-// playServing is playKeeping that also wants enough requests served.
-func playServing(t *testing.T, o soak.Options) {
-	playKeeping(t, o, func(v *soak.Result) {
-		assert.Greater(t, v.Served, 20, "seed %d, %v", v.Scenario.Seed, v.Scenario.Faults)
+// runServing is runWithoutViolations that also requires enough served requests.
+func runServing(t *testing.T, o soak.Options) {
+	runWithoutViolations(t, o, func(result *soak.Result) {
+		assert.Greater(t, result.Served, 20, "seed %d, %v", result.Scenario.Seed, result.Scenario.Faults)
 	})
 }
 
-// TestSoak: no rule is broken in seeded pairs and threes of faults, by router processes that are ended by signals in series.
+// TestSoak checks that no rule is violated under seeded combinations of two or three faults, with router processes that
+// are ended by signals one after another.
 func TestSoak(t *testing.T) {
-	for n, faults := range soaked {
-		playServing(t, soak.Options{FirstSeed: uint64(1 + n*soakSeeds/len(soaked)), Seeds: soakSeeds / len(soaked), Parallel: soakParallel / 2, Faults: faults})
+	for n, faults := range soakFaultSets {
+		runServing(t, soak.Options{FirstSeed: uint64(1 + n*soakSeeds/len(soakFaultSets)), Seeds: soakSeeds / len(soakFaultSets), Parallel: soakParallel / 2, Faults: faults})
 	}
 }
 
-// TestSoakBadUse: bad input ends with exit code 2 and a word that names it, and nothing is started.
-func TestSoakBadUse(t *testing.T) {
-	for _, line := range [][]string{{"--fault", "odd"}, {"--seed", "x"}, {"--seeds", "0"}, {"--seeds", "1001"}, {"--parallel", "9"}, {"--program", "/nowhere/at/all"}} {
-		require.Equal(t, 2, run(append([]string{"soak"}, line...)), line)
+// TestSoakUsageErrors checks that invalid arguments give exit code 2 and that nothing is started.
+func TestSoakUsageErrors(t *testing.T) {
+	for _, args := range [][]string{{"--fault", "odd"}, {"--seed", "x"}, {"--seeds", "0"}, {"--seeds", "1001"}, {"--parallel", "9"}, {"--program", "/nowhere/at/all"}} {
+		require.Equal(t, 2, run(append([]string{"soak"}, args...)), args)
 	}
 }
 
-// playSilent plays seeds of one fault that has connections fall silent.
-func playSilent(t *testing.T, fault soak.Fault) {
-	playKeeping(t, soak.Options{FirstSeed: 10, Seeds: 3, Parallel: 3, Faults: []soak.Fault{fault}}, nil)
+// runSilentFault runs seeds of one fault that makes connections silent.
+func runSilentFault(t *testing.T, fault soak.Fault) {
+	runWithoutViolations(t, soak.Options{FirstSeed: 10, Seeds: 3, Parallel: 3, Faults: []soak.Fault{fault}}, nil)
 }
 
-// TestSoakSilentFromTheStart: no rule is broken where some connections come up and swallow all that is sent on them.
-func TestSoakSilentFromTheStart(t *testing.T) { playSilent(t, soak.StartSilent) }
+// TestSoakSilentFromTheStart checks that no rule is violated if some connections are silent from the start: they are
+// established, but drop everything that is sent on them.
+func TestSoakSilentFromTheStart(t *testing.T) { runSilentFault(t, soak.StartSilent) }
 
-// swallowed are the faults that begin at the very send, whatever was seen of the connection before it.
-var swallowed = []soak.Fault{soak.BytesSilent, soak.AnswerSilent, soak.SendSilent}
+// silentAtSend are the faults that begin at the moment of a send, whether or not the connection worked before.
+var silentAtSend = []soak.Fault{soak.BytesSilent, soak.AnswerSilent, soak.SendSilent}
 
-// TestSoakSwallowedSends: no rule is broken where connections swallow a send that were just seen to work.
-func TestSoakSwallowedSends(t *testing.T) {
-	for _, fault := range swallowed {
-		playSilent(t, fault)
+// TestSoakSilentAtSend checks that no rule is violated if connections that have just worked drop a request silently.
+func TestSoakSilentAtSend(t *testing.T) {
+	for _, fault := range silentAtSend {
+		runSilentFault(t, fault)
 	}
 }
 
-// TestSoakLogs: a router goes on serving, and keeps the rules, while nobody reads its log and after its log's reader has gone.
+// TestSoakLogs checks that a router continues to serve and violates no rule while nobody reads its log, and after the
+// reader of its log has exited.
 func TestSoakLogs(t *testing.T) {
 	for _, fault := range []soak.Fault{soak.LogStalls, soak.LogCut} {
-		playServing(t, soak.Options{FirstSeed: 3, Seeds: 2, Parallel: 2, Faults: []soak.Fault{fault}})
+		runServing(t, soak.Options{FirstSeed: 3, Seeds: 2, Parallel: 2, Faults: []soak.Fault{fault}})
 	}
 }
--- a/deploy/build_test.go
+++ b/deploy/build_test.go
@@ -21,8 +21,8 @@
 	"cherryhub/internal/platform/standin"
 )
 
-// line is a value of the deploy file.
-func line(t *testing.T, key string) string {
+// deployValue returns a value of the deploy file.
+func deployValue(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
 	require.NoError(t, err)
@@ -31,10 +31,11 @@
 	return string(found[1])
 }
 
-// TestBuildAndRun: what the deploy file builds is linked against the C library at its start, run ends in that one
-// process by exec, answers GET /up and ends on SIGTERM with exit code 0.
+// TestBuildAndRun checks the commands of the deploy file: the built program is dynamically linked against the C library,
+// the run command replaces the shell by exec and starts no other process, and the program answers GET /up and ends on
+// SIGTERM with exit code 0.
 func TestBuildAndRun(t *testing.T) {
-	build := exec.Command("/bin/sh", "-c", line(t, "build"))
+	build := exec.Command("/bin/sh", "-c", deployValue(t, "build"))
 	build.Dir = ".."
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -49,9 +50,9 @@
 	engine, err := standin.NewFleet().StartEngine("a", false)
 	require.NoError(t, err)
 	defer engine.Close()
-	list, err := standin.StartDiscovery([]discovery.Host{{Name: "a", Address: engine.Address(), Zone: "here", MachineKind: "both", Health: "Ready"}})
+	discoveryService, err := standin.StartDiscovery([]discovery.Host{{Name: "a", Address: engine.Address(), Zone: "here", MachineKind: "both", Health: "Ready"}})
 	require.NoError(t, err)
-	defer list.Close()
+	defer discoveryService.Close()
 	ln, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
 	listen := ln.Addr().String()
@@ -62,11 +63,11 @@
 "settings":{"balancers":1,"my-zone":0,"zones":["here"],"kinds":["both"],"granularity-ns":2000000,
 "family-info":{"let-go-by-ns":500000000,"stage-of-kind":["both"],"writers-read":true},
 "lanes":[{"name":"chat","aim-ns":1500000000,"give-up-ns":7500000000,"worth":1,"effect":"free"}],
-"limits":{"send-cap":5,"conn-idle-ns":30000000000,"connect-timeout-ns":250000000}}}`, listen, list.Address()), 0o600))
+"limits":{"send-cap":5,"conn-idle-ns":30000000000,"connect-timeout-ns":250000000}}}`, listen, discoveryService.Address()), 0o600))
 
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	run := exec.CommandContext(ctx, "/bin/sh", "-c", line(t, "run"))
+	run := exec.CommandContext(ctx, "/bin/sh", "-c", deployValue(t, "run"))
 	run.Dir = ".."
 	run.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	require.NoError(t, run.Start())
@@ -82,13 +83,13 @@
 	}, 10*time.Second, 10*time.Millisecond, "GET /up")
 	program, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", run.Process.Pid))
 	require.NoError(t, err)
-	require.Equal(t, "cherryhub", filepath.Base(program), "the shell is still there")
+	require.Equal(t, "cherryhub", filepath.Base(program), "the shell was not replaced by the program")
 	children, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", run.Process.Pid))
 	require.NoError(t, err)
-	for _, of := range children {
-		text, err := os.ReadFile(of)
-		if err == nil { // else the thread has ended
-			require.Empty(t, strings.TrimSpace(string(text)), "a process beside it")
+	for _, childrenPath := range children {
+		text, err := os.ReadFile(childrenPath)
+		if err == nil { // otherwise the thread has ended
+			require.Empty(t, strings.TrimSpace(string(text)), "a child process")
 		}
 	}
 	require.NoError(t, run.Process.Signal(syscall.SIGTERM))
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,10 +1,9 @@
-// Package deploy embeds the example settings and scripted days, so that the program runs without a file. It
-// does nothing by itself; cmd/cherryhub and tests use it.
+// Package deploy embeds the example settings, scripted days and experiments, so that the program can run without files.
 package deploy
 
 import "embed"
 
-// Files are the examples and days, by their path below deploy/.
+// Files holds the embedded files, by their paths below deploy/.
 //
 //go:embed examples/*.textproto days/*.textproto labs/*.textproto
 var Files embed.FS
--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -17,7 +17,7 @@
 
 func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// Seconds is a number of seconds as a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
 func roleOf(r pb.Role) decide.Role {
@@ -30,7 +30,7 @@
 	return decide.Mixed
 }
 
-// figures are where load reports are found: where the settings say nothing, vLLM's names.
+// loadMetrics returns the metrics in which engines report their load, by default those of vLLM.
 func loadMetrics(r *pb.LoadReports) engine.LoadMetrics {
 	if r == nil {
 		r = &pb.LoadReports{
@@ -38,21 +38,21 @@
 			MemoryHeld: &pb.Figure{Orca: proto.String("named_metrics.kv_cache_usage_perc"), Prometheus: proto.String("vllm:kv_cache_usage_perc")},
 		}
 	}
-	var all engine.LoadMetrics
-	for _, f := range [...]struct {
+	var metrics engine.LoadMetrics
+	for _, metric := range [...]struct {
 		column string
-		from   *pb.Figure
+		source *pb.Figure
 		sum    bool
 	}{{"queue", r.GetWaiting(), true}, {"util", r.GetSlotsUsed(), false}, {"x0", r.GetMemoryHeld(), false},
 		{"x1", r.GetThousandsWaiting(), true}} {
-		if f.from != nil {
-			all = append(all, engine.LoadMetric{Column: f.column, ORCA: f.from.GetOrca(), Prometheus: f.from.GetPrometheus(), Sum: f.sum})
+		if metric.source != nil {
+			metrics = append(metrics, engine.LoadMetric{Column: metric.column, ORCA: metric.source.GetOrca(), Prometheus: metric.source.GetPrometheus(), Sum: metric.sum})
 		}
 	}
-	return all
+	return metrics
 }
 
-// Decide are the settings that the planner's module is told.
+// DecideSettings returns the settings of the routing decisions, made by package decide.
 func DecideSettings(r *pb.Router) decide.Settings {
 	a, cold := r.GetAllowed(), r.GetCold()
 	s := decide.Settings{Seed: r.GetSeed(), Routers: int(r.GetRouters()), OverShareValue: r.GetOverShareValue(),
@@ -98,7 +98,7 @@
 	return decide.DedupAll
 }
 
-// Planner are the planner's options; its log is the caller's to add.
+// PlannerOptions returns the planner's options. The caller adds the log.
 func PlannerOptions(r *pb.Router) planner.Options {
 	o := planner.Options{Zone: r.GetZone(), MaxEngines: int(r.GetList().GetMaxEngines()), MaxQueuedCompletions: int(r.GetLimits().GetMailbox()),
 		MaxOpenCompletions: int(r.GetLimits().GetMaxCompletions())}
@@ -108,7 +108,7 @@
 	return o
 }
 
-// Engine are the engine client's options.
+// EngineOptions returns the options of the engine client.
 func EngineOptions(r *pb.Router) engine.Options {
 	t := r.GetTiming()
 	return engine.Options{ConnectTimeout: milliseconds(t.GetConnectTimeoutMs()), ProbeTimeout: milliseconds(t.GetProbeTimeoutMs()),
@@ -116,8 +116,8 @@
 		MaxEventBytes: int(r.GetLimits().GetMaxEventBytes()), SourceAddress: r.GetSourceAddress(), LoadMetrics: loadMetrics(r.GetReports())}
 }
 
-// Edge are the edge's options; listener, engines, log and observer are the caller's to add. a is the router's own
-// admission or that of its file.
+// EdgeOptions returns the options of the edge, the HTTP server for clients. The caller adds the listener, the engines, the
+// log and the observer. a is the admission section of the router's settings or the content of its admission file.
 func EdgeOptions(r *pb.Router, a *pb.Admission) edge.Options {
 	l, t, id := r.GetLimits(), r.GetTiming(), r.GetIdentity()
 	o := edge.Options{
@@ -146,8 +146,8 @@
 	return o
 }
 
-// Peer are the options of a router among others, nil where it is alone. What it does and tells are the caller's
-// to add.
+// PeerOptions returns the options for sharing duties with other routers, or nil if no peers are configured. The caller
+// adds the callbacks.
 func PeerOptions(r *pb.Router) *peer.Options {
 	p := r.GetPeers()
 	if p == nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads settings in protobuf text format and checks them: an unknown field, a value out of
-// range or a reference to nothing is told with file, line, field and what is allowed. Ranges stand in the
-// schema (proto/config.proto, proto/day.proto); what a schema can't say is in refer.go. It opens no socket.
-// cmd/cherryhub and internal/day call it.
+// Package config reads settings files in protobuf text format, validates them and converts them to the options of the
+// other packages. An unknown field, a value out of range or a dangling reference is reported with file, line, field and
+// what is allowed. Ranges are declared in the schema (proto/config.proto, proto/day.proto); checks that a schema can't
+// express are in references.go and lab.go. The package opens no sockets.
 package config
 
 import (
@@ -21,42 +21,41 @@
 	pb "cherryhub/proto"
 )
 
-// Problem is one fault of a file.
+// FileError is one error in a settings or results file.
 type FileError struct {
 	File    string
-	Line    int    // from 1, 0 where it is none's
-	Field   string // such as workloads[1].client_timeout_s
+	Line    int    // from 1; 0 if the error has no position
+	Field   string // such as workloads[1].client_timeout_s; may be empty
 	Message string
 }
 
-func (p FileError) Error() string {
-	at := p.File
-	if p.Line > 0 {
-		at += ":" + strconv.Itoa(p.Line)
+func (e FileError) Error() string {
+	location := e.File
+	if e.Line > 0 {
+		location += ":" + strconv.Itoa(e.Line)
 	}
-	if p.Field != "" {
-		return at + ": " + p.Field + ": " + p.Message
+	if e.Field != "" {
+		return location + ": " + e.Field + ": " + e.Message
 	}
-	return at + ": " + p.Message
+	return location + ": " + e.Message
 }
 
-// Load reads a file of settings into m, a *pb.Router, *pb.Fleet or *pb.Day, and checks it. The error joins
-// all Problems.
+// Load reads a settings file into m, a *pb.Router, *pb.Fleet, *pb.Day, *pb.Experiment or *pb.Admission, and validates it.
+// The error joins all FileErrors that were found.
 func Load(file string, m proto.Message) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("read settings: %w", err)
 	}
 	return Parse(file, text, m)
 }
 
-// maxText bounds a file of settings, in bytes.
 const maxFileBytes = 16 << 20
 
-// Parse is Load for a text that was read; file is for messages only.
+// Parse is like Load for text that is already in memory. file is only used in error messages.
 func Parse(file string, text []byte, m proto.Message) error {
 	if len(text) > maxFileBytes {
-		return FileError{File: file, Message: fmt.Sprintf("longer than %d bytes", maxFileBytes)}
+		return FileError{File: file, Message: fmt.Sprintf("file is larger than %d bytes", maxFileBytes)}
 	}
 	if err := prototext.Unmarshal(text, m); err != nil {
 		return syntaxError(file, err)
@@ -69,64 +68,64 @@
 	return errors.Join(c.errs...)
 }
 
-// position is how prototext tells where it stopped.
+// linePattern matches the position in the error messages of prototext.
 var linePattern = regexp.MustCompile(`\(line (\d+):\d+\):\s*(.*)`)
 
 func syntaxError(file string, err error) error {
-	p := FileError{File: file, Message: err.Error()}
-	if at := linePattern.FindStringSubmatch(err.Error()); at != nil {
-		p.Line, _ = strconv.Atoi(at[1])
-		p.Message = at[2]
+	fileErr := FileError{File: file, Message: err.Error()}
+	if match := linePattern.FindStringSubmatch(err.Error()); match != nil {
+		fileErr.Line, _ = strconv.Atoi(match[1])
+		fileErr.Message = match[2]
 	}
-	return p
+	return fileErr
 }
 
 type checker struct {
 	file  string
-	lines map[string]int // by field, as Problem names it
+	lines map[string]int // line numbers by field, named as in FileError.Field
 	errs  []error
 }
 
 func (c *checker) addError(field, format string, a ...any) {
-	line, at := 0, field
-	for at != "" && line == 0 { // a field that isn't given is told at the message that lacks it
-		line = c.lines[at]
-		at = at[:max(0, strings.LastIndexByte(at, '.'))]
+	line, ancestor := 0, field
+	for ancestor != "" && line == 0 { // a missing field is reported at the line of the message that lacks it
+		line = c.lines[ancestor]
+		ancestor = ancestor[:max(0, strings.LastIndexByte(ancestor, '.'))]
 	}
 	c.errs = append(c.errs, FileError{c.file, line, field, fmt.Sprintf(format, a...)})
 }
 
-// ranges checks the schema's ranges and required fields.
+// checkMessage checks the ranges and required fields that the schema declares.
 func (c *checker) checkMessage(m protoreflect.Message, path string) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
-		at := string(f.Name())
+		fieldPath := string(f.Name())
 		if path != "" {
-			at = path + "." + at
+			fieldPath = path + "." + fieldPath
 		}
 		if isRequired(f) && !m.Has(f) {
-			c.addError(at, "is missing")
+			c.addError(fieldPath, "is missing")
 		}
 		if !m.Has(f) {
 			continue
 		}
 		if !f.IsList() {
-			c.checkValue(f, m.Get(f), at)
+			c.checkValue(f, m.Get(f), fieldPath)
 			continue
 		}
 		list := m.Get(f).List()
 		for j := range list.Len() {
-			c.checkValue(f, list.Get(j), fmt.Sprintf("%s[%d]", at, j))
+			c.checkValue(f, list.Get(j), fmt.Sprintf("%s[%d]", fieldPath, j))
 		}
 	}
 }
 
-func (c *checker) checkValue(f protoreflect.FieldDescriptor, v protoreflect.Value, at string) {
+func (c *checker) checkValue(f protoreflect.FieldDescriptor, v protoreflect.Value, fieldPath string) {
 	var n float64
 	switch f.Kind() {
 	case protoreflect.MessageKind:
-		c.checkMessage(v.Message(), at)
+		c.checkMessage(v.Message(), fieldPath)
 		return
 	case protoreflect.DoubleKind:
 		n = v.Float()
@@ -134,15 +133,15 @@
 		n = float64(v.Int())
 	case protoreflect.EnumKind:
 		if f.Enum().Values().ByNumber(v.Enum()) == nil {
-			c.addError(at, "%d is none of its values", v.Enum())
+			c.addError(fieldPath, "%d is not a value of this enum", v.Enum())
 		}
 		return
 	default:
 		return
 	}
-	r, told := proto.GetExtension(f.Options(), pb.E_Range).(*pb.Range)
-	if told && r != nil && !(n >= r.GetMin() && n <= r.GetMax()) { // so that NaN is none
-		c.addError(at, "%v is out of range: from %v to %v", n, r.GetMin(), r.GetMax())
+	r, ok := proto.GetExtension(f.Options(), pb.E_Range).(*pb.Range)
+	if ok && r != nil && !(n >= r.GetMin() && n <= r.GetMax()) { // negated, so that NaN is out of range
+		c.addError(fieldPath, "%v is out of range: from %v to %v", n, r.GetMin(), r.GetMax())
 	}
 }
 
@@ -150,61 +149,61 @@
 	return proto.HasExtension(f.Options(), pb.E_Required) && proto.GetExtension(f.Options(), pb.E_Required).(bool)
 }
 
-// lines finds the line of each field.
+// fieldLines returns the line number of each field by its path, such as workloads[1].name.
 func fieldLines(text []byte) map[string]int {
-	found := map[string]int{}
+	lines := map[string]int{}
 	nodes, err := parser.Parse(text)
 	if err != nil {
-		return found
+		return lines
 	}
-	addFieldLines(nodes, "", found)
-	return found
+	addFieldLines(nodes, "", lines)
+	return lines
 }
 
-func addFieldLines(nodes []*ast.Node, path string, found map[string]int) {
-	count := map[string]int{}
+func addFieldLines(nodes []*ast.Node, path string, lines map[string]int) {
+	counts := map[string]int{}
 	for _, n := range nodes {
 		if n.Name == "" {
 			continue
 		}
-		at := n.Name
+		fieldPath := n.Name
 		if path != "" {
-			at = path + "." + at
+			fieldPath = path + "." + fieldPath
 		}
 		line := int(n.Start.Line) + len(n.PreComments)
-		set := func(children []*ast.Node) {
-			item := fmt.Sprintf("%s[%d]", at, count[n.Name])
-			count[n.Name]++
-			found[item] = line
-			addFieldLines(children, item, found)
+		addItem := func(children []*ast.Node) {
+			item := fmt.Sprintf("%s[%d]", fieldPath, counts[n.Name])
+			counts[n.Name]++
+			lines[item] = line
+			addFieldLines(children, item, lines)
 		}
-		if _, seen := found[at]; !seen {
-			found[at] = line
+		if _, ok := lines[fieldPath]; !ok {
+			lines[fieldPath] = line
 		}
 		switch {
 		case n.ChildrenAsList:
 			for _, child := range n.Children {
-				set(child.Children)
+				addItem(child.Children)
 			}
 		case len(n.Values) > 1:
 			for range n.Values {
-				set(nil)
+				addItem(nil)
 			}
 		default:
-			set(n.Children)
+			addItem(n.Children)
 		}
-		addFieldLines(n.Children, at, found)
+		addFieldLines(n.Children, fieldPath, lines)
 	}
 }
 
-// Effective is a copy of m with every default in its place.
+// WithDefaults returns a copy of m in which every field that is not set has its default.
 func WithDefaults[M proto.Message](m M) M {
-	whole := proto.Clone(m).(M)
-	setDefaults(whole.ProtoReflect())
-	if r, is := any(whole).(*pb.Router); is && r.GetAdmissionFile() != "" && any(m).(*pb.Router).Admission == nil { //nolint:forcetypeassert // the same type
-		r.Admission = nil // the file has it
+	full := proto.Clone(m).(M)
+	setDefaults(full.ProtoReflect())
+	if r, isRouter := any(full).(*pb.Router); isRouter && r.GetAdmissionFile() != "" && any(m).(*pb.Router).Admission == nil { //nolint:forcetypeassert // m and full have the same type
+		r.Admission = nil // the admission settings come from the file
 	}
-	return whole
+	return full
 }
 
 func setDefaults(m protoreflect.Message) {
@@ -219,10 +218,10 @@
 			}
 		case f.IsList():
 		case f.Kind() == protoreflect.MessageKind:
-			had := m.Has(f)
-			part := m.Mutable(f).Message()
-			setDefaults(part)
-			if !had && (isRequired(f) || isEmpty(part) || lacksRequired(part)) {
+			wasSet := m.Has(f)
+			sub := m.Mutable(f).Message()
+			setDefaults(sub)
+			if !wasSet && (isRequired(f) || isEmpty(sub) || lacksRequired(sub)) {
 				m.Clear(f)
 			}
 		case !m.Has(f) && f.HasDefault():
@@ -231,7 +230,7 @@
 	}
 }
 
-// wants tells whether a message lacks a field that must be given: it stands for nothing by its defaults alone.
+// lacksRequired reports whether a required field is missing. Such a message can't be built from defaults alone.
 func lacksRequired(m protoreflect.Message) bool {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -251,7 +250,7 @@
 	return empty
 }
 
-// Text is settings as a file would have them.
+// Format returns m in the text format of settings files.
 func Format(m proto.Message) string {
 	return prototext.MarshalOptions{Multiline: true, Indent: "  "}.Format(m)
 }
--- a/internal/config/lab.go
+++ b/internal/config/lab.go
@@ -10,66 +10,66 @@
 	pb "cherryhub/proto"
 )
 
-// experiment checks what a schema can't say of an experiment.
+// checkExperiment checks what a schema can't express about an experiment.
 func (c *checker) checkExperiment(x *pb.Experiment) {
 	days, variants := map[string]bool{}, map[string]bool{}
 	for i, v := range x.GetVariants() {
 		c.checkUnique(variants, fmt.Sprintf("variants[%d].name", i), v.GetName())
 		if p := v.GetPeers(); p != nil && p.GetLeaseS() <= p.GetSettleS() {
-			c.addError(fmt.Sprintf("variants[%d].peers.lease_s", i), "%v is not above settle_s, %v", p.GetLeaseS(), p.GetSettleS())
+			c.addError(fmt.Sprintf("variants[%d].peers.lease_s", i), "%v is not greater than settle_s (%v)", p.GetLeaseS(), p.GetSettleS())
 		}
 	}
 	for i, d := range x.GetDays() {
-		at := fmt.Sprintf("days[%d].", i)
-		c.checkUnique(days, at+"name", d.GetName())
-		c.checkRouter(d.GetRouter(), at+"router.", false)
+		prefix := fmt.Sprintf("days[%d].", i)
+		c.checkUnique(days, prefix+"name", d.GetName())
+		c.checkRouter(d.GetRouter(), prefix+"router.", false)
 		workloads := map[string]bool{}
 		for _, w := range d.GetRouter().GetWorkloads() {
 			workloads[w.GetName()] = true
 		}
 		for j, l := range d.GetLoads() {
 			if !workloads[l.GetWorkload()] {
-				c.addError(fmt.Sprintf("%sloads[%d].workload", at, j), "%q is none of the router's workloads", l.GetWorkload())
+				c.addError(fmt.Sprintf("%sloads[%d].workload", prefix, j), "%q is not one of the router's workloads", l.GetWorkload())
 			}
 		}
-		writes := false
+		hasWriter := false
 		for j, g := range d.GetGroups() {
 			if g.GetRole() == pb.Role_ROLE_UNSPECIFIED {
-				c.addError(fmt.Sprintf("%sgroups[%d].role", at, j), "must be READER, WRITER or MIXED")
+				c.addError(fmt.Sprintf("%sgroups[%d].role", prefix, j), "must be READER, WRITER or MIXED")
 			}
 			if g.GetStepMs() == 0 && (g.GetReadUs() == 0 || g.GetWriteUs() == 0) {
-				c.addError(fmt.Sprintf("%sgroups[%d].step_ms", at, j), "0: a step would take no time, wanted it or read_us and write_us above 0")
+				c.addError(fmt.Sprintf("%sgroups[%d].step_ms", prefix, j), "0: a step would take no time; step_ms, or both read_us and write_us, must be above 0")
 			}
-			writes = writes || g.GetRole() != pb.Role_READER
+			hasWriter = hasWriter || g.GetRole() != pb.Role_READER
 		}
-		if !writes {
-			c.addError(at+"groups", "none can write: a WRITER or a MIXED one is wanted")
+		if !hasWriter {
+			c.addError(prefix+"groups", "no group can write: at least one must be WRITER or MIXED")
 		}
 		for j, t := range d.GetTroubles() {
-			field := fmt.Sprintf("%stroubles[%d].", at, j)
+			field := fmt.Sprintf("%stroubles[%d].", prefix, j)
 			switch groups := d.GetGroups(); {
 			case t.GetKind() == pb.LabTrouble_SITE_OUT:
 			case int(t.GetGroup()) >= len(groups):
-				c.addError(field+"group", "%d is none of %d, from 0", t.GetGroup(), len(groups))
+				c.addError(field+"group", "%d is not a group: there are %d, numbered from 0", t.GetGroup(), len(groups))
 			case t.GetFirst()+t.GetCount() > groups[t.GetGroup()].GetCount():
-				c.addError(field+"count", "engines %d to %d are more than the group's %d", t.GetFirst(), t.GetFirst()+t.GetCount()-1, groups[t.GetGroup()].GetCount())
+				c.addError(field+"count", "engines %d to %d are out of range: the group has %d", t.GetFirst(), t.GetFirst()+t.GetCount()-1, groups[t.GetGroup()].GetCount())
 			}
 		}
 	}
 }
 
-// Experiment is one as the laboratory plays it.
+// LabExperiment converts an experiment to the simulator's form.
 func LabExperiment(x *pb.Experiment) *lab.Experiment {
-	o := &lab.Experiment{}
+	experiment := &lab.Experiment{}
 	for _, d := range x.GetDays() {
-		o.Days = append(o.Days, labSettings(d))
+		experiment.Days = append(experiment.Days, labSettings(d))
 	}
 	for i := range x.GetSeeds() {
-		o.Seeds = append(o.Seeds, uint64(i+1))
+		experiment.Seeds = append(experiment.Seeds, uint64(i+1))
 	}
 	for _, v := range x.GetVariants() {
-		o.Variants = append(o.Variants, lab.Variant{Name: v.GetName(), Apply: func(s *lab.Settings) {
-			s.Baseline = lab.Baseline(v.GetPolicy()) // numbered alike
+		experiment.Variants = append(experiment.Variants, lab.Variant{Name: v.GetName(), Apply: func(s *lab.Settings) {
+			s.Baseline = lab.Baseline(v.GetPolicy()) // both enums have the same numbers
 			if n := v.GetRouters(); n > 0 {
 				s.Routers = int(n)
 			}
@@ -89,15 +89,15 @@
 			}
 		}})
 	}
-	return o
+	return experiment
 }
 
 func labSettings(d *pb.LabDay) lab.Settings {
 	r := proto.CloneOf(d.GetRouter())
-	r.Seed = proto.Uint64(1) // the experiment's seeds count
+	r.Seed = proto.Uint64(1) // replaced by the seeds of the experiment
 	s := lab.Settings{Duration: d.GetLengthS(), Routers: int(d.GetRouters()), Zones: int(d.GetZones()), OneWayDelay: d.GetWayMs() / 1000,
 		LinkTokensPerSecond: d.GetLinkTokensPerS(), ListDelay: d.GetListLateS(), Decide: DecideSettings(r)}
-	s.Decide.ReservationsAllowed = false // not played
+	s.Decide.ReservationsAllowed = false // the simulator has no reservations
 	cold := r.GetCold()
 	for _, g := range d.GetGroups() {
 		s.Groups = append(s.Groups, lab.EngineGroup{Role: roleOf(g.GetRole()), Count: int(g.GetCount()), Zone: int(g.GetZone()), Cell: int(g.GetCell()),
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, t := range d.GetTroubles() {
-		s.Troubles = append(s.Troubles, lab.Trouble{Kind: lab.TroubleKind(t.GetKind()), At: t.GetAtS(), Duration: t.GetLengthS(), Group: int(t.GetGroup()), // numbered alike
+		s.Troubles = append(s.Troubles, lab.Trouble{Kind: lab.TroubleKind(t.GetKind()), At: t.GetAtS(), Duration: t.GetLengthS(), Group: int(t.GetGroup()), // both enums have the same numbers
 			FirstEngine: int(t.GetFirst()), EngineCount: int(t.GetCount()), Zone: int(t.GetZone()), Slowdown: t.GetTimes()})
 	}
 	return s
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -13,7 +13,7 @@
 	pb "cherryhub/proto"
 )
 
-// refer checks what the schema can't say: references, names that must differ, addresses.
+// checkReferences checks what the schema can't express: references between fields, unique names, addresses.
 func (c *checker) checkReferences(m proto.Message) {
 	switch m := m.(type) {
 	case *pb.Router:
@@ -29,48 +29,48 @@
 	}
 }
 
-func (c *checker) checkRouter(r *pb.Router, at string, list bool) {
-	c.checkAddress(at+"listen", r.GetListen())
+func (c *checker) checkRouter(r *pb.Router, prefix string, needsList bool) {
+	c.checkAddress(prefix+"listen", r.GetListen())
 	if r.GetAdminListen() != "" {
-		c.checkAddress(at+"admin_listen", r.GetAdminListen())
+		c.checkAddress(prefix+"admin_listen", r.GetAdminListen())
 	}
 	if s := r.GetSourceAddress(); s != "" && net.ParseIP(s) == nil {
-		c.addError(at+"source_address", "%q is no IP address", s)
+		c.addError(prefix+"source_address", "%q is not an IP address", s)
 	}
-	machines, writes := map[string]bool{}, false
+	machines, hasWriter := map[string]bool{}, false
 	for i, m := range r.GetMachines() {
-		c.checkUnique(machines, fmt.Sprintf("%smachines[%d].name", at, i), m.GetName())
+		c.checkUnique(machines, fmt.Sprintf("%smachines[%d].name", prefix, i), m.GetName())
 		if m.GetRole() == pb.Role_ROLE_UNSPECIFIED {
-			c.addError(fmt.Sprintf("%smachines[%d].role", at, i), "must be READER, WRITER or MIXED")
+			c.addError(fmt.Sprintf("%smachines[%d].role", prefix, i), "must be READER, WRITER or MIXED")
 		}
-		writes = writes || m.GetRole() != pb.Role_READER
+		hasWriter = hasWriter || m.GetRole() != pb.Role_READER
 	}
-	if !writes {
-		c.addError(at+"machines", "none can write: a WRITER or a MIXED one is wanted")
+	if !hasWriter {
+		c.addError(prefix+"machines", "no machine can write: at least one must be WRITER or MIXED")
 	}
 	names, models := map[string]bool{}, map[string]bool{}
 	for i, w := range r.GetWorkloads() {
-		c.checkUnique(names, fmt.Sprintf("%sworkloads[%d].name", at, i), w.GetName())
+		c.checkUnique(names, fmt.Sprintf("%sworkloads[%d].name", prefix, i), w.GetName())
 		for j, m := range w.GetModels() {
-			c.checkUnique(models, fmt.Sprintf("%sworkloads[%d].models[%d]", at, i, j), m)
+			c.checkUnique(models, fmt.Sprintf("%sworkloads[%d].models[%d]", prefix, i, j), m)
 		}
 		if len(w.GetModels()) == 0 {
-			c.checkUnique(models, fmt.Sprintf("%sworkloads[%d].name", at, i), w.GetName())
+			c.checkUnique(models, fmt.Sprintf("%sworkloads[%d].name", prefix, i), w.GetName())
 		}
 	}
-	c.checkTenants(r, at)
-	c.checkEngineList(r, at, list)
-	for i, one := range []*pb.Figure{r.GetReports().GetWaiting(), r.GetReports().GetSlotsUsed(),
+	c.checkTenants(r, prefix)
+	c.checkEngineList(r, prefix, needsList)
+	for i, figure := range []*pb.Figure{r.GetReports().GetWaiting(), r.GetReports().GetSlotsUsed(),
 		r.GetReports().GetMemoryHeld(), r.GetReports().GetThousandsWaiting()} {
-		if one != nil && one.GetOrca() == "" && one.GetPrometheus() == "" {
+		if figure != nil && figure.GetOrca() == "" && figure.GetPrometheus() == "" {
 			name := [...]string{"waiting", "slots_used", "memory_held", "thousands_waiting"}[i]
-			c.addError(at+"reports."+name, "names neither orca nor prometheus")
+			c.addError(prefix+"reports."+name, "sets neither orca nor prometheus")
 		}
 	}
-	c.checkPeers(r, at)
-	c.checkAdmission(r.GetAdmission(), at+"admission.")
+	c.checkPeers(r, prefix)
+	c.checkAdmission(r.GetAdmission(), prefix+"admission.")
 	if r.GetAdmission() != nil && r.GetAdmissionFile() != "" {
-		c.addError(at+"admission_file", "is there besides admission: wanted one of them")
+		c.addError(prefix+"admission_file", "must not be set together with admission")
 	}
 	tenants := map[string]bool{}
 	for _, t := range r.GetTenants() {
@@ -78,102 +78,103 @@
 	}
 	for i, k := range r.GetAdmission().GetClients() {
 		if k.GetTenant() != "" && !tenants[k.GetTenant()] {
-			c.addError(fmt.Sprintf("%sadmission.clients[%d].tenant", at, i), "%q is none of tenants", k.GetTenant())
+			c.addError(fmt.Sprintf("%sadmission.clients[%d].tenant", prefix, i), "%q is not one of tenants", k.GetTenant())
 		}
 	}
 	if margin := r.GetTiming().GetAnswerMarginMs(); margin < 4*r.GetTiming().GetTickMs() {
-		c.addError(at+"timing.answer_margin_ms", "%v is under four ticks (timing.tick_ms %v): answers could come late", margin, r.GetTiming().GetTickMs())
+		c.addError(prefix+"timing.answer_margin_ms", "%v is less than four ticks (timing.tick_ms %v): answers could be late", margin, r.GetTiming().GetTickMs())
 	}
 }
 
-// admission checks what it can without knowing the descriptors that there are: that is done at the start.
-func (c *checker) checkAdmission(a *pb.Admission, at string) {
+// checkAdmission checks what does not depend on the descriptor limit of the process. The division of the descriptors is
+// checked at start (AdmissionConfig).
+func (c *checker) checkAdmission(a *pb.Admission, prefix string) {
 	names, keys := map[string]bool{}, map[string]bool{}
 	for i, k := range a.GetClients() {
-		field := fmt.Sprintf("%sclients[%d]", at, i)
+		field := fmt.Sprintf("%sclients[%d]", prefix, i)
 		c.checkUnique(names, field+".name", k.GetName())
 		c.checkKeyHashes(keys, field, k.GetKeySha256())
-		for j, text := range k.GetRanges() {
-			if _, err := netip.ParsePrefix(text); err != nil {
-				c.addError(fmt.Sprintf("%s.ranges[%d]", field, j), "%q is no range such as 10.1.0.0/16", text)
+		for j, addressRange := range k.GetRanges() {
+			if _, err := netip.ParsePrefix(addressRange); err != nil {
+				c.addError(fmt.Sprintf("%s.ranges[%d]", field, j), "%q is not an address range such as 10.1.0.0/16", addressRange)
 			}
 		}
 		if len(k.GetKeySha256())+len(k.GetRanges())+len(k.GetCertificates()) == 0 {
-			c.addError(field, "has no key, range or certificate: nobody is this client")
+			c.addError(field, "has no key, range or certificate: it matches no connection")
 		}
 	}
 }
 
-func (c *checker) checkPeers(r *pb.Router, at string) {
+func (c *checker) checkPeers(r *pb.Router, prefix string) {
 	p := r.GetPeers()
 	if p == nil {
 		return
 	}
-	c.checkAddress(at+"peers.listen", p.GetListen())
+	c.checkAddress(prefix+"peers.listen", p.GetListen())
 	for i, s := range p.GetSeeds() {
-		c.checkAddress(fmt.Sprintf("%speers.seeds[%d]", at, i), s)
+		c.checkAddress(fmt.Sprintf("%speers.seeds[%d]", prefix, i), s)
 	}
-	if b, err := hex.DecodeString(p.GetKeyHex()); err != nil || len(b) != 16 && len(b) != 24 && len(b) != 32 {
-		c.addError(at+"peers.key_hex", "must be 16, 24 or 32 bytes as hex")
+	if key, err := hex.DecodeString(p.GetKeyHex()); err != nil || len(key) != 16 && len(key) != 24 && len(key) != 32 {
+		c.addError(prefix+"peers.key_hex", "must be 16, 24 or 32 bytes as hex")
 	}
 	if p.GetLeaseS() <= p.GetSettleS() {
-		c.addError(at+"peers.lease_s", "%v is not above settle_s, %v", p.GetLeaseS(), p.GetSettleS())
+		c.addError(prefix+"peers.lease_s", "%v is not greater than settle_s (%v)", p.GetLeaseS(), p.GetSettleS())
 	}
 	if !r.GetAllowed().GetProbes() {
-		c.addError(at+"peers", "has no duty where allowed.probes is false")
+		c.addError(prefix+"peers", "must not be set where allowed.probes is false: there is no duty to share")
 	}
 }
 
-// keys checks the sums of one holder's API keys; seen are all so far.
-func (c *checker) checkKeyHashes(seen map[string]bool, holder string, sums []string) {
+// checkKeyHashes checks the SHA-256 sums of the API keys of one tenant or client. seen has the sums of all checked so far.
+func (c *checker) checkKeyHashes(seen map[string]bool, path string, sums []string) {
 	for i, sum := range sums {
-		field := fmt.Sprintf("%s.key_sha256[%d]", holder, i)
-		if b, err := hex.DecodeString(sum); err != nil || len(b) != 32 {
+		field := fmt.Sprintf("%s.key_sha256[%d]", path, i)
+		if hash, err := hex.DecodeString(sum); err != nil || len(hash) != 32 {
 			c.addError(field, "must be the 64 hex digits of a SHA-256")
 		}
 		c.checkUnique(seen, field, sum)
 	}
 }
 
-func (c *checker) checkTenants(r *pb.Router, at string) {
-	names, keys, anonymous := map[string]bool{}, map[string]bool{}, false
+func (c *checker) checkTenants(r *pb.Router, prefix string) {
+	names, keys, hasAnonymous := map[string]bool{}, map[string]bool{}, false
 	for i, t := range r.GetTenants() {
-		c.checkUnique(names, fmt.Sprintf("%stenants[%d].name", at, i), t.GetName())
-		c.checkKeyHashes(keys, fmt.Sprintf("%stenants[%d]", at, i), t.GetKeySha256())
-		if t.GetAnonymous() && anonymous {
-			c.addError(fmt.Sprintf("%stenants[%d].anonymous", at, i), "another tenant is the anonymous one")
+		c.checkUnique(names, fmt.Sprintf("%stenants[%d].name", prefix, i), t.GetName())
+		c.checkKeyHashes(keys, fmt.Sprintf("%stenants[%d]", prefix, i), t.GetKeySha256())
+		if t.GetAnonymous() && hasAnonymous {
+			c.addError(fmt.Sprintf("%stenants[%d].anonymous", prefix, i), "another tenant is already anonymous")
 		}
-		anonymous = anonymous || t.GetAnonymous()
+		hasAnonymous = hasAnonymous || t.GetAnonymous()
 		if len(t.GetKeySha256()) == 0 && !t.GetAnonymous() {
-			c.addError(fmt.Sprintf("%stenants[%d]", at, i), "has no key and is not anonymous: nobody is this tenant")
+			c.addError(fmt.Sprintf("%stenants[%d]", prefix, i), "has no key and is not anonymous: it matches no request")
 		}
 	}
 }
 
-func (c *checker) checkEngineList(r *pb.Router, at string, wanted bool) {
+func (c *checker) checkEngineList(r *pb.Router, prefix string, required bool) {
 	l := r.GetList()
 	switch {
-	case !wanted:
+	case !required:
 		return
 	case (l.GetUrl() == "") == (l.GetFile() == ""):
-		c.addError(at+"list", "wants either url or file")
+		c.addError(prefix+"list", "must have either url or file")
 	case l.GetAsk() && l.GetUrl() == "":
-		c.addError(at+"list.ask", "wants a url: a file is read again by itself")
+		c.addError(prefix+"list.ask", "requires url: a file is always polled")
 	case l.GetUrl() != "":
 		if u, err := url.Parse(l.GetUrl()); err != nil || u.Scheme != "http" || u.Host == "" {
-			c.addError(at+"list.url", "%q is no http:// URL", l.GetUrl())
+			c.addError(prefix+"list.url", "%q is not an http:// URL", l.GetUrl())
 		}
 	}
 }
 
-func (c *checker) checkFleet(f *pb.Fleet, at string) {
-	c.checkAddress(at+"list_listen", f.GetListListen())
+func (c *checker) checkFleet(f *pb.Fleet, prefix string) {
+	c.checkAddress(prefix+"list_listen", f.GetListListen())
 	if net.ParseIP(f.GetListenHost()) == nil {
-		c.addError(at+"listen_host", "%q is no IP address", f.GetListenHost())
+		c.addError(prefix+"listen_host", "%q is not an IP address", f.GetListenHost())
 	}
 	names := map[string]bool{}
 	for i, s := range f.GetEngines() {
-		field := fmt.Sprintf("%sengines[%d]", at, i)
+		field := fmt.Sprintf("%sengines[%d]", prefix, i)
 		c.checkUnique(names, field+".name", s.GetName())
 		if s.GetRole() == pb.Role_ROLE_UNSPECIFIED {
 			c.addError(field+".role", "must be READER, WRITER or MIXED")
@@ -200,8 +201,8 @@
 		zones[r.GetZone()] = true
 	}
 	for i, s := range d.GetFleet().GetEngines() {
-		if role, told := machines[s.GetMachine()]; !told {
-			c.addError(fmt.Sprintf("fleet.engines[%d].machine", i), "%q is none of router.machines", s.GetMachine())
+		if role, ok := machines[s.GetMachine()]; !ok {
+			c.addError(fmt.Sprintf("fleet.engines[%d].machine", i), "%q is not one of router.machines", s.GetMachine())
 		} else if role != s.GetRole() {
 			c.addError(fmt.Sprintf("fleet.engines[%d].role", i), "is %v, but router.machines says %v", s.GetRole(), role)
 		}
@@ -213,7 +214,7 @@
 	}
 	for i, l := range d.GetClients() {
 		if !workloads[l.GetWorkload()] {
-			c.addError(fmt.Sprintf("clients[%d].workload", i), "%q is none of router.workloads", l.GetWorkload())
+			c.addError(fmt.Sprintf("clients[%d].workload", i), "%q is not one of router.workloads", l.GetWorkload())
 		}
 	}
 	for i, t := range d.GetTroubles() {
@@ -221,29 +222,29 @@
 	}
 }
 
-func (c *checker) checkTrouble(t *pb.Trouble, at string, engines, zones, workloads, routers map[string]bool) {
+func (c *checker) checkTrouble(t *pb.Trouble, path string, engines, zones, workloads, routers map[string]bool) {
 	for i, e := range t.GetEngines() {
 		if !engines[e] {
-			c.addError(fmt.Sprintf("%s.engines[%d]", at, i), "%q is no engine and no set of the fleet", e)
+			c.addError(fmt.Sprintf("%s.engines[%d]", path, i), "%q is neither an engine nor an engine set of the fleet", e)
 		}
 	}
-	wants := func(field, value string, among map[string]bool, of string) {
-		if !among[value] {
-			c.addError(at+"."+field, "%v wants one of the %s, not %q", t.GetKind(), of, value)
+	checkOneOf := func(field, value string, allowed map[string]bool, plural string) {
+		if !allowed[value] {
+			c.addError(path+"."+field, "%v requires one of the %s, not %q", t.GetKind(), plural, value)
 		}
 	}
 	switch t.GetKind() {
 	case pb.Kind_KIND_UNSPECIFIED:
-		c.addError(at+".kind", "must be one of the kinds of trouble")
+		c.addError(path+".kind", "must be set")
 	case pb.Kind_ZONE_CUT:
-		wants("zone", t.GetZone(), zones, "zones")
+		checkOneOf("zone", t.GetZone(), zones, "zones")
 	case pb.Kind_WORKLOAD_FAILS:
-		wants("workload", t.GetWorkload(), workloads, "workloads")
+		checkOneOf("workload", t.GetWorkload(), workloads, "workloads")
 	case pb.Kind_ROUTER_KILLED, pb.Kind_ROUTER_PAUSED:
-		wants("router", t.GetRouter(), routers, "routers")
+		checkOneOf("router", t.GetRouter(), routers, "routers")
 	}
 	if sizeIsShare(t.GetKind()) && t.GetSize() > 1 {
-		c.addError(at+".size", "%v is out of range: it is a share, from 0 to 1", t.GetSize())
+		c.addError(path+".size", "%v is out of range: it is a share, from 0 to 1", t.GetSize())
 	}
 }
 
@@ -257,15 +258,15 @@
 
 func (c *checker) checkUnique(seen map[string]bool, field, name string) {
 	if seen[name] {
-		c.addError(field, "%q is there twice", name)
+		c.addError(field, "%q is a duplicate", name)
 	}
 	seen[name] = true
 }
 
 func (c *checker) checkAddress(field, address string) {
 	host, port, err := net.SplitHostPort(address)
-	n, bad := strconv.Atoi(port)
-	if err != nil || bad != nil || n < 0 || n > 65535 || host != "" && host != "localhost" && net.ParseIP(host) == nil {
-		c.addError(field, "%q is no address: wanted IP:port, port from 0 to 65535", address)
+	portNumber, portErr := strconv.Atoi(port)
+	if err != nil || portErr != nil || portNumber < 0 || portNumber > 65535 || host != "" && host != "localhost" && net.ParseIP(host) == nil {
+		c.addError(field, "%q is not an address: must be IP:port, with a port from 0 to 65535", address)
 	}
 }
