--- a/cmd/cherryhub/main_test.go
+++ b/cmd/cherryhub/main_test.go
@@ -39,8 +39,8 @@
 	require.NoError(t, os.WriteFile(small, []byte(`seeds: 2 variants { name: "a" } variants { name: "b" policy: RANDOM }
 days { name: "d" length_s: 5 groups { role: READER } groups { role: WRITER count: 2 } loads { workload: "w" turns: 2 }
 router { machines { name: "m" role: MIXED } workloads { name: "w" } list {} } }`), 0o600))
-	truncated := filepath.Join(t.TempDir(), "cut")
-	require.NoError(t, os.WriteFile(truncated, []byte("not a record"), 0o600))
+	notRecord := filepath.Join(t.TempDir(), "cut")
+	require.NoError(t, os.WriteFile(notRecord, []byte("not a record"), 0o600))
 	for line, want := range map[string]int{
 		"config check ../../deploy/examples/router.textproto":             0,
 		"config print ../../deploy/examples/router.textproto":             0,
@@ -54,7 +54,7 @@
 		"lab run " + small:               0,
 		"lab run --json " + small:        0,
 		"lab run " + bad:                 2,
-		"check " + truncated:             1,
+		"check " + notRecord:             1,
 		"check /nowhere/at/all":          2,
 		"config check " + bad:            2,
 		"config check --kind odd " + bad: 2,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -80,6 +80,7 @@
 	return fileErr
 }
 
+// checker collects the errors of one settings file.
 type checker struct {
 	file  string
 	lines map[string]int // line numbers by field, named as in FileError.Field
@@ -160,6 +161,8 @@
 	return lines
 }
 
+// addFieldLines adds the lines of nodes and their children to lines. A field is entered under its plain path and, as an item of
+// a repeated field, with its index; path is that of the enclosing message.
 func addFieldLines(nodes []*ast.Node, path string, lines map[string]int) {
 	counts := map[string]int{}
 	for _, n := range nodes {
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -248,6 +248,7 @@
 	}
 }
 
+// sizeIsShare reports whether the size of this kind of trouble is a share from 0 to 1.
 func sizeIsShare(k pb.Kind) bool {
 	switch k {
 	case pb.Kind_FAILS_FAST, pb.Kind_BREAKS_MIDSTREAM, pb.Kind_ANSWERS_LOST, pb.Kind_KEPT_FLUSHED, pb.Kind_HOT_BEGINNING:
