--- a/cmd/cherryhub/run_test.go
+++ b/cmd/cherryhub/run_test.go
@@ -40,16 +40,16 @@
 	}()
 	fleet := standin.NewFleet()
 	fleet.EventInterval = 20 * time.Millisecond
-	var hosts []discovery.Host
+	var entries []discovery.EngineEntry
 	for name, machineKind := range map[string]string{"a": "reads", "b": "writes", "c": "writes"} {
 		engine, err := fleet.StartEngine(name, machineKind == "reads")
 		require.NoError(t, err)
 		defer engine.Close()
-		hosts = append(hosts, discovery.Host{Name: name, Address: engine.Address(), Zone: "here", MachineKind: machineKind, Health: "Ready"})
+		entries = append(entries, discovery.EngineEntry{Name: name, Address: engine.Address(), Zone: "here", MachineKind: machineKind, Health: "Ready"})
 	}
 	var discoveries [2]*standin.Discovery
 	for i := range discoveries {
-		service, err := standin.StartDiscovery(append([]discovery.Host(nil), hosts...))
+		service, err := standin.StartDiscovery(append([]discovery.EngineEntry(nil), entries...))
 		require.NoError(t, err)
 		defer service.Close()
 		discoveries[i] = service
--- a/cmd/cherryhub/soak_test.go
+++ b/cmd/cherryhub/soak_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestSoakLogs checks that a router continues to serve and violates no rule while nobody reads its log, and after the
+// TestSoakLogs checks that a router continues to serve and violates no rule while its log is not read, and after the
 // reader of its log has exited.
 func TestSoakLogs(t *testing.T) {
 	for _, fault := range []soak.Fault{soak.LogStalls, soak.LogCut} {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -375,7 +375,7 @@
 // totalLoad estimates the load that all routers together have on an engine. This router's load there stands for the
 // others' as far as it is a sample. For the rest they are assumed to have the average of the pool's engines, by
 // reports and by this router's work there in the last seconds; a cold engine is assumed to have only what it had time
-// for, or nobody would pick it. A report of the engine itself is blended in by its age.
+// for; otherwise no router would pick it. A report of the engine itself is blended in by its age.
 func (r *Router) totalLoad(e *engine, i int) float64 {
 	l, p, weight := &e.load[i], e.pool, e.pool.sampleWeight()*boolToFloat(e.succeededAt > 0)
 	average := r.warmUpProgress(e) * (r.equivalentRouters*p.out[i].average/math.Max(1, p.readyEngines) + p.reported[i]) / (1 + p.reported[2])
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestOrdinaryPath(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change   func(*Settings)
 		entries  []EngineEntry
 		tokens   float64
@@ -33,13 +33,13 @@
 		"an empty list rate-limits":           {nil, nil, 100, -1, []string{"rate-limit"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, rec := newTestRouter(t, c.change, c.entries)
-			p := prompt(0, c.tokens)
-			if c.cachedAt >= 0 {
-				r.recordPrefix(r.engines[c.cachedAt], &p, 0, -1)
+			r, rec := newTestRouter(t, tc.change, tc.entries)
+			p := prompt(0, tc.tokens)
+			if tc.cachedAt >= 0 {
+				r.recordPrefix(r.engines[tc.cachedAt], &p, 0, -1)
 			}
 			r.Route(1, p)
-			assert.Equal(t, c.want, rec.flush())
+			assert.Equal(t, tc.want, rec.flush())
 		})
 	}
 }
@@ -57,7 +57,7 @@
 }
 
 func TestRestartedRouter(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		cached bool
 		want   int
 	}{
@@ -67,17 +67,17 @@
 		t.Run(name, func(t *testing.T) {
 			r, rec := newTestRouter(t, nil, fleet()[:3])
 			p := prompt(0, 3000)
-			if c.cached {
+			if tc.cached {
 				r.recordPrefix(r.engines[2], &p, 0, -1)
 			}
 			r.Route(1, p)
-			assert.Equal(t, []int{c.want}, rec.engines)
+			assert.Equal(t, []int{tc.want}, rec.engines)
 		})
 	}
 }
 
 func TestStateGoesToThePickedWriter(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		then func(r *Router, c *Completion)
 		want []string
 	}{
@@ -97,9 +97,9 @@
 			r.recordHealth(r.engines[3], 1) // makes the other writer the better pick
 			h := r.Route(1, prompt(0, 3000))
 			rec.flush()
-			c.then(r, h)
+			tc.then(r, h)
 			h.DispatchEnded(0, Read, 0.1, false, 0, nil)
-			assert.Equal(t, c.want, rec.flush())
+			assert.Equal(t, tc.want, rec.flush())
 		})
 	}
 }
@@ -107,7 +107,7 @@
 // TestTenantSharesOverManyRouters: what a tenant sends within its share has its full value at a router that gets a
 // small part of it, and at one that gets several times the mean; what it sends beyond the share does not.
 func TestTenantSharesOverManyRouters(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		rates  [2]float64 // completions per second of two tenants at this router; the share of each is 0.1
 		within [2]bool
 	}{
@@ -123,7 +123,7 @@
 			sent, over := [2]float64{}, [2]float64{}
 			for i := range 60000 {
 				r.SetTime(float64(i) / 100)
-				for k, rate := range one.rates {
+				for k, rate := range tc.rates {
 					if rnd.Float64() < rate/100 {
 						sent[k]++
 						over[k] += boolToFloat(r.relativeValue(&Prompt{Tenant: k}) < 1)
@@ -131,7 +131,7 @@
 				}
 			}
 			for k := range over {
-				if one.within[k] {
+				if tc.within[k] {
 					assert.Less(t, over[k], 0.1*sent[k], "tenant %d", k)
 				} else {
 					assert.Greater(t, over[k], 0.3*sent[k], "tenant %d", k)
@@ -199,7 +199,7 @@
 // TestDistantEngines: what would take long at a near reader goes to one in another zone, with its writer beside it.
 // It stays near where that is as fast, however little distance costs then.
 func TestDistantEngines(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		near, far float64 // tokens that wait at the near and the far reader
 		want      []string
 	}{
@@ -214,9 +214,9 @@
 			r, rec := newTestRouter(t, func(s *Settings) {
 				s.ReservationsAllowed, s.CrossCellPrice, s.CrossZonePrice, s.WriterReadsAllowed = true, 0.08, 0.01, false
 			}, entries)
-			r.engines[0].load[prefillLoad].out, r.engines[1].load[prefillLoad].out = one.near, one.far
+			r.engines[0].load[prefillLoad].out, r.engines[1].load[prefillLoad].out = tc.near, tc.far
 			r.Route(1, prompt(0, 800))
-			assert.Equal(t, one.want, rec.flush())
+			assert.Equal(t, tc.want, rec.flush())
 		})
 	}
 }
@@ -224,7 +224,7 @@
 // TestEquivalentRouters: the other routers count as no more routers like this one than the engines' reports allow
 // for.
 func TestEquivalentRouters(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		own  float64 // tokens this router holds at each engine
 		full float64 // share of memory held, as reported; below 0: no report
 		from float64
@@ -238,21 +238,21 @@
 		t.Run(name, func(t *testing.T) {
 			r, _ := newTestRouter(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"x0"} }, fleet())
 			for _, e := range r.engines {
-				r.addLoad(e, 0, one.own)
-				if one.full >= 0 {
-					r.ProbeEnded(e.id, Finished, []float64{one.full})
+				r.addLoad(e, 0, tc.own)
+				if tc.full >= 0 {
+					r.ProbeEnded(e.id, Finished, []float64{tc.full})
 				}
 			}
 			r.SetTime(20)
 			for _, e := range r.engines {
 				r.addLoad(e, 0, 0)
-				if one.full >= 0 {
-					r.ProbeEnded(e.id, Finished, []float64{one.full})
+				if tc.full >= 0 {
+					r.ProbeEnded(e.id, Finished, []float64{tc.full})
 				}
 			}
 			r.updatePoolReports()
-			assert.GreaterOrEqual(t, r.equivalentRouters, one.from)
-			assert.LessOrEqual(t, r.equivalentRouters, one.to)
+			assert.GreaterOrEqual(t, r.equivalentRouters, tc.from)
+			assert.LessOrEqual(t, r.equivalentRouters, tc.to)
 		})
 	}
 }
@@ -262,11 +262,11 @@
 func TestLoadOfColdEngines(t *testing.T) {
 	r, _ := newTestRouter(t, func(s *Settings) { s.Routers, s.ReportColumns = 300, []string{"queue"} },
 		[]EngineEntry{entry(0, 0, 0, longAgo), entry(1, 0, 1, longAgo), entry(2, 1, 0, longAgo), entry(3, 0, 0, 0)})
-	for _, one := range []struct{ at, warm float64 }{{0, 0}, {5, 0.5}, {10, 1}, {30, 1}} {
-		r.SetTime(one.at)
+	for _, tc := range []struct{ at, warm float64 }{{0, 0}, {5, 0.5}, {10, 1}, {30, 1}} {
+		r.SetTime(tc.at)
 		r.ProbeEnded(0, Finished, []float64{8})
 		r.updatePoolReports()
-		assert.InDelta(t, one.warm*r.totalLoad(r.engines[1], prefillLoad), r.totalLoad(r.engines[3], prefillLoad), 1, "at %v", one.at)
+		assert.InDelta(t, tc.warm*r.totalLoad(r.engines[1], prefillLoad), r.totalLoad(r.engines[3], prefillLoad), 1, "at %v", tc.at)
 		assert.Greater(t, r.totalLoad(r.engines[1], prefillLoad), 100.0)
 	}
 }
@@ -300,13 +300,13 @@
 }
 
 // TestStateReleasedMeanwhile: a dispatch that ends with the report that no state is left is followed by a new read,
-// however it ended, and an engine that could not be reached is blamed.
+// however it ended, and an engine that could not be reached has the failure counted.
 func TestStateReleasedMeanwhile(t *testing.T) {
-	for name, one := range map[string]struct {
-		o      Outcome
-		found  float64
-		reads  bool // the next dispatch is a read
-		blamed bool
+	for name, tc := range map[string]struct {
+		o              Outcome
+		found          float64
+		reads          bool // the next dispatch is a read
+		failureCounted bool
 	}{
 		"the state is still held":            {Unreachable, 0, false, true},
 		"released while it was connecting":   {Unreachable, 1, true, true},
@@ -321,16 +321,16 @@
 			require.Len(t, rec.engines, 2)
 			writer := r.engines[rec.engines[1]]
 			r.SetTime(0.55)
-			c.DispatchEnded(1, one.o, 0.25, false, one.found, nil)
+			c.DispatchEnded(1, tc.o, 0.25, false, tc.found, nil)
 			require.Len(t, rec.engines, 3)
-			require.Equal(t, one.reads, r.engines[rec.engines[2]].role == Reader)
-			require.Equal(t, one.blamed, r.currentFailureShare(writer) > 0)
+			require.Equal(t, tc.reads, r.engines[rec.engines[2]].role == Reader)
+			require.Equal(t, tc.failureCounted, r.currentFailureShare(writer) > 0)
 		})
 	}
 }
 
 func TestIdempotency(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		workload int
 		outcome  Outcome
 		after    float64
@@ -344,19 +344,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, rec := newTestRouter(t, nil, fleet()[2:])
-			p := prompt(c.workload, 200)
+			p := prompt(tc.workload, 200)
 			r.recordPrefix(r.engines[2], &p, 0, -1)
 			h := r.Route(1, p)
 			require.Equal(t, []string{"dispatch 2"}, rec.flush())
-			r.SetTime(c.after)
-			h.DispatchEnded(0, c.outcome, c.after, false, 0, nil)
-			assert.Equal(t, c.want, rec.flush())
+			r.SetTime(tc.after)
+			h.DispatchEnded(0, tc.outcome, tc.after, false, 0, nil)
+			assert.Equal(t, tc.want, rec.flush())
 		})
 	}
 }
 
 func TestIdempotencyOfReads(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		workload int
 		want     []string
 	}{
@@ -369,14 +369,14 @@
 			r.engines[2].memory, r.stages[2].secondsPerToken = 1e4, 1
 			r.recordHealth(r.engines[1], 1) // makes the other reader the better pick
 			r.SetTime(0.5)
-			h := r.Route(1, prompt(c.workload, 3000))
+			h := r.Route(1, prompt(tc.workload, 3000))
 			require.Equal(t, []string{"dispatch 0"}, rec.flush())
 			r.recordHealth(r.engines[0], 1)
 			r.recordHealth(r.engines[0], 1)
 			r.SetTime(2)
 			h.TimerFired()
 			h.DispatchEnded(0, Cancelled, 1.5, false, 0, nil)
-			assert.Equal(t, c.want, rec.flush())
+			assert.Equal(t, tc.want, rec.flush())
 		})
 	}
 }
@@ -421,7 +421,7 @@
 
 func TestProbesBeforeThePick(t *testing.T) {
 	probes := func(s *Settings) { s.ProbesAllowed, s.ReportColumns = true, []string{"queue", "util", "x0"} }
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		then func(r *Router, h *Completion)
 		want []string
 	}{
@@ -435,8 +435,8 @@
 			r, rec := newTestRouter(t, probes, fleet()[2:])
 			h := r.Route(1, prompt(0, 200))
 			require.Equal(t, []string{"probe 2"}, rec.flush())
-			c.then(r, h)
-			assert.Equal(t, c.want, rec.flush())
+			tc.then(r, h)
+			assert.Equal(t, tc.want, rec.flush())
 		})
 	}
 	t.Run("with hardly any time left nothing is probed", func(t *testing.T) {
@@ -691,19 +691,19 @@
 		}
 	})
 	t.Run("a long prompt is rejected for its own length only once the pace is measured", func(t *testing.T) {
-		for _, c := range []struct {
+		for _, tc := range []struct {
 			samples, waiting float64
 			want             string
 		}{{initialPaceSamples, 0, "dispatch"}, {10 * initialPaceSamples, 0, "rate-limit"}, {initialPaceSamples, 5e5, "rate-limit"}} {
 			r, rec := newTestRouter(t, nil, fleet()[:3])
 			for i := range r.stages {
-				r.stages[i].samples = c.samples
+				r.stages[i].samples = tc.samples
 			}
 			for _, e := range r.engines {
-				e.load[prefillLoad].out = c.waiting
+				e.load[prefillLoad].out = tc.waiting
 			}
 			route(r, 1, 40e3)
-			assert.Contains(t, rec.actions[0], c.want, c)
+			assert.Contains(t, rec.actions[0], tc.want, tc)
 		}
 	})
 	t.Run("a resumed completion is limited by its time alone", func(t *testing.T) {
@@ -935,7 +935,7 @@
 // wait may. It is not read behind others, nor if it would take nearly all of the latency target.
 func TestLongReadsAtIdleEngines(t *testing.T) {
 	const pace = 2e-5 // seconds per token
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		tokens, waits float64 // shares of the target
 		want          string
 	}{
@@ -953,11 +953,11 @@
 			}
 			target := r.workloads[0].LatencyTarget / pace
 			for _, e := range r.engines {
-				e.load[prefillLoad].out = one.waits * target * boolToFloat(e.role == Reader)
+				e.load[prefillLoad].out = tc.waits * target * boolToFloat(e.role == Reader)
 				e.succeededAt = 1
 			}
-			r.Route(1, prompt(0, one.tokens*target))
-			require.Contains(t, rec.flush()[0], one.want)
+			r.Route(1, prompt(0, tc.tokens*target))
+			require.Contains(t, rec.flush()[0], tc.want)
 		})
 	}
 }
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -1,6 +1,6 @@
 package decide
 
-// ReleaseFraction is the share of the holding limit after which a release is sent. The rest of the limit covers the release's own
+// ReleaseFraction is the share of the hold limit after which a release is sent. The rest of the limit covers the release's own
 // transit, and engines that have to be asked in place of another. A write that waits longer than this at an engine that then hangs
 // costs a second read.
 const ReleaseFraction = 0.6
@@ -22,7 +22,7 @@
 // and an answered release show that nothing is held, and neither shows anything about state that is left afterwards.
 type Lease struct {
 	mayHold           bool    // an engine may hold state
-	heldSince         float64 // when the holding time began
+	heldSince         float64 // since when state has been held, for the hold limit
 	runsUntil         float64 // calls that ended without an answer may run on at their engines until then, and leave state
 	clearedAt         float64 // when the last answered release was sent, or the last write gave its first byte
 	releasedSinceRead bool    // a release was sent since the last read was answered
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -110,16 +110,16 @@
 
 // TestLeaseAfterFirstByte: after a write's first byte no release is due, except for state that a read that was cut off may leave later.
 func TestLeaseAfterFirstByte(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		until  float64
 		active bool
 	}{"answered": {0, false}, "one was cut off": {5, true}} {
 		l := &Lease{}
-		l.ReadEnded(1, false, one.until)
+		l.ReadEnded(1, false, tc.until)
 		l.ReadEnded(2, true, 0)
 		l.WriteStarted(3)
-		require.Equal(t, one.active, l.Active(), name)
+		require.Equal(t, tc.active, l.Active(), name)
 		_, due := l.NextRelease(1)
-		require.Equal(t, one.active, due, name)
+		require.Equal(t, tc.active, due, name)
 	}
 }
--- a/deploy/build_test.go
+++ b/deploy/build_test.go
@@ -50,7 +50,7 @@
 	engine, err := standin.NewFleet().StartEngine("a", false)
 	require.NoError(t, err)
 	defer engine.Close()
-	discoveryService, err := standin.StartDiscovery([]discovery.Host{{Name: "a", Address: engine.Address(), Zone: "here", MachineKind: "both", Health: "Ready"}})
+	discoveryService, err := standin.StartDiscovery([]discovery.EngineEntry{{Name: "a", Address: engine.Address(), Zone: "here", MachineKind: "both", Health: "Ready"}})
 	require.NoError(t, err)
 	defer discoveryService.Close()
 	ln, err := loopback.Listen("127.0.0.1")
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -718,7 +718,7 @@
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change  func(*Settings)
 		clients []Client
 		want    string
@@ -732,9 +732,9 @@
 		"rate":                {func(s *Settings) { s.AddressRate = math.NaN() }, nil, "rates"},
 	} {
 		s := smallSettings()
-		test.change(&s)
-		_, err := New(s, test.clients)
-		assert.ErrorContains(t, err, test.want, name)
+		tc.change(&s)
+		_, err := New(s, tc.clients)
+		assert.ErrorContains(t, err, tc.want, name)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 `
 
 func TestParseErrors(t *testing.T) {
-	for name, c := range map[string]struct{ text, want string }{
+	for name, tc := range map[string]struct{ text, want string }{
 		"unknown field":           {validRouter + "odd: 3", "f:4: unknown field: odd"},
 		"not text format":         {validRouter + "drain_grace_s: {", "f:4: "},
 		"wrong type":              {validRouter + "\nrouters: \"x\"", "f:5: "},
@@ -60,7 +60,7 @@
 		"no key file":             {validRouter + `tls { certificate_file: "x" }`, "f:4: tls.key_file: is missing"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.ErrorContains(t, Parse("f", []byte(c.text), &pb.Router{}), c.want)
+			assert.ErrorContains(t, Parse("f", []byte(tc.text), &pb.Router{}), tc.want)
 		})
 	}
 	assert.NoError(t, Parse("f", []byte(validRouter), &pb.Router{}))
--- a/internal/door/listener_test.go
+++ b/internal/door/listener_test.go
@@ -97,23 +97,23 @@
 
 func TestWatchFiles(t *testing.T) {
 	dir := t.TempDir()
-	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
+	first, second := filepath.Join(dir, "one"), filepath.Join(dir, "two")
 	write := func(file, text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
-	write(one, "1")
-	write(two, "1")
+	write(first, "1")
+	write(second, "1")
 	var changed atomic.Int32
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go WatchFiles(ctx, []string{one, two}, 20*time.Millisecond, func() { changed.Add(1) })
+	go WatchFiles(ctx, []string{first, second}, 20*time.Millisecond, func() { changed.Add(1) })
 	time.Sleep(100 * time.Millisecond)
 	assert.Zero(t, changed.Load())
-	write(one, "22")
+	write(first, "22")
 	time.Sleep(5 * time.Millisecond)
-	write(two, "22")
+	write(second, "22")
 	require.Eventually(t, func() bool { return changed.Load() > 0 }, time.Second, time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	assert.LessOrEqual(t, changed.Load(), int32(2), "at most two calls for both changes")
-	require.NoError(t, os.Remove(one))
+	require.NoError(t, os.Remove(first))
 	require.Eventually(t, func() bool { return changed.Load() > 1 }, time.Second, time.Millisecond, "a removed file is a change too")
 }
 
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -102,7 +102,7 @@
 
 // TestGuards checks that each guarantee is violated once the guard behind it is disabled.
 func TestGuards(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		disabledGuard string
 		candidates    int
 		wantErr       string
@@ -116,12 +116,12 @@
 		t.Run(name, func(t *testing.T) {
 			var err error
 			for seed := uint64(1); seed <= 20 && err == nil; seed++ {
-				err = runScenario(seed, c.disabledGuard, c.candidates)
+				err = runScenario(seed, tc.disabledGuard, tc.candidates)
 			}
-			if c.wantErr == "" {
+			if tc.wantErr == "" {
 				assert.NoError(t, err)
 			} else {
-				assert.ErrorContains(t, err, c.wantErr)
+				assert.ErrorContains(t, err, tc.wantErr)
 			}
 		})
 	}
--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -19,27 +19,27 @@
 // admitRequest asks the admission listener to admit a request when only its header has been read.
 func (e *Edge) admitRequest(ctx context.Context, rc *app.RequestContext) {
 	remoteAddr := rc.GetConn().RemoteAddr()
-	tenant, decision := e.opts.AdmissionListener.BeginRequest(remoteAddr, bearerToken(rc))
-	defer e.opts.AdmissionListener.EndRequest(remoteAddr)
+	tenant, decision := e.options.AdmissionListener.BeginRequest(remoteAddr, bearerToken(rc))
+	defer e.options.AdmissionListener.EndRequest(remoteAddr)
 	if !decision.Admitted() {
 		setRetryAfter(rc, decision.RetryAfter)
-		e.opts.Observer.Refused(decision.Reason.Response().Status)
+		e.options.Observer.Refused(decision.Reason.Response().Status)
 		e.writeErrorAndClose(rc, admissionError(decision), refusedLingerTimeout)
 		rc.Abort()
 		return
 	}
-	if e.opts.AdmissionListener.ShouldClose(remoteAddr) { // must be set before a stream's header is written
+	if e.options.AdmissionListener.ShouldClose(remoteAddr) { // must be set before a stream's header is written
 		rc.SetConnectionClose()
 	}
-	if e.opts.AdmissionListener.UsesTLS() {
+	if e.options.AdmissionListener.UsesTLS() {
 		var cancel context.CancelCauseFunc
 		ctx, cancel = context.WithCancelCause(ctx)
 		defer cancel(nil)
-		e.opts.AdmissionListener.OnDisconnect(remoteAddr, func() { cancel(engine.ErrCancelled) })
+		e.options.AdmissionListener.OnDisconnect(remoteAddr, func() { cancel(engine.ErrCancelled) })
 	}
 	rc.Set(tenantContextKey, tenant)
 	rc.Next(ctx)
-	if e.stopping.Load() || e.opts.AdmissionListener.ShouldClose(remoteAddr) { // a client with a persistent connection has to reconnect elsewhere
+	if e.stopping.Load() || e.options.AdmissionListener.ShouldClose(remoteAddr) { // a client with a persistent connection has to reconnect elsewhere
 		rc.SetConnectionClose()
 	}
 }
@@ -62,7 +62,7 @@
 
 // requestTenant returns the tenant found by admission, or else the one of the API key.
 func (e *Edge) requestTenant(rc *app.RequestContext) (int, *apiError) {
-	if e.opts.AdmissionListener != nil {
+	if e.options.AdmissionListener != nil {
 		if t := rc.GetInt(tenantContextKey); t >= 0 {
 			return t, nil
 		}
@@ -74,7 +74,7 @@
 // the planner. It returns a key hashed from the sender and the content, so that other completions of the same
 // client are not affected.
 func (e *Edge) checkRetry(rc *app.RequestContext, body []byte) (uint64, *apiError) {
-	if e.opts.AdmissionListener == nil {
+	if e.options.AdmissionListener == nil {
 		return 0, nil
 	}
 	var h xxhash.Digest
@@ -88,7 +88,7 @@
 	}
 	h.Write(body) //nolint:errcheck // as above
 	key := h.Sum64()
-	if decision := e.opts.AdmissionListener.CheckRetry(key); !decision.Admitted() {
+	if decision := e.options.AdmissionListener.CheckRetry(key); !decision.Admitted() {
 		setRetryAfter(rc, decision.RetryAfter)
 		return 0, admissionError(decision)
 	}
@@ -97,17 +97,17 @@
 
 // recordRateLimit records the retry-after that a completion was given.
 func (e *Edge) recordRateLimit(key uint64, retryAfter float64) {
-	if e.opts.AdmissionListener != nil && retryAfter > 0 {
-		e.opts.AdmissionListener.RecordRateLimit(key, time.Duration(retryAfter*float64(time.Second)))
+	if e.options.AdmissionListener != nil && retryAfter > 0 {
+		e.options.AdmissionListener.RecordRateLimit(key, time.Duration(retryAfter*float64(time.Second)))
 	}
 }
 
 // admitCompletion asks the admission listener to admit a completion. done has to be called when it ends.
 func (e *Edge) admitCompletion(rc *app.RequestContext) (done func(), apiErr *apiError) {
-	if e.opts.AdmissionListener == nil {
+	if e.options.AdmissionListener == nil {
 		return func() {}, nil
 	}
-	done, decision := e.opts.AdmissionListener.AdmitCompletion(rc.GetConn().RemoteAddr())
+	done, decision := e.options.AdmissionListener.AdmitCompletion(rc.GetConn().RemoteAddr())
 	if !decision.Admitted() {
 		setRetryAfter(rc, decision.RetryAfter)
 		return nil, admissionError(decision)
--- a/internal/edge/completion.go
+++ b/internal/edge/completion.go
@@ -72,7 +72,7 @@
 	e.activeCalls.Add(1)
 	go func() {
 		defer e.activeCalls.Add(-1)
-		e.runProbe(address, func(ctx context.Context) ([]float64, error) { return e.opts.Probe(ctx, address) })
+		e.runProbe(address, func(ctx context.Context) ([]float64, error) { return e.options.Probe(ctx, address) })
 	}()
 }
 
@@ -83,7 +83,7 @@
 		return err
 	}
 	if err != nil {
-		e.opts.Log.Debug("probe failed", "engine", address, "err", err)
+		e.options.Log.Debug("probe failed", "engine", address, "err", err)
 	}
 	e.planner.Notify(link.Event{Kind: link.ProbeEnded, Address: address, Outcome: engine.ProbeOutcome(err), Report: report})
 	return err
--- a/internal/edge/dispatch.go
+++ b/internal/edge/dispatch.go
@@ -39,7 +39,7 @@
 	d.completion.mu.Lock()
 	d.written = true
 	if d.completion.edge.debugEnabled() {
-		d.completion.edge.opts.Log.Debug("dispatch written", "completion", d.completion.request.ExternalID, "dispatch", d.number, "engine", d.address, "reads", d.isRead,
+		d.completion.edge.options.Log.Debug("dispatch written", "completion", d.completion.request.ExternalID, "dispatch", d.number, "engine", d.address, "reads", d.isRead,
 			"connection", sent.Number, "connection_answered_ago", time.Since(sent.LastActive).Seconds())
 	}
 	d.completion.mu.Unlock()
@@ -58,7 +58,7 @@
 	if clientDeadline := c.request.ArrivedAt.Add(c.request.FirstTokenTimeout - c.request.AnswerMargin); deadline.After(clientDeadline) {
 		deadline = clientDeadline
 	}
-	if !c.edge.opts.ReleaseByCompletion {
+	if !c.edge.options.ReleaseByCompletion {
 		id += "-" + strconv.Itoa(d.number)
 	}
 	checkAfter := time.Duration(0)
@@ -78,10 +78,10 @@
 	c := d.completion
 	timer := time.AfterFunc(timeout, func() { d.cancel(engine.ErrTimedOut) })
 	call := d.newCall(c.request.BuildBody(true, nil), timeout)
-	result := c.edge.opts.Engines.Read(d.ctx, call)
+	result := c.edge.options.Engines.Read(d.ctx, call)
 	timer.Stop()
 	switch {
-	case c.edge.opts.ReleaseByCompletion: // handled by the lease
+	case c.edge.options.ReleaseByCompletion: // handled by the lease
 	case result.Outcome == decide.Read:
 		c.holdState(&heldResource{address: d.address, id: call.ID, transferParams: result.State})
 	case mayHaveRun(result.Outcome) && !result.Answered:
@@ -102,7 +102,7 @@
 	if d.state != nil {
 		state = d.state.transferParams
 	}
-	stream, result := c.edge.opts.Engines.Write(d.ctx, d.cancel, d.newCall(c.request.BuildBody(false, state), timeout), timeout)
+	stream, result := c.edge.options.Engines.Write(d.ctx, d.cancel, d.newCall(c.request.BuildBody(false, state), timeout), timeout)
 	if stream == nil {
 		stateMissing := result.Outcome == decide.Full && result.CachedTokens == 1
 		c.endStateUse(d.state, stateMissing)
@@ -139,7 +139,7 @@
 		if d.stream != nil {
 			usage, _ = d.stream.Usage()
 		}
-		c.edge.opts.Log.Debug("dispatch ended", "completion", c.request.ExternalID, "dispatch", d.number, "engine", d.address, "reads", d.isRead,
+		c.edge.options.Log.Debug("dispatch ended", "completion", c.request.ExternalID, "dispatch", d.number, "engine", d.address, "reads", d.isRead,
 			"outcome", result.Outcome, "after", d.startedAt.Sub(c.request.ArrivedAt).Seconds(), "first", d.timeToFirstToken.Seconds(), "took", elapsed.Seconds(),
 			"found", result.CachedTokens, "answer", usage.OutputTokens, "err", result.Err)
 	}
@@ -148,7 +148,7 @@
 	}
 	d.cancel(engine.ErrCancelled)
 	d.markSent()
-	c.edge.opts.Observer.DispatchEnded(d.isRead, result.Outcome, elapsed)
+	c.edge.options.Observer.DispatchEnded(d.isRead, result.Outcome, elapsed)
 	c.mu.Lock()
 	d.ended = true
 	c.activeDispatches--
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -112,7 +112,7 @@
 
 // Edge serves client requests and carries out the planner's commands.
 type Edge struct {
-	opts            Options
+	options         Options
 	planner         link.Planner
 	server          *server.Hertz
 	callsCtx        context.Context // parent of every dispatch and probe
@@ -145,7 +145,7 @@
 	if o.Probe == nil {
 		o.Probe = o.Engines.Probe
 	}
-	e := &Edge{opts: o, workloadByModel: map[string]int{}, tenantByKeyHash: map[[32]byte]int{}, anonymousTenant: -1, startedAt: time.Now()}
+	e := &Edge{options: o, workloadByModel: map[string]int{}, tenantByKeyHash: map[[32]byte]int{}, anonymousTenant: -1, startedAt: time.Now()}
 	e.callsCtx, e.cancelCalls = context.WithCancelCause(context.Background())
 	var nonce [4]byte
 	rand.Read(nonce[:]) //nolint:errcheck // never fails
@@ -208,7 +208,7 @@
 }
 
 // debugEnabled reports whether debug messages are logged, so that their attributes are computed only if needed.
-func (e *Edge) debugEnabled() bool { return e.opts.Log.Enabled(e.callsCtx, slog.LevelDebug) }
+func (e *Edge) debugEnabled() bool { return e.options.Log.Enabled(e.callsCtx, slog.LevelDebug) }
 
 // SetPlanner sets the planner.
 func (e *Edge) SetPlanner(p link.Planner) { e.planner = p }
@@ -240,8 +240,8 @@
 // held state to be released.
 func (e *Edge) Stop(ctx context.Context) error {
 	e.stopping.Store(true)
-	if e.opts.AdmissionListener != nil {
-		e.opts.AdmissionListener.Drain()
+	if e.options.AdmissionListener != nil {
+		e.options.AdmissionListener.Drain()
 	}
 	e.waitUntil(ctx, func() bool { return e.activeRequests.Load() == 0 })
 	e.cancelCalls(engine.ErrCancelled)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -144,7 +144,7 @@
 	s := &scriptedPlanner{}
 	url := startEdge(t, s, func(o *Options) { o.Limits.MaxBodyBytes = 4 << 10 })
 	msg := func(m string) string { return `{"model":"m","messages":` + m + `}` }
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		body    string
 		status  int
 		message string
@@ -177,13 +177,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			start := time.Now()
-			resp, text := post(t, url, c.body)
-			assert.Equal(t, c.status, resp.StatusCode)
+			resp, text := post(t, url, tc.body)
+			assert.Equal(t, tc.status, resp.StatusCode)
 			var shape struct {
 				Error struct{ Message, Type, Param string }
 			}
 			require.NoError(t, json.Unmarshal([]byte(text), &shape), text)
-			assert.Contains(t, shape.Error.Param+": "+shape.Error.Message, c.message)
+			assert.Contains(t, shape.Error.Param+": "+shape.Error.Message, tc.message)
 			assert.Equal(t, "invalid_request_error", shape.Error.Type)
 			assert.Less(t, time.Since(start), 300*time.Millisecond)
 		})
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -47,7 +47,7 @@
 	}
 	var chat *chatRequest
 	if apiErr == nil {
-		chat, apiErr = parseChat(body, e.opts.Limits, e.opts.Identity)
+		chat, apiErr = parseChat(body, e.options.Limits, e.options.Identity)
 	}
 	if apiErr == nil {
 		workload, apiErr = e.workloadForModel(chat.model)
@@ -57,15 +57,15 @@
 		return
 	}
 
-	w := &e.opts.Workloads[workload]
-	timeout, total := w.ClientTimeout, e.opts.MaxStreamDuration
+	w := &e.options.Workloads[workload]
+	timeout, total := w.ClientTimeout, e.options.MaxStreamDuration
 	if requested := requestedTimeout(rc); requested > 0 {
 		timeout, total = min(timeout, requested), min(total, requested)
 	}
 	if !chat.stream {
 		total = min(total, timeout)
 	}
-	margin := min(e.opts.AnswerMargin, timeout/4)
+	margin := min(e.options.AnswerMargin, timeout/4)
 	maxTokens := chat.maxOutputTokens
 	if maxTokens == 0 {
 		maxTokens = w.DefaultMaxTokens
@@ -92,7 +92,7 @@
 	}
 	rc.Response.Header.Set("X-Request-Id", r.ExternalID)
 	if _, accepted := e.Handle(ctx, r, &chatClient{edge: e, rc: rc, chat: chat, request: r, retryKey: retryKey}); !accepted {
-		setRetryAfter(rc, e.opts.RetryAfter.Seconds())
+		setRetryAfter(rc, e.options.RetryAfter.Seconds())
 		e.writeError(rc, e.busyError())
 	}
 }
@@ -129,7 +129,7 @@
 
 // forbidRetry tells OpenAI's clients not to retry a non-idempotent completion automatically.
 func (c *chatClient) forbidRetry() {
-	if c.edge.opts.Workloads[c.request.Prompt.Workload].Idempotency == decide.NonIdempotent {
+	if c.edge.options.Workloads[c.request.Prompt.Workload].Idempotency == decide.NonIdempotent {
 		c.rc.Response.Header.Set("X-Should-Retry", "false")
 	}
 }
@@ -186,7 +186,7 @@
 		// MaxStreamDuration.
 		written += float64(len(buf))
 		blocked += time.Since(start)
-		if e := c.edge; e.opts.MinClientReadRate > 0 && blocked.Seconds() > e.opts.ClientWriteTimeout.Seconds()+written/e.opts.MinClientReadRate {
+		if e := c.edge; e.options.MinClientReadRate > 0 && blocked.Seconds() > e.options.ClientWriteTimeout.Seconds()+written/e.options.MinClientReadRate {
 			return ClientLeft
 		}
 		buf = buf[:0]
@@ -211,7 +211,7 @@
 	case errors.Is(cause, engine.ErrCancelled):
 		return &apiError{errType: "server_error", code: "stopping", message: "aborted: this router is stopping"}
 	}
-	c.edge.opts.Log.Info("answer stream broke", "completion", c.request.ExternalID, "err", err)
+	c.edge.options.Log.Info("answer stream broke", "completion", c.request.ExternalID, "err", err)
 	return &apiError{errType: "server_error", code: "answer_broken", message: "aborted: the answer broke on its way"}
 }
 
@@ -222,7 +222,7 @@
 	for {
 		event, err := stream.Next()
 		if err == nil {
-			err = answer.addEvent(event.Data, c.edge.opts.Limits.MaxAnswerBytes)
+			err = answer.addEvent(event.Data, c.edge.options.Limits.MaxAnswerBytes)
 		}
 		switch {
 		case err == nil:
@@ -286,7 +286,7 @@
 // most MaxBodyLag. This guards against clients that occupy a connection and memory by sending a byte now and then,
 // and also rejects clients whose link is slower than that.
 func (e *Edge) readBody(rc *app.RequestContext) ([]byte, *apiError) {
-	maxBytes := e.opts.Limits.MaxBodyBytes
+	maxBytes := e.options.Limits.MaxBodyBytes
 	tooLarge := &apiError{status: 413, errType: "invalid_request_error", code: "body_too_large",
 		message: fmt.Sprintf("the body is longer than %d bytes", maxBytes)}
 	if rc.Request.Header.ContentLength() > maxBytes {
@@ -297,12 +297,12 @@
 	}
 	body := make([]byte, 0, max(0, min(rc.Request.Header.ContentLength(), maxInitialBodyBytes))+bytes.MinRead)
 	start, stream, conn := time.Now(), rc.RequestBodyStream(), rc.GetConn()
-	if e.opts.MaxBodyLag > 0 {
-		defer conn.SetReadTimeout(e.opts.IdleTimeout) //nolint:errcheck // fails only on a closed connection
+	if e.options.MaxBodyLag > 0 {
+		defer conn.SetReadTimeout(e.options.IdleTimeout) //nolint:errcheck // fails only on a closed connection
 	}
 	for {
-		if e.opts.MaxBodyLag > 0 {
-			remaining := e.opts.MaxBodyLag + time.Duration(float64(len(body))/e.opts.MinBodyRate*float64(time.Second)) - time.Since(start)
+		if e.options.MaxBodyLag > 0 {
+			remaining := e.options.MaxBodyLag + time.Duration(float64(len(body))/e.options.MinBodyRate*float64(time.Second)) - time.Since(start)
 			if remaining <= 0 {
 				return nil, bodyTimeoutError
 			}
@@ -318,7 +318,7 @@
 			return nil, tooLarge
 		case errors.Is(err, io.EOF):
 			return body, nil
-		case err != nil && e.opts.MaxBodyLag > 0 && time.Since(start).Seconds() >= e.opts.MaxBodyLag.Seconds()+float64(len(body))/e.opts.MinBodyRate:
+		case err != nil && e.options.MaxBodyLag > 0 && time.Since(start).Seconds() >= e.options.MaxBodyLag.Seconds()+float64(len(body))/e.options.MinBodyRate:
 			return nil, bodyTimeoutError
 		case err != nil:
 			return nil, &apiError{status: 400, errType: "invalid_request_error", code: "body_broken", message: "the body ended early"}
@@ -334,7 +334,7 @@
 // writeError responds with an error. An engine's own error response (errType empty) is passed through unchanged if it is JSON.
 func (e *Edge) writeError(rc *app.RequestContext, err *apiError) {
 	if err.status < 500 && err.status != 429 {
-		e.opts.Observer.Refused(err.status)
+		e.options.Observer.Refused(err.status)
 	}
 	if err.code == "body_too_large" || err.code == "body_broken" || err == bodyTimeoutError {
 		e.writeErrorAndClose(rc, err, lingerTimeout)
@@ -411,7 +411,7 @@
 		Object string  `json:"object"`
 		Data   []model `json:"data"`
 	}{Object: "list", Data: []model{}}
-	for _, w := range e.opts.Workloads {
+	for _, w := range e.options.Workloads {
 		for _, m := range w.Models {
 			list.Data = append(list.Data, model{m, "model", 0, "cherryhub"})
 		}
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -65,7 +65,7 @@
 	if _, held := c.lease.HeldFor(0); held { // otherwise for state that an interrupted call may still leave
 		level = slog.LevelInfo
 	}
-	c.edge.opts.Log.Log(c.edge.callsCtx, level, "held state expires", "completion", c.request.ExternalID, "why", reason, "engine", c.lease.address, "dispatches", len(c.dispatches),
+	c.edge.options.Log.Log(c.edge.callsCtx, level, "held state expires", "completion", c.request.ExternalID, "why", reason, "engine", c.lease.address, "dispatches", len(c.dispatches),
 		"out", c.activeDispatches, "since_taken", time.Since(c.request.ArrivedAt).Seconds(), "answered", c.answered)
 	c.cancelUnsentWrites()
 	c.releaseLease(reason)
@@ -73,7 +73,7 @@
 
 // timeUntilRelease returns the time until a release has to be sent, and false if none has to be.
 func (c *completion) timeUntilRelease() (time.Duration, bool) {
-	at, due := c.lease.NextRelease(c.edge.opts.HoldLimit.Seconds())
+	at, due := c.lease.NextRelease(c.edge.options.HoldLimit.Seconds())
 	return time.Until(c.edge.startedAt.Add(time.Duration(at * float64(time.Second)))), due
 }
 
@@ -111,7 +111,7 @@
 	c.lease.releaseInFlight = false
 	if answered {
 		if heldFor, held := c.lease.HeldFor(c.edge.leaseTime(time.Now())); held {
-			c.edge.opts.Observer.StateReleased(time.Duration(heldFor * float64(time.Second)))
+			c.edge.options.Observer.StateReleased(time.Duration(heldFor * float64(time.Second)))
 		}
 		c.lease.ReleaseAnswered(c.edge.leaseTime(sent), c.hasPendingWrite())
 		c.logLease("release is answered", "")
@@ -125,7 +125,7 @@
 
 // recordDispatchEnd records the end of a dispatch and reports whether the state of the last read may be lost.
 func (c *completion) recordDispatchEnd(d *dispatch, outcome decide.Outcome) (stateLost bool) {
-	if !c.edge.opts.ReleaseByCompletion {
+	if !c.edge.options.ReleaseByCompletion {
 		return false
 	}
 	now, deadline := c.edge.leaseTime(time.Now()), c.edge.leaseTime(d.deadline)
@@ -159,6 +159,6 @@
 	if !c.edge.debugEnabled() {
 		return
 	}
-	c.edge.opts.Log.Debug("held state", "completion", c.request.ExternalID, "change", change, "why", reason, "engine", c.lease.address, "held", c.lease.Active(),
+	c.edge.options.Log.Debug("held state", "completion", c.request.ExternalID, "change", change, "why", reason, "engine", c.lease.address, "held", c.lease.Active(),
 		"dispatches_out", c.activeDispatches)
 }
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -339,7 +339,7 @@
 	})
 }
 
-// TestPlannerLearnsOfRelease checks that the planner is told that the state may be lost, when a write was running during a release or was
+// TestPlannerLearnsOfRelease checks that the planner is notified that the state may be lost, when a write was running during a release or was
 // cancelled by it while connecting.
 func TestPlannerLearnsOfRelease(t *testing.T) {
 	for name, write := range map[string]callScript{
--- a/internal/edge/release.go
+++ b/internal/edge/release.go
@@ -74,7 +74,7 @@
 
 // releaseDelay returns the time after which the edge releases unused state, also used as the lease of a reservation at its engine.
 func (e *Edge) releaseDelay() time.Duration {
-	return time.Duration(float64(e.opts.HoldLimit) * decide.ReleaseFraction)
+	return time.Duration(float64(e.options.HoldLimit) * decide.ReleaseFraction)
 }
 
 // endStateUse ends a write's use of the state: it was consumed, or is held as before.
@@ -156,10 +156,10 @@
 // releaseWhile is like release but stops retrying once wanted returns false. When it ends it calls onDone with the start time of the last
 // attempt and whether that was answered.
 func (e *Edge) releaseWhile(h *heldResource, reason string, wanted func() bool, onDone func(sent time.Time, answered bool)) {
-	e.opts.Observer.ReleaseStarted(reason)
+	e.options.Observer.ReleaseStarted(reason)
 	if e.activeReleases.Add(1) > maxConcurrentReleases {
 		e.activeReleases.Add(-1)
-		e.opts.Log.Error("state not released: too many releases run", "engine", h.address, "id", h.id)
+		e.options.Log.Error("state not released: too many releases run", "engine", h.address, "id", h.id)
 		go onDone(time.Time{}, false)
 		return
 	}
@@ -170,17 +170,17 @@
 		sent, answered := time.Time{}, false
 		defer func() { onDone(sent, answered) }()
 		start := time.Now()
-		for delay := initialReleaseRetryDelay; wanted(); delay = min(2*delay, e.opts.HoldLimit/3) {
+		for delay := initialReleaseRetryDelay; wanted(); delay = min(2*delay, e.options.HoldLimit/3) {
 			sent = time.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), e.opts.HoldLimit/3)
-			err := e.opts.Engines.Release(ctx, h.address, h.id)
+			ctx, cancel := context.WithTimeout(context.Background(), e.options.HoldLimit/3)
+			err := e.options.Engines.Release(ctx, h.address, h.id)
 			cancel()
-			e.opts.Log.Debug("released", "id", h.id, "engine", h.address, "reason", reason, "seconds", time.Since(start).Seconds(), "err", err)
+			e.options.Log.Debug("released", "id", h.id, "engine", h.address, "reason", reason, "seconds", time.Since(start).Seconds(), "err", err)
 			if answered = err == nil; answered {
 				return
 			}
 			if time.Since(start) > maxReleaseDuration || e.callsCtx.Err() != nil && time.Since(start) > finalStopTimeout/2 {
-				e.opts.Log.Warn("state not released", "engine", h.address, "id", h.id, "err", err)
+				e.options.Log.Warn("state not released", "engine", h.address, "id", h.id, "err", err)
 				return
 			}
 			time.Sleep(delay)
@@ -190,7 +190,7 @@
 
 // reserve reserves KV cache space at a writer in the background.
 func (c *completion) reserve(cmd link.Command) {
-	if c.edge.opts.ReleaseByCompletion { // a reservation could remain held without anyone knowing
+	if c.edge.options.ReleaseByCompletion { // a reservation could remain held without anyone knowing
 		return
 	}
 	h := &heldResource{address: cmd.Address, id: c.request.ExternalID + "-place"}
@@ -199,9 +199,9 @@
 		defer c.edge.activeCalls.Add(-1)
 		ctx, cancel := context.WithTimeout(c.edge.callsCtx, time.Second)
 		defer cancel()
-		reserved, err := c.edge.opts.Engines.Reserve(ctx, h.address, h.id, c.request.Prompt.Tokens, c.edge.releaseDelay())
+		reserved, err := c.edge.options.Engines.Reserve(ctx, h.address, h.id, c.request.Prompt.Tokens, c.edge.releaseDelay())
 		if err != nil {
-			c.edge.opts.Log.Debug("reservation failed", "completion", c.request.ExternalID, "engine", h.address, "err", err)
+			c.edge.options.Log.Debug("reservation failed", "completion", c.request.ExternalID, "engine", h.address, "err", err)
 			c.edge.releaseUncertain(h)
 		}
 		if reserved && err == nil {
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -82,11 +82,11 @@
 		r.OnDone()
 		return Aborted, false
 	}
-	e.opts.Observer.CompletionAccepted(prompt.Workload)
+	e.options.Observer.CompletionAccepted(prompt.Workload)
 	answer := c.awaitAnswer(ctx, r.ArrivedAt.Add(r.FirstTokenTimeout-r.AnswerMargin/2), r.ArrivedAt.Add(r.TotalTimeout-r.AnswerMargin/2))
-	e.opts.Observer.CompletionAnswered(prompt.Workload, answer, time.Since(r.ArrivedAt))
+	e.options.Observer.CompletionAnswered(prompt.Workload, answer, time.Since(r.ArrivedAt))
 	if e.debugEnabled() {
-		e.opts.Log.Debug("completion answered", "completion", r.ExternalID, "workload", prompt.Workload, "again", prompt.Resumed, "answer", answer, "tokens", prompt.Tokens, "shared", prompt.SharedPrefixTokens, "seconds", time.Since(r.ArrivedAt).Seconds())
+		e.options.Log.Debug("completion answered", "completion", r.ExternalID, "workload", prompt.Workload, "again", prompt.Resumed, "answer", answer, "tokens", prompt.Tokens, "shared", prompt.SharedPrefixTokens, "seconds", time.Since(r.ArrivedAt).Seconds())
 	}
 	c.mu.Lock()
 	c.answered = true
@@ -148,7 +148,7 @@
 		return RateLimited
 	}
 	c.logFinal("aborted", deadline)
-	c.client.Abort(time.Until(deadline) <= c.edge.opts.AnswerMargin)
+	c.client.Abort(time.Until(deadline) <= c.edge.options.AnswerMargin)
 	return Aborted
 }
 
@@ -160,13 +160,13 @@
 	c.mu.Lock()
 	total, active := len(c.dispatches), c.activeDispatches
 	c.mu.Unlock()
-	c.edge.opts.Log.Debug("completion given up", "completion", c.request.ExternalID, "answer", answer, "dispatches", total, "out", active,
+	c.edge.options.Log.Debug("completion given up", "completion", c.request.ExternalID, "answer", answer, "dispatches", total, "out", active,
 		"left", time.Until(deadline).Seconds())
 }
 
 // relayDispatch relays the answer of the winning dispatch to the client.
 func (c *completion) relayDispatch(ctx context.Context, d *dispatch, streamEnd time.Time) Answer {
-	c.edge.opts.Observer.FirstToken(c.request.Prompt.Workload, time.Since(c.request.ArrivedAt))
+	c.edge.options.Observer.FirstToken(c.request.Prompt.Workload, time.Since(c.request.ArrivedAt))
 	stop := context.AfterFunc(ctx, func() { d.cancel(engine.ErrCancelled) })
 	defer stop()
 	timer := time.AfterFunc(time.Until(streamEnd), func() { d.cancel(engine.ErrTimedOut) })
--- a/internal/edge/rules_test.go
+++ b/internal/edge/rules_test.go
@@ -285,7 +285,7 @@
 
 // TestLoadSpreadAfterOverload checks that after an overload the next completions are spread over the available writers and finish.
 func TestLoadSpreadAfterOverload(t *testing.T) {
-	const burst, calm = 400, 150
+	const burst, afterBurst = 400, 150
 	var report *rules.Report
 	writesByEngine, outcomes := map[string]float64{}, map[int64]pb.ClientEvent_Kind{}
 	synctest.Test(t, func(t *testing.T) {
@@ -299,7 +299,7 @@
 		tc.fleet.FindEngines("mixed-0")[0].Drain() // it is in the routers' zone and would get nearly all writes
 		time.Sleep(300 * time.Millisecond)         // until the engine list is updated
 		overloadEnd := tc.recorder.Now()
-		for i := range calm {
+		for i := range afterBurst {
 			tc.call(clientCall{Router: i, PromptTokens: 20 + i, Stream: true, Session: burst + i})
 			time.Sleep(30 * time.Millisecond)
 		}
@@ -325,8 +325,8 @@
 	for _, e := range writers {
 		writes += writesByEngine[e]
 	}
-	assert.Greater(t, finished, calm*9/10)
-	assert.Greater(t, writes, calm*0.9, "too few writes to compare shares")
+	assert.Greater(t, finished, afterBurst*9/10)
+	assert.Greater(t, writes, afterBurst*0.9, "too few writes to compare shares")
 	for _, e := range writers {
 		share := writesByEngine[e] * 3 / writes
 		assert.True(t, share > 0.2 && share < 2, "%s got %.2f of an even share", e, share)
--- a/internal/emulate/engine.go
+++ b/internal/emulate/engine.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// JobKind is the work that a job asks for.
+// JobKind is the kind of work of a job.
 type JobKind uint8
 
 // Job kinds.
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -57,7 +57,7 @@
 	assert.NotNil(t, d.spare, "the spare is open again")
 }
 
-// A connection that is closed after its client must not open a spare descriptor, which nobody would close.
+// A connection that is closed after its client must not open a spare descriptor, which would never be closed.
 func TestSpareStaysClosedAfterClose(t *testing.T) {
 	d := NewDialer(4, func(context.Context, string, string) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }, func() {})
 	conn, err := d.Dial(t.Context(), "tcp", "x")
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -105,7 +105,7 @@
 
 // TestOutcomes checks the outcome for each way in which a dispatch can end on the socket, as listed in docs/outcomes.md.
 func TestOutcomes(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		script       func(net.Conn)
 		outcome      decide.Outcome
 		events       int
@@ -141,13 +141,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result, events, elapsed := runWrite(t, startEngine(t, test.script), 300*time.Millisecond, test.cancel)
-			assert.Equal(t, test.outcome, result.Outcome, "%v", result.Err)
-			assert.Equal(t, test.events, events)
-			assert.Equal(t, test.answered, result.Answered)
-			assert.Equal(t, test.cachedTokens, result.CachedTokens)
+			result, events, elapsed := runWrite(t, startEngine(t, tc.script), 300*time.Millisecond, tc.cancel)
+			assert.Equal(t, tc.outcome, result.Outcome, "%v", result.Err)
+			assert.Equal(t, tc.events, events)
+			assert.Equal(t, tc.answered, result.Answered)
+			assert.Equal(t, tc.cachedTokens, result.CachedTokens)
 			assert.Less(t, elapsed, 2*time.Second)
-			assert.Equal(t, test.outcome == decide.Finished, result.Err == nil, "an error iff the write failed")
+			assert.Equal(t, tc.outcome == decide.Finished, result.Err == nil, "an error iff the write failed")
 		})
 	}
 }
@@ -253,7 +253,7 @@
 	answer := func(body string) func(net.Conn) {
 		return send(fmt.Sprintf("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT named_metrics.waiting=3, named_metrics.kv=0.5\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	}
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		script       func(net.Conn)
 		outcome      decide.Outcome
 		state        string
@@ -267,10 +267,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var report []float64
-			result := newClient(t).Read(context.Background(), &Call{Address: startEngine(t, test.script), ID: "c-0", Body: []byte(`{}`), OnReport: func(r []float64) { report = r }})
-			assert.Equal(t, test.outcome, result.Outcome, "%v", result.Err)
-			assert.Equal(t, test.state, string(result.State))
-			assert.Equal(t, test.cachedTokens, result.CachedTokens)
+			result := newClient(t).Read(context.Background(), &Call{Address: startEngine(t, tc.script), ID: "c-0", Body: []byte(`{}`), OnReport: func(r []float64) { report = r }})
+			assert.Equal(t, tc.outcome, result.Outcome, "%v", result.Err)
+			assert.Equal(t, tc.state, string(result.State))
+			assert.Equal(t, tc.cachedTokens, result.CachedTokens)
 			if name != "truncated" {
 				assert.Equal(t, []float64{3, 0.5}, report)
 			}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -40,7 +40,7 @@
 // TestInvalidLinesChangeNothing: a line that is malformed, empty, stale or skips a version leaves the current list as it is.
 func TestInvalidLinesChangeNothing(t *testing.T) {
 	full := listLine("full", 2, 10, "h:1")
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		text    string
 		errText string
 	}{
@@ -67,15 +67,15 @@
 			first, err := parseLine([]byte(full), 3)
 			require.NoError(t, err)
 			require.NoError(t, follower.applyLine(first))
-			parsed, err := parseLine([]byte(test.text), 3)
+			parsed, err := parseLine([]byte(tc.text), 3)
 			if err == nil {
 				err = follower.applyLine(parsed)
 			}
-			if test.errText == "" {
+			if tc.errText == "" {
 				assert.NoError(t, err)
 				return
 			}
-			assert.ErrorContains(t, err, test.errText)
+			assert.ErrorContains(t, err, tc.errText)
 			assert.Len(t, *lists, 1, "no list is passed on")
 			assert.Equal(t, []int64{2, 10}, []int64{follower.epoch, follower.version})
 		})
--- a/internal/lab/return_test.go
+++ b/internal/lab/return_test.go
@@ -12,7 +12,7 @@
 // its usual share again within seconds. One that returns cold gets a smaller share until it is warm. With few routers
 // each observes many dispatches, with many routers each observes hardly any.
 func TestReturn(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		trouble Trouble
 		cold    bool
 	}{
@@ -35,7 +35,7 @@
 					s.Groups[i].Model.StartShare, s.Groups[i].Model.Warm = 0.3, warm
 				}
 				s.Decide.WarmUpTime, s.Decide.OverloadWindow = warm, 2
-				trouble := c.trouble
+				trouble := tc.trouble
 				trouble.At, trouble.Duration, trouble.EngineCount = from, until-from, 1
 				s.Troubles = []Trouble{trouble}
 				first, n := 0, s.Groups[0].Count
@@ -69,7 +69,7 @@
 				for i := until; i < until+warm; i++ {
 					assert.Less(t, share(i, i+1), 2.0, "not overloaded in second %d after its return", i-until)
 				}
-				if c.cold {
+				if tc.cold {
 					assert.Less(t, share(until, until+warm/2), 0.6, "smaller share while cold")
 				} else {
 					assert.Greater(t, share(until+2, until+5), 0.5, "usual share after its return")
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
 // Package link defines the messages between an edge and a planner and the interface that each offers to the other:
-// events go to the planner, commands come back. It has no behaviour of its own, so that the two could run as separate
+// events go to the planner, commands come back. It has no behavior of its own, so that the two could run as separate
 // programs without a rewrite. It imports decide for outcomes, prompts, phases and list kinds, and no other package of
 // this module.
 package link
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -291,7 +291,7 @@
 		entry.StartID, entry.Age = start, age
 		return entry
 	}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		first, next link.EngineEntry
 		want        float64 // StartedAt after the second list, at 100 s; the first comes at 10 s
 	}{
@@ -306,11 +306,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newEngineTable(4, nil, "home", slog.New(slog.DiscardHandler))
-			ready := c.first
+			ready := tc.first
 			ready.Phase = decide.Ready
 			table.entries(10, &link.EngineList{Kind: decide.ListSnapshot, Entries: []link.EngineEntry{ready}})
-			table.entries(50, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{c.first}})
-			assert.Equal(t, c.want, table.entries(100, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{c.next}})[0].StartedAt)
+			table.entries(50, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{tc.first}})
+			assert.Equal(t, tc.want, table.entries(100, &link.EngineList{Kind: decide.ListDelta, Entries: []link.EngineEntry{tc.next}})[0].StartedAt)
 		})
 	}
 }
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -61,7 +61,7 @@
 	defer cancel()
 	remaining := append([]string{name, name}, c.releaseFallbacks(name)...)
 	results := make(chan error, len(remaining))
-	wait := firstReleaseWait
+	wait := firstReleaseRetryDelay
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var lastErr error
@@ -75,7 +75,7 @@
 			go func(engineName string, newConn bool) { results <- c.releaseAt(ctx, engineName, id, newConn) }(remaining[0], newConn)
 			remaining, pending, newConn = remaining[1:], pending+1, true
 			timer.Reset(wait)
-			wait = nextReleaseWait
+			wait = nextReleaseRetryDelay
 		case err := <-results:
 			pending--
 			if err == nil {
@@ -101,9 +101,9 @@
 
 // Limits of a release, which is sent to one engine after another.
 const (
-	maxReleaseEngines = 6
-	firstReleaseWait  = 60 * time.Millisecond // from the first attempt to the second
-	nextReleaseWait   = 25 * time.Millisecond // between later attempts
+	maxReleaseEngines      = 6
+	firstReleaseRetryDelay = 60 * time.Millisecond // from the first attempt to the second
+	nextReleaseRetryDelay  = 25 * time.Millisecond // between later attempts
 )
 
 // Probe fetches an engine's load report.
--- a/internal/platform/backend/check_test.go
+++ b/internal/platform/backend/check_test.go
@@ -49,7 +49,7 @@
 // A dispatch that requires a check does not use an idle connection that has gone silent. A dispatch without that requirement
 // does, and times out.
 func TestSilentConnectionIsNotUsed(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		checkAfter time.Duration
 		want       decide.Outcome
 	}{"checked": {time.Millisecond, decide.Read}, "not checked": {0, decide.TimedOut}} {
@@ -61,14 +61,14 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 			defer cancel()
 			var sent engine.ConnInfo
-			r := readChecked(ctx, c, test.checkAfter, func(s engine.ConnInfo) { sent = s })
-			require.Equal(t, test.want, r.Outcome)
-			require.Equal(t, test.checkAfter > 0, sent.Number != 1, "uses a connection other than the silent one")
+			r := readChecked(ctx, c, tc.checkAfter, func(s engine.ConnInfo) { sent = s })
+			require.Equal(t, tc.want, r.Outcome)
+			require.Equal(t, tc.checkAfter > 0, sent.Number != 1, "uses a connection other than the silent one")
 		})
 	}
 }
 
-// A release succeeds within a third of the holding limit of 800 ms even if the engines that are tried first are silent.
+// A release succeeds within a third of the hold limit of 800 ms even if the engines that are tried first are silent.
 func TestReleaseWithSilentEngines(t *testing.T) {
 	fleet := standin.NewFleet()
 	var engines []Engine
@@ -115,7 +115,7 @@
 	}
 }
 
-// A release succeeds within a third of the holding limit of 800 ms even if all idle connections, to every engine, have gone
+// A release succeeds within a third of the hold limit of 800 ms even if all idle connections, to every engine, have gone
 // silent, as long as new ones work.
 func TestReleaseWithSilentConnections(t *testing.T) {
 	const idlePerEngine = 2
--- a/internal/platform/backend/connect.go
+++ b/internal/platform/backend/connect.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// checkIfRequired checks a connection if the requirement asks for it.
+// checkIfRequired checks a connection if the requirement demands a check.
 func (c *Client) checkIfRequired(ctx context.Context, conn *engineConn, required connRequirement) error {
 	if required.checkAfter == 0 || time.Since(conn.lastActive) < required.checkAfter {
 		return nil
--- a/internal/platform/backend/dispatch_test.go
+++ b/internal/platform/backend/dispatch_test.go
@@ -56,7 +56,7 @@
 // draining or gone, or if no time is left; such a dispatch says nothing about the engine and did not run.
 func TestChecksBeforeFirstByte(t *testing.T) {
 	const timeout, dialTime = time.Second, 400 * time.Millisecond
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		duringDial func(e *slowDialEngine, cancel context.CancelCauseFunc)
 		want       decide.Outcome
 	}{
@@ -75,12 +75,12 @@
 				defer cancel(nil)
 				go func() {
 					time.Sleep(dialTime)
-					test.duringDial(e, cancel)
+					tc.duringDial(e, cancel)
 					close(e.connected)
 				}()
 				r := e.client.Read(ctx, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(timeout)})
-				require.Equal(t, test.want, r.Outcome, "%v", r.Err)
-				if test.want != decide.Read {
+				require.Equal(t, tc.want, r.Outcome, "%v", r.Err)
+				if tc.want != decide.Read {
 					require.Empty(t, e.requests, "the call was written")
 					return
 				}
@@ -115,7 +115,7 @@
 	return c.bytesWritten, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.writeErr)}
 }
 
-// System call errors from the dialer and the connection result in the outcome that tells whether the dispatch may have run.
+// System call errors from the dialer and the connection result in the outcome that says whether the dispatch may have run.
 func TestSystemCallFaults(t *testing.T) {
 	dialError := func(errno syscall.Errno) Options {
 		return Options{Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -130,7 +130,7 @@
 			return &c, nil
 		}}
 	}
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		options Options
 		want    decide.Outcome
 	}{
@@ -146,11 +146,11 @@
 		"read: ECONNRESET after the last byte":   {faulty(faultyConn{bytesWritten: -1, readErr: syscall.ECONNRESET}), decide.Broken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			test.options.ConnectTimeout, test.options.EngineIdleTimeout, test.options.MaxConns = time.Second, time.Second, 2
-			c := New(test.options)
+			tc.options.ConnectTimeout, tc.options.EngineIdleTimeout, tc.options.MaxConns = time.Second, time.Second, 2
+			c := New(tc.options)
 			t.Cleanup(c.Close)
 			c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
-			require.Equal(t, test.want, read(c, "e").Outcome)
+			require.Equal(t, tc.want, read(c, "e").Outcome)
 		})
 	}
 }
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the platform's engine list: it fetches the whole list, then watches for changes by long
-// polling, at an address that may change while it runs. After a time-out or an answer that is truncated or invalid, the
+// Package discovery follows the platform's engine list: it fetches a snapshot, then watches for changes by long
+// polling, at an address that may change while it runs. After a timeout or an answer that is truncated or invalid, the
 // list stays in force and the request is repeated. internal/platform/service creates the follower and applies its lists;
 // this package takes no decisions.
 package discovery
@@ -21,8 +21,8 @@
 	"cherryhub/decide"
 )
 
-// Host is one engine in the list.
-type Host struct {
+// EngineEntry is one entry of the engine list.
+type EngineEntry struct {
 	Name        string  `json:"host"`
 	Address     string  `json:"dial"`
 	Zone        string  `json:"site"`
@@ -33,41 +33,41 @@
 	StartUnixMS int64   `json:"born_ms"` // Unix time, 0 if the engine started long ago
 }
 
-// List is one answer of the engine list service: a snapshot, or the entries changed since the requested version.
-type List struct {
-	Version  int64  `json:"seq"`
-	Snapshot bool   `json:"whole"`
-	Hosts    []Host `json:"hosts"`
+// EngineList is one answer of the engine list service: a snapshot, or the entries changed since the requested version.
+type EngineList struct {
+	Version  int64         `json:"seq"`
+	Snapshot bool          `json:"whole"`
+	Entries  []EngineEntry `json:"hosts"`
 }
 
-// phaseByHealth maps the values of Host.Health.
+// phaseByHealth maps the values of EngineEntry.Health.
 var phaseByHealth = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
 
 // Phase returns the engine's phase, and false if Health has an unknown value.
-func (h *Host) Phase() (decide.Phase, bool) {
-	p, known := phaseByHealth[h.Health]
+func (e *EngineEntry) Phase() (decide.Phase, bool) {
+	p, known := phaseByHealth[e.Health]
 	return p, known
 }
 
 // ParseList parses and validates an answer. Invalid entries are logged and skipped; the others are returned.
-func ParseList(text []byte, log *slog.Logger) (*List, error) {
-	l := &List{Version: -1}
+func ParseList(text []byte, log *slog.Logger) (*EngineList, error) {
+	l := &EngineList{Version: -1}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	if l.Version < 0 || l.Hosts == nil {
+	if l.Version < 0 || l.Entries == nil {
 		return nil, fmt.Errorf("list: no seq or no hosts")
 	}
-	valid := l.Hosts[:0]
-	for _, h := range l.Hosts {
-		p, known := h.Phase()
-		if h.Name == "" || !known || p != decide.Gone && h.Address == "" {
-			log.Warn("skipped invalid engine list entry", "host", h.Name, "health", h.Health, "dial", h.Address)
+	valid := l.Entries[:0]
+	for _, e := range l.Entries {
+		p, known := e.Phase()
+		if e.Name == "" || !known || p != decide.Gone && e.Address == "" {
+			log.Warn("skipped invalid engine list entry", "host", e.Name, "health", e.Health, "dial", e.Address)
 			continue
 		}
-		valid = append(valid, h)
+		valid = append(valid, e)
 	}
-	l.Hosts = valid
+	l.Entries = valid
 	return l, nil
 }
 
@@ -80,7 +80,7 @@
 
 // Follower follows the engine list.
 type Follower struct {
-	onList    func(*List)
+	onList    func(*EngineList)
 	log       *slog.Logger
 	client    *http.Client
 	transport *http.Transport
@@ -91,7 +91,7 @@
 }
 
 // New returns a follower that calls onList with each snapshot and each set of changes.
-func New(address string, onList func(*List), log *slog.Logger) *Follower {
+func New(address string, onList func(*EngineList), log *slog.Logger) *Follower {
 	t := &http.Transport{MaxConnsPerHost: 3, MaxIdleConns: 1, ResponseHeaderTimeout: watchHold + maxExtraTimeout, MaxResponseHeaderBytes: 8 << 10,
 		DisableCompression: true, ReadBufferSize: 4 << 10, WriteBufferSize: 1 << 10, Proxy: nil}
 	return &Follower{address: address, onList: onList, log: log, transport: t, client: &http.Client{Transport: t,
@@ -145,13 +145,13 @@
 		}
 		p.answered(res.lateness)
 		version = res.list.Version
-		if res.list.Snapshot || len(res.list.Hosts) > 0 {
+		if res.list.Snapshot || len(res.list.Entries) > 0 {
 			f.onList(res.list)
 		}
 	}
 }
 
-// query asks for the changes since a version, or for the whole list if version is negative.
+// query requests the changes since a version, or a snapshot if version is negative.
 type query struct {
 	address string
 	version int64
@@ -159,13 +159,13 @@
 
 // result is the outcome of a request.
 type result struct {
-	list     *List
+	list     *EngineList
 	err      error
 	lateness time.Duration // time from the end of the requested hold to the answer; negative if it came earlier
 }
 
 // fetch makes one request. After a failure it makes several in parallel and returns the first answer: one with a long
-// time-out, for a slow discovery, and a series with short time-outs, for a discovery that recovers after not answering
+// timeout, for a slow discovery, and a series with short timeouts, for a discovery that recovers after not answering
 // and never answers the requests made before.
 func (f *Follower) fetch(ctx context.Context, q query, p *retryPolicy) result {
 	if !p.failing {
@@ -197,7 +197,7 @@
 	}
 }
 
-// fetchOnce makes one request, which may take extra longer than the hold that it asks for.
+// fetchOnce makes one request, which may take extra longer than the requested hold.
 func (f *Follower) fetchOnce(ctx context.Context, q query, hold, extra time.Duration) result {
 	ctx, cancel := context.WithTimeout(ctx, hold+extra)
 	defer cancel()
@@ -208,7 +208,7 @@
 
 var errNotSnapshot = errors.New("list: got changes instead of the requested snapshot")
 
-// pause waits after a failure, until the delay is over or the address changes.
+// delay waits after a failure, until the delay is over or the address changes.
 func (f *Follower) delay(ctx context.Context, address string, delay time.Duration) {
 	f.mu.Lock()
 	if f.address != address {
@@ -223,7 +223,7 @@
 }
 
 // get sends the request. With a version, discovery holds its answer until there is a change or hold is over.
-func (f *Follower) get(ctx context.Context, q query, hold time.Duration) (*List, error) {
+func (f *Follower) get(ctx context.Context, q query, hold time.Duration) (*EngineList, error) {
 	u := url.URL{Scheme: "http", Host: q.address, Path: "/discovery/hosts"}
 	if q.version >= 0 {
 		u.RawQuery = "from=" + strconv.FormatInt(q.version, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
--- a/internal/platform/discovery/follower_test.go
+++ b/internal/platform/discovery/follower_test.go
@@ -54,9 +54,9 @@
 }
 
 // startFollower starts a follower of an address, which sends its lists on the channel.
-func startFollower(t *testing.T, address string) (*Follower, <-chan *List) {
-	lists := make(chan *List, 100)
-	f := New(address, func(l *List) { lists <- l }, slog.New(slog.DiscardHandler))
+func startFollower(t *testing.T, address string) (*Follower, <-chan *EngineList) {
+	lists := make(chan *EngineList, 100)
+	f := New(address, func(l *EngineList) { lists <- l }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
@@ -65,14 +65,14 @@
 }
 
 func listJSON(version int, snapshot bool, engines ...string) string {
-	hosts := []string{}
+	entries := []string{}
 	for _, e := range engines {
-		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1,"born_ms":0}`, e))
+		entries = append(entries, fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1,"born_ms":0}`, e))
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, snapshot, strings.Join(hosts, ","))
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, snapshot, strings.Join(entries, ","))
 }
 
-func awaitList(t *testing.T, lists <-chan *List, within time.Duration) *List {
+func awaitList(t *testing.T, lists <-chan *EngineList, within time.Duration) *EngineList {
 	t.Helper()
 	select {
 	case l := <-lists:
@@ -101,9 +101,9 @@
 	}}
 	_, lists := startFollower(t, startServer(t, s))
 	require.True(t, awaitList(t, lists, time.Second).Snapshot)
-	require.Equal(t, "two", awaitList(t, lists, 6*time.Second).Hosts[0].Name)
+	require.Equal(t, "two", awaitList(t, lists, 6*time.Second).Entries[0].Name)
 	require.Contains(t, s.nthQuery(1), "hold_ms=2000")
-	require.Contains(t, s.nthQuery(2), "hold_ms=0", "a request after a failure asks for no hold")
+	require.Contains(t, s.nthQuery(2), "hold_ms=0", "a request after a failure requests no hold")
 }
 
 // TestSlowDiscovery: a discovery that takes seconds for each answer is followed all the same.
@@ -121,7 +121,7 @@
 }
 
 // TestRecoveryIsNoticed: requests made while discovery is down are never answered. Once it answers again, a new request
-// arrives soon, long before the time-out for a slow discovery ends.
+// arrives soon, long before the timeout for a slow discovery ends.
 func TestRecoveryIsNoticed(t *testing.T) {
 	t.Parallel()
 	const downtime = 5 * time.Second
@@ -159,17 +159,17 @@
 	}
 	f.SetAddress(hung)
 	f.SetAddress(last)
-	require.Equal(t, "last", awaitList(t, lists, time.Second).Hosts[0].Name)
+	require.Equal(t, "last", awaitList(t, lists, time.Second).Entries[0].Name)
 }
 
 // TestManyEngines: the largest lists are accepted, also if the JSON is indented.
 func TestManyEngines(t *testing.T) {
 	t.Parallel()
-	var hosts []Host
+	var entries []EngineEntry
 	for n := range 3200 {
-		hosts = append(hosts, Host{Name: fmt.Sprintf("engine-%08x", n), Address: "10.11.12.13:8000", Zone: "some-zone", MachineKind: "some-machine", Cell: n, Health: "Ready", Share: 1, StartUnixMS: 1764666000000})
+		entries = append(entries, EngineEntry{Name: fmt.Sprintf("engine-%08x", n), Address: "10.11.12.13:8000", Zone: "some-zone", MachineKind: "some-machine", Cell: n, Health: "Ready", Share: 1, StartUnixMS: 1764666000000})
 	}
-	text, err := json.MarshalIndent(List{Version: 1, Snapshot: true, Hosts: hosts}, "", "    ")
+	text, err := json.MarshalIndent(EngineList{Version: 1, Snapshot: true, Entries: entries}, "", "    ")
 	require.NoError(t, err)
 	_, lists := startFollower(t, startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -178,10 +178,10 @@
 		}
 		w.Write(text) //nolint:errcheck // a stand-in
 	})))
-	require.Len(t, awaitList(t, lists, 5*time.Second).Hosts, len(hosts))
+	require.Len(t, awaitList(t, lists, 5*time.Second).Entries, len(entries))
 }
 
-// TestRetryPolicy: the time-out grows after late answers and shrinks again; delays grow and are jittered.
+// TestRetryPolicy: the timeout grows after late answers and shrinks again; delays grow and are jittered.
 func TestRetryPolicy(t *testing.T) {
 	p := newRetryPolicy()
 	require.Equal(t, minRetryDelay/2, p.failed(0))
--- a/internal/platform/discovery/retry.go
+++ b/internal/platform/discovery/retry.go
@@ -10,11 +10,11 @@
 	maxRetryDelay   = 500 * time.Millisecond
 )
 
-// retryPolicy decides how long a request may take beyond the hold that it asks for, and how long to wait after one that
+// retryPolicy decides how long a request may take beyond the requested hold, and how long to wait after one that
 // failed. It does no I/O and reads no clock.
 //
 // A request that timed out may have met a slow discovery, or one that will never answer it but might answer the next one
-// at once. So requests after a failure ask for no hold, and Follower.fetch covers both cases. The time-out grows with a
+// at once. So requests after a failure request no hold, and Follower.fetch covers both cases. The timeout grows with a
 // slow discovery and shrinks again once answers come sooner. Delays grow and are jittered, so that routers whose requests
 // failed at the same moment do not retry at the same moment.
 type retryPolicy struct {
@@ -35,7 +35,7 @@
 }
 
 // answered records an answer and its lateness after the end of the hold, negative if it came earlier. A single early
-// answer shows only the best case, so the time-out shrinks by at most half at a time.
+// answer shows only the best case, so the timeout shrinks by at most half at a time.
 func (p *retryPolicy) answered(lateness time.Duration) {
 	p.failing, p.retryDelay = false, minRetryDelay
 	p.extraTimeout = min(max(minExtraTimeout, 2*lateness, p.extraTimeout/2), maxExtraTimeout)
--- a/internal/platform/faultproxy/faultproxy_test.go
+++ b/internal/platform/faultproxy/faultproxy_test.go
@@ -59,7 +59,7 @@
 // TestPlans checks that each plan's fault begins at its trigger, that a silent connection shows no error, and that the next connection
 // works.
 func TestPlans(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		plan   Plan
 		first  string // the answers to two lines on the first connection
 		second string
@@ -77,13 +77,13 @@
 			target, _ := echo(t)
 			p, err := Start(target, func(n int) Plan {
 				if n == 0 {
-					return test.plan
+					return tc.plan
 				}
 				return Plan{}
 			}, nil)
 			require.NoError(t, err)
 			defer p.Close()
-			for n, want := range [][2]string{{test.first, test.second}, {"one", "two"}} {
+			for n, want := range [][2]string{{tc.first, tc.second}, {"one", "two"}} {
 				conn, err := net.Dial("tcp", p.Address())
 				require.NoError(t, err, n)
 				require.Equal(t, want[0], ask(conn, "one"), n)
--- a/internal/platform/front/conn.go
+++ b/internal/platform/front/conn.go
@@ -233,7 +233,7 @@
 		c.closeAfter = true
 	}
 	cancel()
-	if accepted && !c.responseStarted && c.server.baseCtx.Err() != nil { // canceled by this router's stop, not by the client
+	if accepted && !c.responseStarted && c.server.baseCtx.Err() != nil { // cancelled by this router's stop, not by the client
 		c.Abort(false)
 	}
 	if !accepted {
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -70,7 +70,7 @@
 	stopSchedule atomic.Pointer[StopSchedule] // nil until ScheduleStop
 	baseCtx      context.Context              // parent of all request contexts
 	cancelBase   context.CancelFunc
-	streamsCtx   context.Context // canceled when running streams are cut so that clients resume them at another router
+	streamsCtx   context.Context // cancelled when running streams are cut so that clients resume them at another router
 	cutStreams   context.CancelFunc
 
 	mu         sync.Mutex
@@ -374,7 +374,7 @@
 // client's next request.
 func (s *Server) AnnounceClose() { s.announceClose.Store(true) }
 
-// Counts returns how many requests asked for the rest of a stream and how many responses were 4xx and 5xx.
+// Counts returns how many requests were for the rest of a stream and how many responses were 4xx and 5xx.
 func (s *Server) Counts() (resumed, clientErrors, serverErrors int64) {
 	return s.resumeRequests.Load(), s.errorsByClass[4].Load(), s.errorsByClass[5].Load()
 }
--- a/internal/platform/front/request.go
+++ b/internal/platform/front/request.go
@@ -43,7 +43,7 @@
 // completionRequest holds a completion's parameters from the header and, where that leaves them out, from the body.
 type completionRequest struct {
 	id             string
-	idempotencyKey string // passed on so that engines recognize repeated requests; may be empty
+	idempotencyKey string // passed on so that engines recognise repeated requests; may be empty
 	prompt         decide.Prompt
 	clientTimeout  time.Duration
 }
--- a/internal/platform/http1/http1_test.go
+++ b/internal/platform/http1/http1_test.go
@@ -15,7 +15,7 @@
 // Messages with ambiguous framing are rejected, and bytes after a message are left unread.
 func TestRequest(t *testing.T) {
 	post := "POST /x HTTP/1.1\r\nHost: a\r\n"
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		text string
 		body string
 		err  error
@@ -52,18 +52,18 @@
 		"no input":               {"", "", io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := bufio.NewReaderSize(strings.NewReader(test.text), 64)
+			r := bufio.NewReaderSize(strings.NewReader(tc.text), 64)
 			h, err := ReadRequest(r, testLimits)
 			var body []byte
 			if err == nil {
 				body, err = ReadBody(r, h, testLimits, nil)
 			}
-			if test.err != nil {
-				require.ErrorIs(t, err, test.err)
+			if tc.err != nil {
+				require.ErrorIs(t, err, tc.err)
 				return
 			}
 			require.NoError(t, err)
-			require.Equal(t, test.body, string(body))
+			require.Equal(t, tc.body, string(body))
 			rest, _ := io.ReadAll(r)
 			require.Equal(t, "REST", string(rest))
 		})
@@ -72,7 +72,7 @@
 
 // TestResponse reads an engine's answer. A chunk is returned only when it has come in full and matches its size.
 func TestResponse(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		text   string
 		chunks []string
 		err    error
@@ -89,7 +89,7 @@
 		"truncated end":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", nil, io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := bufio.NewReaderSize(strings.NewReader(test.text), 64)
+			r := bufio.NewReaderSize(strings.NewReader(tc.text), 64)
 			_, err := ReadResponse(r, testLimits)
 			var chunks []string
 			for err == nil {
@@ -98,8 +98,8 @@
 					chunks = append(chunks, string(buf))
 				}
 			}
-			require.True(t, errors.Is(err, test.err), "%v", err)
-			require.Equal(t, test.chunks, chunks)
+			require.True(t, errors.Is(err, tc.err), "%v", err)
+			require.Equal(t, tc.chunks, chunks)
 		})
 	}
 }
--- a/internal/platform/service/clients_test.go
+++ b/internal/platform/service/clients_test.go
@@ -143,7 +143,7 @@
 	return ok && e.Timeout()
 }
 
-// TestClientDisconnects: when a client disconnects, its dispatch is canceled, also at the engine, and no state stays held.
+// TestClientDisconnects: when a client disconnects, its dispatch is cancelled, also at the engine, and no state stays held.
 func TestClientDisconnects(t *testing.T) {
 	for _, kind := range []standin.Kind{standin.Read, standin.Write} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -158,7 +158,7 @@
 			conn, _ := s.dial(chatRequest("gone", promptBody(2000)))
 			require.Eventually(t, func() bool { return len(s.fleet.Calls(kind)) == 1 }, 2*time.Second, time.Millisecond)
 			require.NoError(t, conn.Close())
-			s.awaitQuiet()
+			s.awaitIdle()
 			require.Eventually(t, func() bool { return !s.fleet.Calls(kind)[0].Ended.IsZero() }, time.Second, time.Millisecond,
 				"the engine connection stays open")
 			require.Len(t, s.fleet.Calls(kind), 1)
--- a/internal/platform/service/faults_test.go
+++ b/internal/platform/service/faults_test.go
@@ -76,7 +76,7 @@
 // reload moves the router to another discovery with the same engines.
 func (r *faultRun) reload() {
 	r.mu.Lock()
-	next, err := standin.StartDiscovery(r.discoveries[len(r.discoveries)-1].Hosts())
+	next, err := standin.StartDiscovery(r.discoveries[len(r.discoveries)-1].Entries())
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { next.Close() })
 	before := r.discoveries[len(r.discoveries)-1]
@@ -89,12 +89,12 @@
 	before.Close() //nolint:errcheck // a stand-in
 }
 
-// changeHost changes an engine's entry in all discoveries.
-func (r *faultRun) changeHost(h discovery.Host) {
+// updateEntry changes an engine's entry in all discoveries.
+func (r *faultRun) updateEntry(entry discovery.EngineEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.discoveries {
-		l.Update(h)
+		l.Update(entry)
 	}
 }
 
@@ -137,21 +137,21 @@
 	e, err := r.fleet.StartEngine("writer-2", false)
 	require.NoError(r.t, err)
 	r.t.Cleanup(e.Close)
-	h := hostEntry(e, "writes")
-	h.StartUnixMS = time.Now().UnixMilli()
-	r.changeHost(h)
+	entry := engineEntry(e, "writes")
+	entry.StartUnixMS = time.Now().UnixMilli()
+	r.updateEntry(entry)
 }
 
 func (r *faultRun) drainEngine() {
-	h := hostEntry(r.engines["writer-1"], "writes")
-	h.Health = "Terminating"
-	r.changeHost(h)
+	entry := engineEntry(r.engines["writer-1"], "writes")
+	entry.Health = "Terminating"
+	r.updateEntry(entry)
 	r.mu.Lock()
-	r.drainedEngines = append(r.drainedEngines, h.Name)
+	r.drainedEngines = append(r.drainedEngines, entry.Name)
 	r.mu.Unlock()
 }
 
-// drainListedAt returns when any discovery first told the router that an engine drains, zero if none has.
+// drainListedAt returns when any discovery first notified the router that an engine drains, zero if none has.
 func (r *faultRun) drainListedAt(engine string) (first time.Time) {
 	for _, l := range r.discoveries {
 		if at := l.DrainAnnounced(engine); !at.IsZero() && (first.IsZero() || at.Before(first)) {
@@ -257,7 +257,7 @@
 		for _, engine := range r.drainedEngines {
 			require.Eventually(t, func() bool { return !r.drainListedAt(engine).IsZero() }, maxListDelay, 10*time.Millisecond, "%s: the router never learned that it drains", engine)
 		}
-		r.awaitQuiet()
+		r.awaitIdle()
 	}
 	attempts := map[string][]standin.Call{} // dispatches by id
 	for _, c := range r.fleet.Calls("") {
--- a/internal/platform/service/heldstate_test.go
+++ b/internal/platform/service/heldstate_test.go
@@ -68,7 +68,7 @@
 		s.sendConcurrently(fmt.Sprint("beside-", id, "-", n), 1)
 	}
 	client.Wait()
-	s.awaitQuiet()
+	s.awaitIdle()
 }
 
 // testHeldWhileWriteWaits: a release that arrives while a write waits for the state has no effect. If the write's engine
@@ -93,7 +93,7 @@
 		s.fleet.Hang(writer, time.Now().Add(10*time.Second))
 	}
 	client.Wait()
-	s.awaitQuiet()
+	s.awaitIdle()
 	require.LessOrEqual(t, s.longestHeld("waits"), maxHoldTime)
 }
 
@@ -116,7 +116,7 @@
 	}
 	s.send(chatRequest("lost", promptBody(longPromptTokens), "X-Deadline: 2500m"))
 	givenUpAt := time.Now()
-	s.awaitQuiet()
+	s.awaitIdle()
 	holds := slices.DeleteFunc(s.fleet.Holds(), func(h standin.Hold) bool { return h.ID != "lost" })
 	require.NotEmpty(t, holds)
 	for _, h := range holds {
--- a/internal/platform/service/helper_test.go
+++ b/internal/platform/service/helper_test.go
@@ -42,14 +42,14 @@
 	router    *Router
 }
 
-func hostEntry(e *standin.Engine, machine string) discovery.Host {
-	return discovery.Host{Name: e.Name, Address: e.Address(), Zone: "here", MachineKind: machine, Cell: 1, Health: "Ready", Share: 1}
+func engineEntry(e *standin.Engine, machine string) discovery.EngineEntry {
+	return discovery.EngineEntry{Name: e.Name, Address: e.Address(), Zone: "here", MachineKind: machine, Cell: 1, Health: "Ready", Share: 1}
 }
 
 func newCluster(t *testing.T, replacements ...string) *cluster {
 	t.Helper()
 	s := &cluster{t: t, fleet: standin.NewFleet(), engines: map[string]*standin.Engine{}}
-	var hosts []discovery.Host
+	var entries []discovery.EngineEntry
 	for _, name := range [...]string{"reader-0", "reader-1", "writer-0", "writer-1"} {
 		reads := strings.HasPrefix(name, "reader")
 		e, err := s.fleet.StartEngine(name, reads)
@@ -60,10 +60,10 @@
 		if reads {
 			machine = "reads"
 		}
-		hosts = append(hosts, hostEntry(e, machine))
+		entries = append(entries, engineEntry(e, machine))
 	}
 	var err error
-	s.discovery, err = standin.StartDiscovery(hosts)
+	s.discovery, err = standin.StartDiscovery(entries)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.discovery.Close() })
 	ln, err := loopback.Listen("127.0.0.1")
@@ -162,8 +162,8 @@
 	return resp.StatusCode, string(body), err
 }
 
-// awaitQuiet waits until no dispatch is running and no state is held.
-func (s *cluster) awaitQuiet() {
+// awaitIdle waits until no dispatch is running and no state is held.
+func (s *cluster) awaitIdle() {
 	s.t.Helper()
 	r := s.router // the last poll may happen after the end of the test
 	require.Eventually(s.t, func() bool {
--- a/internal/platform/service/lifecycle_test.go
+++ b/internal/platform/service/lifecycle_test.go
@@ -62,12 +62,12 @@
 	silent, err := loopback.Listen("127.0.0.1")
 	require.NoError(t, err)
 	defer silent.Close()
-	one, err := json.Marshal(discovery.List{Snapshot: true, Hosts: []discovery.Host{hostEntry(s.engines["writer-0"], "writes")}})
+	oneEngine, err := json.Marshal(discovery.EngineList{Snapshot: true, Entries: []discovery.EngineEntry{engineEntry(s.engines["writer-0"], "writes")}})
 	require.NoError(t, err)
 	for name, tc := range map[string]struct {
 		initialList string
 		status      int
-	}{"one engine": {string(one), 200}, "none": {`{"seq":0,"whole":true,"hosts":[]}`, 503}} {
+	}{"one engine": {string(oneEngine), 200}, "none": {`{"seq":0,"whole":true,"hosts":[]}`, 503}} {
 		t.Run(name, func(t *testing.T) {
 			require.NoError(t, s.stop())
 			s.config, err = Parse([]byte(strings.Replace(configJSON(s.config.Listen, silent.Addr().String()), `{"seq":0,"whole":true,"hosts":[]}`, tc.initialList, 1)))
@@ -188,7 +188,7 @@
 func TestReload(t *testing.T) {
 	s := newCluster(t)
 	s.fleet.EventInterval = 100 * time.Millisecond
-	next, err := standin.StartDiscovery([]discovery.Host{hostEntry(s.engines["reader-1"], "reads"), hostEntry(s.engines["writer-1"], "writes")})
+	next, err := standin.StartDiscovery([]discovery.EngineEntry{engineEntry(s.engines["reader-1"], "reads"), engineEntry(s.engines["writer-1"], "writes")})
 	require.NoError(t, err)
 	defer next.Close()
 	answer := make(chan int, 1)
@@ -222,9 +222,9 @@
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
-	h := hostEntry(s.engines["writer-0"], "writes")
-	h.Health = "Terminating"
-	s.discovery.Update(h)
+	entry := engineEntry(s.engines["writer-0"], "writes")
+	entry.Health = "Terminating"
+	s.discovery.Update(entry)
 	time.Sleep(50 * time.Millisecond) // the grace period is 1 s
 	drainedAt := time.Now()
 	for n := range 8 {
@@ -248,7 +248,7 @@
 				require.NoError(t, s.discovery.Close())
 			} else {
 				s.discovery.SetFixedAnswer(broken)
-				s.discovery.Update(hostEntry(s.engines["writer-0"], "writes")) // ends the watch
+				s.discovery.Update(engineEntry(s.engines["writer-0"], "writes")) // ends the watch
 				asked := s.discovery.RequestCount()
 				require.Eventually(t, func() bool { return s.discovery.RequestCount() > asked+1 }, 4*time.Second, 5*time.Millisecond)
 			}
--- a/internal/platform/service/memory_test.go
+++ b/internal/platform/service/memory_test.go
@@ -26,10 +26,10 @@
 func TestMemoryPerEngine(t *testing.T) {
 	const engines, maxBytesPerEngine = 3200, 2 << 10
 	s := newCluster(t)
-	list := func(round int) *discovery.List {
-		l := &discovery.List{Version: int64(round), Snapshot: true}
+	list := func(round int) *discovery.EngineList {
+		l := &discovery.EngineList{Version: int64(round), Snapshot: true}
 		for n := range engines {
-			l.Hosts = append(l.Hosts, discovery.Host{Name: fmt.Sprintf("engine-%d-%d", round, n), Address: fmt.Sprintf("127.0.0.1:%d", 20000+n), Zone: "here",
+			l.Entries = append(l.Entries, discovery.EngineEntry{Name: fmt.Sprintf("engine-%d-%d", round, n), Address: fmt.Sprintf("127.0.0.1:%d", 20000+n), Zone: "here",
 				MachineKind: []string{"reads", "writes"}[n%2], Cell: n / 5, Health: "Ready", StartUnixMS: int64(round)*1000 + 1})
 		}
 		return l
--- a/internal/platform/service/mixedfaults_test.go
+++ b/internal/platform/service/mixedfaults_test.go
@@ -42,9 +42,9 @@
 	var drainedAt time.Time
 	for n := range requests {
 		if n == requests/2 {
-			h := hostEntry(s.engines["writer-0"], "writes")
-			h.Health = "Terminating"
-			s.discovery.Update(h)
+			entry := engineEntry(s.engines["writer-0"], "writes")
+			entry.Health = "Terminating"
+			s.discovery.Update(entry)
 			drainedAt = time.Now()
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -58,7 +58,7 @@
 		})
 	}
 	clients.Wait()
-	s.awaitQuiet()
+	s.awaitIdle()
 	provesNotRun := map[standin.Fault]bool{standin.Unavailable: true, standin.Gone: true}
 	lastEnd := map[string]time.Time{}
 	for _, c := range s.fleet.Calls("") {
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -126,13 +126,13 @@
 		return
 	}
 	r.updateEngines(l, decide.ListCachedSnapshot)
-	if len(l.Hosts) > 0 {
+	if len(l.Entries) > 0 {
 		r.front.SetReady()
 	}
 }
 
 // applyList applies a list from discovery.
-func (r *Router) applyList(l *discovery.List) {
+func (r *Router) applyList(l *discovery.EngineList) {
 	kind := decide.ListDelta
 	if l.Snapshot {
 		kind = decide.ListSnapshot
@@ -143,29 +143,29 @@
 
 // updateEngines passes a list on, to the backend first, so that an engine's address is known before the planner can
 // choose it.
-func (r *Router) updateEngines(l *discovery.List, kind decide.ListKind) {
+func (r *Router) updateEngines(l *discovery.EngineList, kind decide.ListKind) {
 	ages := r.engineAges.beginList(r.clock(), kind != decide.ListDelta)
 	update := &link.EngineList{Kind: kind}
 	var engines []backend.Engine
 	var gone []string
-	for _, h := range l.Hosts {
-		p, _ := h.Phase()
-		e := link.EngineEntry{Address: h.Name, Zone: h.Zone, Cell: strconv.Itoa(h.Cell), MachineKind: h.MachineKind, Phase: p, StartID: h.StartUnixMS, Age: -1}
-		if h.StartUnixMS > 0 {
-			e.Age = ages.age(h.Name, h.StartUnixMS).Seconds()
+	for _, entry := range l.Entries {
+		p, _ := entry.Phase()
+		e := link.EngineEntry{Address: entry.Name, Zone: entry.Zone, Cell: strconv.Itoa(entry.Cell), MachineKind: entry.MachineKind, Phase: p, StartID: entry.StartUnixMS, Age: -1}
+		if entry.StartUnixMS > 0 {
+			e.Age = ages.age(entry.Name, entry.StartUnixMS).Seconds()
 		} else {
 			e.StartID = 1 // 0 means unknown to the planner; all engines that started long ago share one id
 		}
 		update.Entries = append(update.Entries, e)
-		r.log.Debug("engine", "engine", h.Name, "machine", h.MachineKind, "zone", h.Zone, "cell", h.Cell, "health", h.Health, "age", e.Age)
+		r.log.Debug("engine", "engine", entry.Name, "machine", entry.MachineKind, "zone", entry.Zone, "cell", entry.Cell, "health", entry.Health, "age", e.Age)
 		if p == decide.Gone {
-			gone = append(gone, h.Name)
-			r.engineAges.forget(h.Name)
+			gone = append(gone, entry.Name)
+			r.engineAges.forget(entry.Name)
 		} else {
-			engines = append(engines, backend.Engine{Name: h.Name, Address: h.Address, Draining: p == decide.Draining})
+			engines = append(engines, backend.Engine{Name: entry.Name, Address: entry.Address, Draining: p == decide.Draining})
 		}
 	}
-	r.log.Info("list", "seq", l.Version, "whole", l.Snapshot, "entries", len(l.Hosts))
+	r.log.Info("list", "seq", l.Version, "whole", l.Snapshot, "entries", len(l.Entries))
 	r.backend.UpdateEngines(kind != decide.ListDelta, engines, gone)
 	r.planner.Notify(link.Event{Kind: link.EnginesUpdated, EngineList: update})
 }
--- a/internal/platform/service/service_test.go
+++ b/internal/platform/service/service_test.go
@@ -47,7 +47,7 @@
 			for _, c := range s.fleet.Calls(standin.Reserve) {
 				require.Equal(t, writes[0].Engine, c.Engine)
 			}
-			s.awaitQuiet()
+			s.awaitIdle()
 		})
 	}
 }
@@ -75,7 +75,7 @@
 	require.Equal(t, 2, keyed, "one read and one write")
 }
 
-// TestOutcomes: each kind of dispatch failure is recognized. A dispatch that failed before its first event is retried, and
+// TestOutcomes: each kind of dispatch failure is recognised. A dispatch that failed before its first event is retried, and
 // the client gets one complete answer.
 func TestOutcomes(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.ServerError, standin.Unavailable, standin.CloseBeforeAnswer, standin.InvalidHead, standin.EndlessHead,
@@ -95,7 +95,7 @@
 				require.Equal(t, 200, status)
 				writes := s.fleet.Calls(standin.Write)
 				require.Equal(t, completeAnswer(writes[len(writes)-1].Engine, "b1", 3), got)
-				s.awaitQuiet()
+				s.awaitIdle()
 				retries := 1
 				switch fault {
 				case standin.None, standin.InterimAnswers, standin.BadReport, standin.SecondAnswer:
@@ -128,7 +128,7 @@
 			require.Error(t, err, "the last chunk was sent")
 			require.True(t, strings.HasPrefix(got, standin.EventText(s.fleet.Calls(standin.Write)[0].Engine, "c1", 0)))
 			require.Len(t, s.fleet.Calls(standin.Write), 1, "a stream that has begun is not retried")
-			s.awaitQuiet()
+			s.awaitIdle()
 		})
 	}
 }
@@ -149,5 +149,5 @@
 		require.Contains(t, []string{"1m", "2m", "3m", "4m", "5m", "6m", "7m", "8m", "9m", "10m", "11m", "12m", "13m", "14m", "15m"}, deadlineSent,
 			"a quarter of 20 ms is reserved for sending the answer")
 	}
-	s.awaitQuiet()
+	s.awaitIdle()
 }
--- a/internal/platform/service/silentconn_test.go
+++ b/internal/platform/service/silentconn_test.go
@@ -23,12 +23,12 @@
 		require.NoError(s.t, err)
 		s.t.Cleanup(p.Close)
 		proxies[name] = p
-		h := hostEntry(e, "writes")
+		entry := engineEntry(e, "writes")
 		if strings.HasPrefix(name, "reader") {
-			h.MachineKind = "reads"
+			entry.MachineKind = "reads"
 		}
-		h.Address = p.Address()
-		s.discovery.Update(h)
+		entry.Address = p.Address()
+		s.discovery.Update(entry)
 	}
 	for used, n := 0, 0; used < 2; n++ { // until the router uses the new addresses
 		require.Less(s.t, n, 100, "the router never used the new addresses")
@@ -71,7 +71,7 @@
 	if strings.HasPrefix(removed, "reader") {
 		machine = "reads"
 	}
-	gone := hostEntry(s.engines[removed], machine)
+	gone := engineEntry(s.engines[removed], machine)
 	gone.Health = "Gone"
 	s.discovery.Update(gone)
 	delete(s.engines, removed)
@@ -117,7 +117,7 @@
 		s.sendConcurrently(fmt.Sprint("beside-", n), 1)
 	}
 	silent.Wait()
-	s.awaitQuiet()
+	s.awaitIdle()
 	require.LessOrEqual(s.t, s.longestHeld("silent"), maxHoldTime)
 }
 
@@ -166,6 +166,6 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	silent.Wait()
-	s.awaitQuiet()
+	s.awaitIdle()
 	require.LessOrEqual(t, s.longestHeld("silent"), maxHoldTime)
 }
--- a/internal/platform/service/stats.go
+++ b/internal/platform/service/stats.go
@@ -26,7 +26,9 @@
 // CompletionAccepted implements edge.Observer, as do the methods below.
 func (s *stats) CompletionAccepted(int) { s.accepted.Add(1) }
 
-func (s *stats) CompletionAnswered(_ int, how edge.Answer, _ time.Duration) { s.answers[how].Add(1) }
+func (s *stats) CompletionAnswered(_ int, answer edge.Answer, _ time.Duration) {
+	s.answers[answer].Add(1)
+}
 
 func (s *stats) FirstToken(int, time.Duration) {}
 
--- a/internal/platform/soak/check_test.go
+++ b/internal/platform/soak/check_test.go
@@ -25,7 +25,7 @@
 	}
 	violations, _ := CheckRules(validRecord())
 	require.Empty(t, violations)
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		rule   Rule
 		modify func(r *Record)
 	}{
@@ -56,10 +56,10 @@
 		}},
 	} {
 		r := validRecord()
-		test.modify(r)
+		tc.modify(r)
 		violations, _ := CheckRules(r)
 		require.NotEmpty(t, violations, name)
-		require.Equal(t, test.rule, violations[0].Rule, name)
+		require.Equal(t, tc.rule, violations[0].Rule, name)
 	}
 }
 
--- a/internal/platform/soak/inject.go
+++ b/internal/platform/soak/inject.go
@@ -112,10 +112,10 @@
 
 // announceDrain lists an engine as draining to all routers, for the rest of the run.
 func (sr *scenarioRun) announceDrain(engine int) {
-	h := engines[engine].host(sr.proxies[engine].Address())
-	h.Health = "Terminating"
+	entry := engines[engine].entry(sr.proxies[engine].Address())
+	entry.Health = "Terminating"
 	for _, r := range sr.routers {
-		r.discovery.Update(h)
+		r.discovery.Update(entry)
 	}
 }
 
--- a/internal/platform/soak/records.go
+++ b/internal/platform/soak/records.go
@@ -49,7 +49,7 @@
 	Holds          []standin.Hold
 	Requests       []ClientRequest
 	Processes      []ProcessRecord
-	DrainAnnounced map[RouterEngine]time.Time // when a router was first told that an engine is draining
+	DrainAnnounced map[RouterEngine]time.Time // when a router was first notified that an engine is draining
 }
 
 // RouterEngine identifies an engine as seen by a router.
--- a/internal/platform/soak/run.go
+++ b/internal/platform/soak/run.go
@@ -161,7 +161,7 @@
 // start starts engines, proxies, discovery services and routers.
 func (sr *scenarioRun) start(ctx context.Context) error {
 	sr.fleet.Strict, sr.fleet.EventInterval, sr.fleet.ServiceTime, sr.fleet.InjectFault = true, 5*time.Millisecond, sr.serviceTime, sr.injectFault
-	var hosts []discovery.Host
+	var entries []discovery.EngineEntry
 	for _, spec := range engines {
 		e, err := sr.fleet.StartEngine(spec.name, spec.isReader)
 		if err != nil {
@@ -174,26 +174,26 @@
 		}
 		sr.proxies = append(sr.proxies, proxy)
 		sr.closers = append(sr.closers, proxy.Close)
-		hosts = append(hosts, spec.host(proxy.Address()))
+		entries = append(entries, spec.entry(proxy.Address()))
 	}
 	for n := range sr.scenario.Routers {
-		if err := sr.startRouter(ctx, n, hosts); err != nil {
+		if err := sr.startRouter(ctx, n, entries); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *engineSpec) host(address string) discovery.Host {
-	h := discovery.Host{Name: s.name, Address: address, Zone: s.zone, MachineKind: "writes", Cell: 1, Health: "Ready", Share: 1}
+func (s *engineSpec) entry(address string) discovery.EngineEntry {
+	entry := discovery.EngineEntry{Name: s.name, Address: address, Zone: s.zone, MachineKind: "writes", Cell: 1, Health: "Ready", Share: 1}
 	if s.isReader {
-		h.MachineKind = "reads"
+		entry.MachineKind = "reads"
 	}
-	return h
+	return entry
 }
 
-func (sr *scenarioRun) startRouter(ctx context.Context, n int, hosts []discovery.Host) error {
-	disc, err := standin.StartDiscovery(append([]discovery.Host(nil), hosts...))
+func (sr *scenarioRun) startRouter(ctx context.Context, n int, entries []discovery.EngineEntry) error {
+	disc, err := standin.StartDiscovery(append([]discovery.EngineEntry(nil), entries...))
 	if err != nil {
 		return err
 	}
@@ -318,7 +318,7 @@
 	return time.Duration(sr.random.Int64N(int64(maxWriteTime)))
 }
 
-// injectFault makes an engine hang shortly after an attempt arrived if a HangsAtCall event has asked for it.
+// injectFault makes an engine hang shortly after an attempt arrived if a HangsAtCall event demands it.
 func (sr *scenarioRun) injectFault(c *standin.Call, _ int) standin.Fault {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
--- a/internal/platform/standin/discovery.go
+++ b/internal/platform/standin/discovery.go
@@ -17,9 +17,9 @@
 // Discovery is a stand-in for the platform's discovery service, which lists the engines.
 type Discovery struct {
 	mu             sync.Mutex
-	list           discovery.List
-	changes        []discovery.List // one entry for each update, oldest first
-	changed        chan struct{}    // closed and replaced at each update
+	list           discovery.EngineList
+	changes        []discovery.EngineList // one entry for each update, oldest first
+	changed        chan struct{}          // closed and replaced at each update
 	requestCount   int
 	FixedAnswer    string               // sent in place of every answer if not empty
 	drainAnnounced map[string]time.Time // by engine: when the first answer that lists it as draining was sent
@@ -29,14 +29,14 @@
 }
 
 // StartDiscovery starts a discovery service on loopback that lists the given engines.
-func StartDiscovery(hosts []discovery.Host) (*Discovery, error) {
+func StartDiscovery(entries []discovery.EngineEntry) (*Discovery, error) {
 	ln, err := loopback.Listen("127.0.0.1")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{list: discovery.List{Snapshot: true, Hosts: hosts}, changed: make(chan struct{}), drainAnnounced: map[string]time.Time{}, ln: ln}
+	d := &Discovery{list: discovery.EngineList{Snapshot: true, Entries: entries}, changed: make(chan struct{}), drainAnnounced: map[string]time.Time{}, ln: ln}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", d.serveHosts)
+	mux.HandleFunc("GET /discovery/hosts", d.serveList)
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go d.server.Serve(ln) //nolint:errcheck // returns when Close is called
 	return d, nil
@@ -91,40 +91,40 @@
 	return true
 }
 
-// DrainAnnounced returns when a client was first told that an engine is draining, or the zero time if none was.
+// DrainAnnounced returns when a client was first notified that an engine is draining, or the zero time if none was.
 func (d *Discovery) DrainAnnounced(engine string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.drainAnnounced[engine]
 }
 
-// Hosts returns the current list of engines.
-func (d *Discovery) Hosts() []discovery.Host {
+// Entries returns the entries of the current engine list.
+func (d *Discovery) Entries() []discovery.EngineEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.list.Hosts)
+	return slices.Clone(d.list.Entries)
 }
 
 // Update adds an engine to the list or replaces its entry, and notifies the waiting clients.
-func (d *Discovery) Update(h discovery.Host) {
+func (d *Discovery) Update(entry discovery.EngineEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list.Version++
-	d.changes = append(d.changes, discovery.List{Version: d.list.Version, Hosts: []discovery.Host{h}})
+	d.changes = append(d.changes, discovery.EngineList{Version: d.list.Version, Entries: []discovery.EngineEntry{entry}})
 	found := false
-	for i := range d.list.Hosts {
-		if d.list.Hosts[i].Name == h.Name {
-			d.list.Hosts[i], found = h, true
+	for i := range d.list.Entries {
+		if d.list.Entries[i].Name == entry.Name {
+			d.list.Entries[i], found = entry, true
 		}
 	}
 	if !found {
-		d.list.Hosts = append(d.list.Hosts, h)
+		d.list.Entries = append(d.list.Entries, entry)
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) serveHosts(w http.ResponseWriter, r *http.Request) {
+func (d *Discovery) serveList(w http.ResponseWriter, r *http.Request) {
 	if d.waitSilent(r) {
 		return
 	}
@@ -154,17 +154,17 @@
 			}
 			d.mu.Lock()
 		}
-		answer = discovery.List{Version: d.list.Version, Hosts: []discovery.Host{}}
+		answer = discovery.EngineList{Version: d.list.Version, Entries: []discovery.EngineEntry{}}
 		for _, change := range d.changes {
 			if change.Version > version {
-				answer.Hosts = append(answer.Hosts, change.Hosts...)
+				answer.Entries = append(answer.Entries, change.Entries...)
 			}
 		}
 	}
 	text, err := json.Marshal(answer)
-	for _, h := range answer.Hosts {
-		if _, known := d.drainAnnounced[h.Name]; !known && h.Health == "Terminating" {
-			d.drainAnnounced[h.Name] = time.Now()
+	for _, entry := range answer.Entries {
+		if _, known := d.drainAnnounced[entry.Name]; !known && entry.Health == "Terminating" {
+			d.drainAnnounced[entry.Name] = time.Now()
 		}
 	}
 	d.mu.Unlock()
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -247,10 +247,10 @@
 			return
 		}
 		c := &Call{Received: time.Now(), Engine: e.Name, Target: h.Target, Body: body, ConnNumber: connNumber, Fields: h.Fields, RemoteAddr: conn.RemoteAddr().String()}
-		switch id, isRoom := strings.CutPrefix(h.Target, roomsPath); {
-		case isRoom && h.Method == "POST":
+		switch id, isRoomsPath := strings.CutPrefix(h.Target, roomsPath); {
+		case isRoomsPath && h.Method == "POST":
 			c.Kind, c.ID = Reserve, id
-		case isRoom:
+		case isRoomsPath:
 			c.Kind, c.ID = Release, id
 		case h.Method == "GET":
 			c.Kind = Probe
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -326,7 +326,7 @@
 }
 
 // checkDrains checks that no router sent a dispatch to an engine later than the grace period after the list
-// service told that router that the engine is draining or gone.
+// service notified that router that the engine is draining or gone.
 func (r *Report) checkDrains() {
 	notReadySince := map[string]float64{} // since when the list has said that the engine is not ready, by router and engine
 	for _, e := range r.entries {
@@ -349,7 +349,7 @@
 }
 
 // checkColdEngines checks that no cold engine was overloaded by routers that knew of its start. An overload is a
-// violation only if at least two thirds of the work came from routers that had been told of the start.
+// violation only if at least two thirds of the work came from routers that had been notified of the start.
 func (r *Report) checkColdEngines() {
 	cold := r.head.GetCold()
 	type arrival struct {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -69,7 +69,7 @@
 	cold := func(e *pb.EngineEvent) { e.Cold = proto.Bool(true) }
 	otherEngine := func(e *pb.EngineEvent) { e.Engine = proto.String("f") }
 	noPeer := func(e *pb.EngineEvent) { e.Peer = nil }
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		rule     Rule
 		violated bool
 		entries  []*pb.Entry
@@ -124,10 +124,10 @@
 		"held, its router was killed":   {NothingHeldPastLimit, false, []*pb.Entry{engineEvent(1, pb.EngineEvent_ARRIVED, "c-0"), engineEvent(1.1, pb.EngineEvent_STATE_HELD, "c-0"), engineEvent(1.1, pb.EngineEvent_ENDED, "c-0"), routerEvent(1.2, false)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			report, err := Check(newRecord(c.entries...))
+			report, err := Check(newRecord(tc.entries...))
 			require.NoError(t, err)
 			for _, rule := range AllRules() {
-				assert.Equal(t, !(c.violated && rule == c.rule), report.Passed(rule), "%v: %v", rule, report.Violations)
+				assert.Equal(t, !(tc.violated && rule == tc.rule), report.Passed(rule), "%v: %v", rule, report.Violations)
 			}
 		})
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -69,13 +69,13 @@
 type coldWork struct {
 	at        time.Time
 	seconds   float64
-	knewStart bool // the router had been told of the engine's start
+	knewStart bool // the router had been notified of the engine's start
 }
 
 const (
 	blockBytes     = 256 // prompt text in one cached block
 	blockTokens    = blockBytes / 4
-	stateLifetime  = 30 * time.Second // the engine's own limit, far beyond any router's holding limit
+	stateLifetime  = 30 * time.Second // the engine's own limit, far beyond any router's hold limit
 	knewStartShare = 2.0 / 3          // share of an overload that must come from routers that knew of the start
 )
 
@@ -473,14 +473,14 @@
 	}
 	now := time.Now()
 	e.recentWork = append(e.recentWork, coldWork{now, seconds, knewStart})
-	total, knowing := 0.0, 0.0
+	total, knewStartWork := 0.0, 0.0
 	recent := e.recentWork[:0]
 	for _, w := range e.recentWork {
 		if now.Sub(w.at).Seconds() <= cold.GetFallWindowS() {
 			recent = append(recent, w)
 			total += w.seconds
 			if w.knewStart {
-				knowing += w.seconds
+				knewStartWork += w.seconds
 			}
 		}
 	}
@@ -492,8 +492,8 @@
 	e.mu.Unlock()
 	if crashes {
 		e.record(&pb.EngineEvent{Kind: pb.EngineEvent_FELL.Enum(),
-			Detail: proto.String(fmt.Sprintf("%.2f s of work in %.1f s, %.0f%% by routers told of its start", total, cold.GetFallWindowS(), 100*knowing/total)),
-			Cold:   proto.Bool(knowing >= knewStartShare*total)})
+			Detail: proto.String(fmt.Sprintf("%.2f s of work in %.1f s, %.0f%% by routers told of its start", total, cold.GetFallWindowS(), 100*knewStartWork/total)),
+			Cold:   proto.Bool(knewStartWork >= knewStartShare*total)})
 	}
 	return crashes
 }
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -220,7 +220,7 @@
 
 var errDown = errors.New("engine is down")
 
-// knowsStart reports whether a router has been told of an engine's start.
+// knowsStart reports whether a router has been notified of an engine's start.
 func (l *ListService) knowsStart(router, engine string, started time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestMalformedBatches(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		count     int
 		body      []byte
 		wantErr   string
@@ -27,14 +27,14 @@
 			'['), "", []byte{0x42, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reply, err := NewHost().HandleBatch(c.count, 1, c.body)
-			if c.wantErr != "" {
-				assert.ErrorContains(t, err, c.wantErr)
+			reply, err := NewHost().HandleBatch(tc.count, 1, tc.body)
+			if tc.wantErr != "" {
+				assert.ErrorContains(t, err, tc.wantErr)
 				assert.Nil(t, reply)
 				return
 			}
 			assert.NoError(t, err)
-			assert.Equal(t, c.wantReply, append([]byte(nil), reply[8:min(len(reply), 10)]...))
+			assert.Equal(t, tc.wantReply, append([]byte(nil), reply[8:min(len(reply), 10)]...))
 		})
 	}
 }
