--- a/cmd/cherryhub/soak.go
+++ b/cmd/cherryhub/soak.go
@@ -28,10 +28,10 @@
 			if err != nil {
 				return fmt.Errorf("soak: %w", err)
 			}
-			if len(o.Program) == 0 {
-				o.Program = []string{executable}
+			if len(o.RouterCommand) == 0 {
+				o.RouterCommand = []string{executable}
 			}
-			o.Program = append(o.Program, "run")
+			o.RouterCommand = append(o.RouterCommand, "run")
 			for _, f := range faults {
 				o.Faults = append(o.Faults, soak.Fault(f))
 			}
@@ -44,9 +44,9 @@
 	f.IntVar(&o.Seeds, "seeds", 1, fmt.Sprintf("number of seeds, up to %d", soak.MaxSeeds))
 	f.IntVar(&o.Parallel, "parallel", 1, fmt.Sprintf("seeds run in parallel, up to %d", soak.MaxParallel))
 	f.StringSliceVar(&faults, "fault", nil, "fault classes to use instead of those drawn from the seeds")
-	f.StringArrayVar(&o.Program, "program", nil, "router program to run instead of this one")
+	f.StringArrayVar(&o.RouterCommand, "program", nil, "router program to run instead of this one")
 	f.BoolVar(&asJSON, "json", false, "print the summary as JSON")
-	f.StringVar(&o.Dir, "dir", "", "write the routers' logs to this directory")
+	f.StringVar(&o.LogDir, "dir", "", "write the routers' logs to this directory")
 	return c
 }
 
--- a/cmd/cherryhub/soak_test.go
+++ b/cmd/cherryhub/soak_test.go
@@ -77,7 +77,7 @@
 
 // runWithoutViolations runs seeds and requires that no rule is violated. It passes each result to check, unless that is nil.
 func runWithoutViolations(t *testing.T, o soak.Options, check func(*soak.Result)) {
-	o.Program, o.Dir = routerProgram(t), t.TempDir()
+	o.RouterCommand, o.LogDir = routerProgram(t), t.TempDir()
 	require.NoError(t, soak.Run(t.Context(), o, func(result *soak.Result) {
 		assert.NoError(t, result.Err)
 		assert.Empty(t, result.Violations, "seed %d, %v:\n%s", result.Scenario.Seed, result.Scenario.Faults, result.Timeline)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -380,8 +380,8 @@
 	l, p, weight := &e.load[i], e.pool, e.pool.sampleWeight()*boolToFloat(e.succeededAt > 0)
 	average := r.warmUpProgress(e) * (r.equivalentRouters*p.out[i].average/math.Max(1, p.readyEngines) + p.reported[i]) / (1 + p.reported[2])
 	estimate := l.out + weight*r.equivalentRouters*l.out + (1-weight)*average
-	trust := math.Exp((e.reportedAt - r.now) / reportDecaySeconds)
-	return trust*math.Max(l.out, l.reported+(l.out-l.outAtReport)*(1+weight*r.equivalentRouters)) + (1-trust)*estimate
+	reportWeight := math.Exp((e.reportedAt - r.now) / reportDecaySeconds)
+	return reportWeight*math.Max(l.out, l.reported+(l.out-l.outAtReport)*(1+weight*r.equivalentRouters)) + (1-reportWeight)*estimate
 }
 
 // updatePoolReports sums up the last reports of each pool's engines, and estimates how many routers like this one the
@@ -481,18 +481,18 @@
 	return cached
 }
 
-// recordPrefix records that an engine now has the prompt cached. found is how many tokens it found cached, below 0 if
+// recordPrefix records that an engine now has the prompt cached. cachedTokens is how many it had cached, below 0 if
 // unknown. If that is less than half of the expected tokens, all entries of the engine are dropped. This guards
 // against wrong entries; it also drops correct ones when a single prefix was evicted.
-func (r *Router) recordPrefix(e *engine, p *Prompt, expected, found float64) {
+func (r *Router) recordPrefix(e *engine, p *Prompt, expected, cachedTokens float64) {
 	switch {
-	case found >= 0 && expected >= minPrefixCheckTokens && found < expected/2:
-		r.actions.Log(fmt.Sprintf("engine %d: cached prefixes dropped, %.0f of %.0f expected tokens found", e.id, found, expected))
+	case cachedTokens >= 0 && expected >= minPrefixCheckTokens && cachedTokens < expected/2:
+		r.actions.Log(fmt.Sprintf("engine %d: cached prefixes dropped, %.0f of %.0f expected tokens found", e.id, cachedTokens, expected))
 		e.prefixes, e.prefixesSince = [2]map[uint64]cachedPrefix{{}, nil}, r.now
 	case e.prefixes[0] == nil || len(e.prefixes[0]) >= maxPrefixEntries/2-1 || r.now-e.prefixesSince > prefixTTLSeconds:
 		e.prefixes, e.prefixesSince = [2]map[uint64]cachedPrefix{{}, e.prefixes[0]}, r.now
 	}
-	e.insertedTokens += p.Tokens - math.Max(found, 0)
+	e.insertedTokens += p.Tokens - math.Max(cachedTokens, 0)
 	for i, key := range [...]uint64{p.Session, p.SharedPrefix} {
 		if key != 0 {
 			e.prefixes[0][key] = cachedPrefix{[...]float64{p.Tokens, p.SharedPrefixTokens}[i], r.now, e.insertedTokens}
@@ -1064,8 +1064,8 @@
 }
 
 // DispatchEnded records how dispatch n ended, the seconds that it took, whether the completion has its answer, the
-// prompt tokens found cached, and the engine's load report.
-func (c *Completion) DispatchEnded(n int, o Outcome, took float64, done bool, found float64, report []float64) {
+// prompt tokens that the engine had cached, and the engine's load report.
+func (c *Completion) DispatchEnded(n int, o Outcome, took float64, done bool, cachedTokens float64, report []float64) {
 	if n < 0 || n >= len(c.dispatches) || !c.dispatches[n].out {
 		return
 	}
@@ -1077,25 +1077,25 @@
 	d.out, c.inFlight = false, nil
 	r.recordReport(d.engine, report)
 	if o == Read || o == Finished {
-		found = math.Min(found, c.prompt.Tokens) // engines count tokens in their own way
+		cachedTokens = math.Min(cachedTokens, c.prompt.Tokens) // engines count tokens in their own way
 	}
 	d.broken, d.mayHaveRun = o == Broken, o != Read && o != Full && o != Unreachable && o != NotSent
-	if found == 1 && o != Read && o != Finished { // there was no state to fetch, or it was released meanwhile
+	if cachedTokens == 1 && o != Read && o != Finished { // there was no state to fetch, or it was released meanwhile
 		c.stateReader = nil
 	}
 	switch {
 	case o == Read:
 		r.recordTime(d, took)
-		d.engine.pool.recordRead(r.now, c.prompt.Tokens-math.Max(found, 0))
-		r.recordPrefix(d.engine, &c.prompt, d.expectedCachedTokens, found)
+		d.engine.pool.recordRead(r.now, c.prompt.Tokens-math.Max(cachedTokens, 0))
+		r.recordPrefix(d.engine, &c.prompt, d.expectedCachedTokens, cachedTokens)
 		c.stateReader, c.needsRelease = d.engine, true
 		r.recordHealth(d.engine, 0)
 	case o == Finished:
-		if !d.readsPrompt || found < d.expectedCachedTokens/2 {
-			r.recordPrefix(d.engine, &c.prompt, d.expectedCachedTokens, found)
+		if !d.readsPrompt || cachedTokens < d.expectedCachedTokens/2 {
+			r.recordPrefix(d.engine, &c.prompt, d.expectedCachedTokens, cachedTokens)
 		}
 		r.recordHealth(d.engine, 0)
-	case o == Full && found == 1: // says nothing about the engine
+	case o == Full && cachedTokens == 1: // says nothing about the engine
 	case o != Cancelled && o != NotSent && !d.overdue: // the others say nothing new about the engine
 		r.recordHealth(d.engine, 1)
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -304,7 +304,7 @@
 func TestStateReleasedMeanwhile(t *testing.T) {
 	for name, tc := range map[string]struct {
 		o              Outcome
-		found          float64
+		cachedTokens   float64
 		reads          bool // the next dispatch is a read
 		failureCounted bool
 	}{
@@ -321,7 +321,7 @@
 			require.Len(t, rec.engines, 2)
 			writer := r.engines[rec.engines[1]]
 			r.SetTime(0.55)
-			c.DispatchEnded(1, tc.o, 0.25, false, tc.found, nil)
+			c.DispatchEnded(1, tc.o, 0.25, false, tc.cachedTokens, nil)
 			require.Len(t, rec.engines, 3)
 			require.Equal(t, tc.reads, r.engines[rec.engines[2]].role == Reader)
 			require.Equal(t, tc.failureCounted, r.currentFailureShare(writer) > 0)
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -1,7 +1,7 @@
 package decide
 
 // ReleaseFraction is the share of the hold limit after which a release is sent. The rest of the limit covers the release's own
-// transit, and engines that have to be asked in place of another. A write that waits longer than this at an engine that then hangs
+// transit, and retries at other engines. A write that waits longer than this at an engine that then hangs
 // costs a second read.
 const ReleaseFraction = 0.6
 
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -60,7 +60,7 @@
 	exited                      chan error // receives the result of cmd.Wait
 }
 
-// Run runs a day whose settings were checked. Its error is about the run; broken rules are no error.
+// Run runs a day whose settings were checked. Its error is about the run; rule violations are no error.
 func Run(ctx context.Context, day *pb.Day, options Options) (err error) {
 	day = config.WithDefaults(day)
 	run := &dayRun{day: day, options: options}
--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -19,7 +19,7 @@
 const remoteDecodeParams = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
-// ReadBody returns the body of a read: the client's call, limited to one token and not streamed.
+// ReadBody returns the body of a read: the client's request, limited to one token and not streamed.
 func ReadBody(fields []Field) []byte {
 	b := beginBody(fields, func(name string) bool {
 		switch name {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -42,14 +42,14 @@
 
 // Line is one line from a list service or list file.
 type Line struct {
-	Kind    string   `json:"kind"` // full, delta or alive
-	Epoch   int64    `json:"epoch"`
-	Version int64    `json:"version"`
-	Engines []Engine `json:"engines,omitempty"`
+	Kind    string        `json:"kind"` // full, delta or alive
+	Epoch   int64         `json:"epoch"`
+	Version int64         `json:"version"`
+	Entries []EngineEntry `json:"engines,omitempty"`
 }
 
-// Engine is one entry of an engine list.
-type Engine struct {
+// EngineEntry is one entry of an engine list.
+type EngineEntry struct {
 	Address     string   `json:"address"` // host:port
 	Zone        string   `json:"zone,omitempty"`
 	Cell        string   `json:"cell,omitempty"`
@@ -252,17 +252,17 @@
 	switch line.Kind {
 	case "alive", "delta":
 	case "full":
-		if len(line.Engines) == 0 {
+		if len(line.Entries) == 0 {
 			return nil, errors.New("full list contains no engines")
 		}
 	default:
 		return nil, fmt.Errorf("kind %q, wanted full, delta or alive", line.Kind)
 	}
-	if len(line.Engines) > maxEngines {
-		return nil, fmt.Errorf("%d engines exceed list.max_engines %d", len(line.Engines), maxEngines)
+	if len(line.Entries) > maxEngines {
+		return nil, fmt.Errorf("%d engines exceed list.max_engines %d", len(line.Entries), maxEngines)
 	}
 	seen := map[string]bool{}
-	for i, e := range line.Engines {
+	for i, e := range line.Entries {
 		host, port, err := net.SplitHostPort(e.Address)
 		portNumber, portErr := strconv.Atoi(port)
 		_, validPhase := phases[e.Phase]
@@ -304,7 +304,7 @@
 	if line.Kind == "delta" {
 		list.Kind = decide.ListDelta
 	}
-	for _, e := range line.Engines {
+	for _, e := range line.Entries {
 		age := -1.0
 		if e.AgeSeconds != nil {
 			age = max(0, *e.AgeSeconds) // negative if the engine's clock runs ahead: it has only just started
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -155,7 +155,7 @@
 		if err != nil {
 			return
 		}
-		require.LessOrEqual(t, len(parsed.Engines), 3)
+		require.LessOrEqual(t, len(parsed.Entries), 3)
 		follower, _ := newTestFollower(Options{})
 		if follower.applyLine(parsed) == nil && parsed.Kind == "full" {
 			require.NotEmpty(t, bytes.TrimSpace(text))
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -12,7 +12,8 @@
 
 // Peers has the routers of a day share the probing of engines, with the scheduler of internal/duty. A fixed delay until
 // a start or a death is noticed stands for memberlist, and the one-way delay of a message stands for UDP; no message is
-// lost. Times are in seconds; Settle, Lease and HandOver are those of duty.Settings.
+// lost. Times are in seconds; Settle, Lease and HandOver are SettleTime, LeaseTime and HandoverDelay of
+// duty.Settings.
 type Peers struct {
 	Interval   float64 // between two probes of an engine
 	Candidates int     // of each probe, as in duty.Duty
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -55,7 +55,7 @@
 	OnDispatch          func(at float64, engine int) // called for each dispatch; may be nil
 }
 
-// Result holds the figures of a day.
+// Result holds the results of a day.
 type Result struct {
 	Completions, Finished, RateLimited, Aborted int
 	InTarget                                    int                     // first token within the latency target
@@ -65,9 +65,9 @@
 	Dispatches, Probes                          int
 	Preemptions                                 uint64
 	Events                                      uint64
-	Unanswered                                  int // without a final answer at the end; above 0 is a broken rule
-	DuplicateAnswers                            int // final answers after the first; above 0 is a broken rule
-	LateAnswers                                 int // answers or first tokens after the client timeout; above 0 is a broken rule
+	Unanswered                                  int // without a final answer at the end; above 0 is a rule violation
+	DuplicateAnswers                            int // final answers after the first; above 0 is a rule violation
+	LateAnswers                                 int // answers or first tokens after the client timeout; above 0 is a rule violation
 }
 
 // Score returns the share of the offered value that was served.
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -16,7 +16,7 @@
 	"cherryhub/internal/platform/standin"
 )
 
-func newClient(t *testing.T, engines ...Engine) *Client {
+func newClient(t *testing.T, engines ...EngineEntry) *Client {
 	c := New(Options{ReportColumns: []string{"queue", "util"}, ProbesAllowed: true, ConnectTimeout: 250 * time.Millisecond, EngineIdleTimeout: 10 * time.Second, MaxConns: 16})
 	t.Cleanup(c.Close)
 	c.UpdateEngines(true, engines, nil)
@@ -35,7 +35,7 @@
 	fleet := standin.NewFleet()
 	e, err := fleet.StartEngine("e", true)
 	require.NoError(t, err)
-	c := newClient(t, Engine{Name: "e", Address: e.Address()})
+	c := newClient(t, EngineEntry{Name: "e", Address: e.Address()})
 	for range 3 {
 		r := read(c, "e")
 		require.Equal(t, decide.Read, r.Outcome)
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	address := ln.Addr().String()
 	require.NoError(t, ln.Close())
-	c := newClient(t, Engine{Name: "refuses", Address: address})
+	c := newClient(t, EngineEntry{Name: "refuses", Address: address})
 	require.Equal(t, decide.Unreachable, read(c, "refuses").Outcome)
 	require.Equal(t, decide.NotSent, read(c, "nobody").Outcome)
 }
@@ -72,19 +72,19 @@
 	c := New(Options{ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return clientSide, nil }})
 	t.Cleanup(c.Close)
-	c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
+	c.UpdateEngines(true, []EngineEntry{{Name: "e", Address: "any"}}, nil)
 	require.Equal(t, decide.Unreachable, read(c, "e").Outcome)
 }
 
 // Any engine accepts a release for all of them, so that an engine that is gone or silent does not keep state held.
 func TestReleaseAtOtherEngine(t *testing.T) {
 	fleet := standin.NewFleet()
-	var all []Engine
+	var all []EngineEntry
 	for _, name := range [...]string{"silent", "well"} {
 		e, err := fleet.StartEngine(name, true)
 		require.NoError(t, err)
 		t.Cleanup(e.Close)
-		all = append(all, Engine{Name: name, Address: e.Address()})
+		all = append(all, EngineEntry{Name: name, Address: e.Address()})
 	}
 	fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Engine == "silent" && c.Kind == standin.Release {
@@ -114,7 +114,7 @@
 	c := New(Options{ReportColumns: []string{"util"}, ConnectTimeout: time.Second, EngineIdleTimeout: time.Second, MaxConns: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return clientSide, nil }})
 	t.Cleanup(c.Close)
-	c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
+	c.UpdateEngines(true, []EngineEntry{{Name: "e", Address: "any"}}, nil)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	s, failed := c.Write(ctx, cancel, &engine.Call{Address: "e", ID: "x", Target: "/", Body: []byte("{}"), Deadline: time.Now().Add(time.Second)}, time.Second)
 	require.Nil(t, failed)
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -54,7 +54,7 @@
 }
 
 // Release frees everything that any engine holds for the completion. Any engine accepts the call. If no answer comes soon, the
-// same engine is asked on a new connection, because all idle ones may have gone silent, and then other engines in parallel
+// same engine is called again on a new connection, because all idle ones may have gone silent, and then other engines in parallel
 // until one of them answers.
 func (c *Client) Release(ctx context.Context, name, id string) error {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/platform/backend/check_test.go
+++ b/internal/platform/backend/check_test.go
@@ -24,11 +24,11 @@
 	p, err := faultproxy.Start(e.Address(), plan, late)
 	require.NoError(t, err)
 	t.Cleanup(func() { p.Close() }) //nolint:errcheck // the test is over
-	return newClient(t, Engine{Name: "e", Address: p.Address()}), p
+	return newClient(t, EngineEntry{Name: "e", Address: p.Address()}), p
 }
 
 // addIdleConns opens connections to an engine and puts them into the pool.
-func addIdleConns(t *testing.T, c *Client, e Engine, count int) {
+func addIdleConns(t *testing.T, c *Client, e EngineEntry, count int) {
 	var all []*engineConn
 	for range count {
 		conn, err := c.connect(t.Context(), c.endpoints[e.Name], e.Address)
@@ -71,12 +71,12 @@
 // A release succeeds within a third of the hold limit of 800 ms even if the engines that are tried first are silent.
 func TestReleaseWithSilentEngines(t *testing.T) {
 	fleet := standin.NewFleet()
-	var engines []Engine
+	var engines []EngineEntry
 	for _, name := range []string{"a", "b", "c", "d", "e", "answers"} {
 		e, err := fleet.StartEngine(name, true)
 		require.NoError(t, err)
 		defer e.Close()
-		engines = append(engines, Engine{Name: name, Address: e.Address()})
+		engines = append(engines, EngineEntry{Name: name, Address: e.Address()})
 	}
 	fleet.InjectFault = func(c *standin.Call, _ int) standin.Fault {
 		if c.Engine != "answers" {
@@ -120,7 +120,7 @@
 func TestReleaseWithSilentConnections(t *testing.T) {
 	const idlePerEngine = 2
 	fleet := standin.NewFleet()
-	var engines []Engine
+	var engines []EngineEntry
 	var proxies []*faultproxy.Proxy
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		e, err := fleet.StartEngine(name, true)
@@ -130,7 +130,7 @@
 		require.NoError(t, err)
 		defer p.Close()
 		proxies = append(proxies, p)
-		engines = append(engines, Engine{Name: name, Address: p.Address()})
+		engines = append(engines, EngineEntry{Name: name, Address: p.Address()})
 	}
 	c := newClient(t, engines...)
 	for _, e := range engines {
@@ -149,7 +149,7 @@
 func TestSilentIdleConnections(t *testing.T) {
 	const idleConns = 4
 	c, p := newProxiedClient(t, nil, nil)
-	addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, idleConns)
+	addIdleConns(t, c, EngineEntry{Name: "e", Address: p.Address()}, idleConns)
 	require.Eventually(t, func() bool { return p.ConnCount() == idleConns }, time.Second, time.Millisecond, "the proxy has accepted the connections")
 	require.Equal(t, idleConns, p.SilenceOpen())
 	time.Sleep(5 * time.Millisecond)
@@ -170,7 +170,7 @@
 	for _, silentNow := range []bool{false, true} {
 		silent.Store(silentNow)
 		count := p.ConnCount()
-		addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, 1)
+		addIdleConns(t, c, EngineEntry{Name: "e", Address: p.Address()}, 1)
 		require.Eventually(t, func() bool { return p.ConnCount() > count }, time.Second, time.Millisecond, "the proxy has accepted the connection")
 	}
 	silent.Store(false)
@@ -185,7 +185,7 @@
 // If the idle connection is silent and no other can be opened, the dispatch counts as unreachable after a single dial.
 func TestFailedDialIsNotRetried(t *testing.T) {
 	c, p := newProxiedClient(t, nil, nil)
-	addIdleConns(t, c, Engine{Name: "e", Address: p.Address()}, 1)
+	addIdleConns(t, c, EngineEntry{Name: "e", Address: p.Address()}, 1)
 	require.Eventually(t, func() bool { return p.SilenceOpen() == 1 }, time.Second, time.Millisecond, "the proxy has accepted the connection")
 	dials := 0
 	c.dialer = engine.NewDialer(1, func(context.Context, string, string) (net.Conn, error) {
--- a/internal/platform/backend/dispatch_test.go
+++ b/internal/platform/backend/dispatch_test.go
@@ -35,7 +35,7 @@
 			<-e.connected
 			return clientSide, nil
 		}})
-	e.client.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
+	e.client.UpdateEngines(true, []EngineEntry{{Name: "e", Address: "any"}}, nil)
 	go func() {
 		r := bufio.NewReader(engineSide)
 		h, err := http1.ReadRequest(r, limits)
@@ -62,7 +62,7 @@
 	}{
 		"no change": {func(*slowDialEngine, context.CancelCauseFunc) {}, decide.Read},
 		"engine drains": {func(e *slowDialEngine, _ context.CancelCauseFunc) {
-			e.client.UpdateEngines(false, []Engine{{"e", "any", true}}, nil)
+			e.client.UpdateEngines(false, []EngineEntry{{"e", "any", true}}, nil)
 		}, decide.NotSent},
 		"engine is gone": {func(e *slowDialEngine, _ context.CancelCauseFunc) { e.client.UpdateEngines(false, nil, []string{"e"}) }, decide.NotSent},
 		"caller cancels": {func(_ *slowDialEngine, cancel context.CancelCauseFunc) { cancel(engine.ErrCancelled) }, decide.NotSent},
@@ -149,7 +149,7 @@
 			tc.options.ConnectTimeout, tc.options.EngineIdleTimeout, tc.options.MaxConns = time.Second, time.Second, 2
 			c := New(tc.options)
 			t.Cleanup(c.Close)
-			c.UpdateEngines(true, []Engine{{Name: "e", Address: "any"}}, nil)
+			c.UpdateEngines(true, []EngineEntry{{Name: "e", Address: "any"}}, nil)
 			require.Equal(t, tc.want, read(c, "e").Outcome)
 		})
 	}
--- a/internal/platform/backend/pool.go
+++ b/internal/platform/backend/pool.go
@@ -33,8 +33,8 @@
 	idleElement *list.Element // its place in Client.idle
 }
 
-// Engine is an entry of the engine list.
-type Engine struct {
+// EngineEntry is an entry of the engine list.
+type EngineEntry struct {
 	Name, Address string
 	Draining      bool
 }
@@ -42,7 +42,7 @@
 // UpdateEngines applies a change of the engine list: engines that are new or have changed, and the names of those that have
 // left. If snapshot is set, engines is the whole list, all others have left, and gone is ignored. Otherwise the cost of a
 // change does not grow with the number of engines.
-func (c *Client) UpdateEngines(snapshot bool, engines []Engine, gone []string) {
+func (c *Client) UpdateEngines(snapshot bool, engines []EngineEntry, gone []string) {
 	now := time.Now()
 	var dropped []*engineConn
 	c.mu.Lock()
@@ -72,7 +72,7 @@
 }
 
 // missingFrom returns the names of the known engines that are not in the list. The lock must be held.
-func (c *Client) missingFrom(engines []Engine) (missing []string) {
+func (c *Client) missingFrom(engines []EngineEntry) (missing []string) {
 	listed := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		listed[e.Name] = true
--- a/internal/platform/backend/pool_test.go
+++ b/internal/platform/backend/pool_test.go
@@ -32,9 +32,9 @@
 
 func newPool(names ...string) *Client {
 	c := New(Options{EngineIdleTimeout: 10 * time.Second, MaxConns: 16, ConnectTimeout: time.Second})
-	var engines []Engine
+	var engines []EngineEntry
 	for _, name := range names {
-		engines = append(engines, Engine{Name: name, Address: name})
+		engines = append(engines, EngineEntry{Name: name, Address: name})
 	}
 	c.UpdateEngines(true, engines, nil)
 	return c
@@ -59,7 +59,7 @@
 		c.Prune()
 		require.True(t, isClosed(b1))
 		require.Equal(t, 2, c.IdleConns())
-		c.UpdateEngines(false, []Engine{{Name: "a", Address: "elsewhere"}}, []string{"c"})
+		c.UpdateEngines(false, []EngineEntry{{Name: "a", Address: "elsewhere"}}, []string{"c"})
 		require.True(t, isClosed(a2) && isClosed(c1))
 		require.Zero(t, c.IdleConns())
 	})
@@ -71,9 +71,9 @@
 		c := newPool("a", "b", "c")
 		defer c.Close()
 		c.UpdateEngines(false, nil, []string{"a"})
-		c.UpdateEngines(true, []Engine{{Name: "c", Address: "c"}}, nil) // b has left too
+		c.UpdateEngines(true, []EngineEntry{{Name: "c", Address: "c"}}, nil) // b has left too
 		time.Sleep(goneEngineRetention / 2)
-		c.UpdateEngines(false, []Engine{{Name: "b", Address: "b"}}, nil)
+		c.UpdateEngines(false, []EngineEntry{{Name: "b", Address: "b"}}, nil)
 		c.Prune()
 		require.Len(t, c.endpoints, 3)
 		time.Sleep(goneEngineRetention)
@@ -100,7 +100,7 @@
 	return func() {
 		name := fmt.Sprint("engine-", n%engines)
 		c.UpdateEngines(false, nil, []string{name})
-		c.UpdateEngines(false, []Engine{{Name: name, Address: "x"}}, nil)
+		c.UpdateEngines(false, []EngineEntry{{Name: name, Address: "x"}}, nil)
 		n++
 	}
 }
@@ -150,11 +150,11 @@
 	newEngine, err := fleet.StartEngine("after", true)
 	require.NoError(t, err)
 	defer newEngine.Close()
-	c := newClient(t, Engine{Name: "e", Address: oldEngine.Address()})
+	c := newClient(t, EngineEntry{Name: "e", Address: oldEngine.Address()})
 	outcomes := make(chan decide.Outcome)
 	go func() { outcomes <- read(c, "e").Outcome }()
 	<-started
-	c.UpdateEngines(false, []Engine{{Name: "e", Address: newEngine.Address()}}, nil)
+	c.UpdateEngines(false, []EngineEntry{{Name: "e", Address: newEngine.Address()}}, nil)
 	close(proceed)
 	require.Equal(t, decide.Read, <-outcomes)
 	require.Equal(t, decide.Read, read(c, "e").Outcome)
--- a/internal/platform/discovery/follower_test.go
+++ b/internal/platform/discovery/follower_test.go
@@ -103,7 +103,7 @@
 	require.True(t, awaitList(t, lists, time.Second).Snapshot)
 	require.Equal(t, "two", awaitList(t, lists, 6*time.Second).Entries[0].Name)
 	require.Contains(t, s.nthQuery(1), "hold_ms=2000")
-	require.Contains(t, s.nthQuery(2), "hold_ms=0", "a request after a failure requests no hold")
+	require.Contains(t, s.nthQuery(2), "hold_ms=0", "a request after a failure sets a hold of 0")
 }
 
 // TestSlowDiscovery: a discovery that takes seconds for each answer is followed all the same.
--- a/internal/platform/discovery/retry.go
+++ b/internal/platform/discovery/retry.go
@@ -14,7 +14,7 @@
 // failed. It does no I/O and reads no clock.
 //
 // A request that timed out may have met a slow discovery, or one that will never answer it but might answer the next one
-// at once. So requests after a failure request no hold, and Follower.fetch covers both cases. The timeout grows with a
+// at once. So a request after a failure sets a hold of 0, and Follower.fetch covers both cases. The timeout grows with a
 // slow discovery and shrinks again once answers come sooner. Delays grow and are jittered, so that routers whose requests
 // failed at the same moment do not retry at the same moment.
 type retryPolicy struct {
--- a/internal/platform/service/clients_test.go
+++ b/internal/platform/service/clients_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestUselessRequestFlood: while hundreds of connections send requests but no accepted completion, a regular client's kept
+// TestUselessRequestFlood: while hundreds of connections send requests but no accepted completion, a regular client's idle
 // connection stays open and a new client is served.
 func TestUselessRequestFlood(t *testing.T) {
 	t.Parallel()
@@ -117,8 +117,8 @@
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
-	kept, keptReader := s.dial("")
-	complete(kept, keptReader, "kept-1")
+	idleConn, idleReader := s.dial("")
+	complete(idleConn, idleReader, "idle-1")
 	flood := func() {
 		for range 200 { // twice the limit, each answered and kept open
 			_, r := s.dial(upRequest)
@@ -129,12 +129,12 @@
 	}
 	flood()
 	start := time.Now()
-	fresh, freshReader := s.dial("")
+	newConn, newReader := s.dial("")
 	flood()
 	if time.Since(start) < 200*time.Millisecond { // otherwise the test itself was too slow
-		complete(fresh, freshReader, "fresh")
+		complete(newConn, newReader, "new")
 	}
-	complete(kept, keptReader, "kept-2")
+	complete(idleConn, idleReader, "idle-2")
 }
 
 func isTimeoutError(err error, to *net.Error) bool {
--- a/internal/platform/service/lifecycle_test.go
+++ b/internal/platform/service/lifecycle_test.go
@@ -91,7 +91,7 @@
 func TestStopUnderLoad(t *testing.T) {
 	s := newCluster(t)
 	s.fleet.EventInterval = 300 * time.Millisecond
-	kept, r := s.dial(chatRequest("before", promptBody(20)))
+	idleConn, r := s.dial(chatRequest("before", promptBody(20)))
 	status, _, err := readResponse(r)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
@@ -121,9 +121,9 @@
 		t.Error(err)
 	}
 	require.NoError(t, <-stopped)
-	kept.SetReadDeadline(time.Now().Add(time.Second)) //nolint:errcheck // a test
+	idleConn.SetReadDeadline(time.Now().Add(time.Second)) //nolint:errcheck // a test
 	_, err = r.ReadByte()
-	require.True(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "the kept connection stays open: %v", err)
+	require.True(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "the idle connection stays open: %v", err)
 	require.Zero(t, s.fleet.HeldCount())
 }
 
--- a/internal/platform/service/service.go
+++ b/internal/platform/service/service.go
@@ -146,7 +146,7 @@
 func (r *Router) updateEngines(l *discovery.EngineList, kind decide.ListKind) {
 	ages := r.engineAges.beginList(r.clock(), kind != decide.ListDelta)
 	update := &link.EngineList{Kind: kind}
-	var engines []backend.Engine
+	var engines []backend.EngineEntry
 	var gone []string
 	for _, entry := range l.Entries {
 		p, _ := entry.Phase()
@@ -162,7 +162,7 @@
 			gone = append(gone, entry.Name)
 			r.engineAges.forget(entry.Name)
 		} else {
-			engines = append(engines, backend.Engine{Name: entry.Name, Address: entry.Address, Draining: p == decide.Draining})
+			engines = append(engines, backend.EngineEntry{Name: entry.Name, Address: entry.Address, Draining: p == decide.Draining})
 		}
 	}
 	r.log.Info("list", "seq", l.Version, "whole", l.Snapshot, "entries", len(l.Entries))
@@ -240,7 +240,7 @@
 	killAfter := r.config.minKillDelay()
 	if refuseAfter := killAfter - refuseBeforeKill; r.config.Settings.ClientsResume && refuseAfter > stopRefuseAfter {
 		// In a rolling restart of few routers, there may be no router in service for a while, and the next one stops about
-		// when this one is killed: requests on kept connections, and streams broken by the kill, would find no router. So
+		// when this one is killed: requests on idle connections, and streams broken by the kill, would find no router. So
 		// this one accepts requests longer and cuts its streams earlier. If other routers are in service, this costs one
 		// more read for each stream cut off.
 		r.front.ScheduleStop(front.StopSchedule{LateFrom: start.Add(stopDrainAfter), CutStreamsAt: start.Add(killAfter - cutBeforeKill),
--- a/internal/platform/soak/soak.go
+++ b/internal/platform/soak/soak.go
@@ -21,12 +21,12 @@
 
 // Options are the options of a run.
 type Options struct {
-	Program   []string // command that starts a router configured by EDGE_CONFIG
-	FirstSeed uint64
-	Seeds     int
-	Faults    []Fault // replace those that the seeds select; empty: none are replaced
-	Parallel  int     // scenarios that run at once
-	Dir       string  // for logs; empty: a temporary directory that is removed at the end
+	RouterCommand []string // command that starts a router configured by EDGE_CONFIG
+	FirstSeed     uint64
+	Seeds         int
+	Faults        []Fault // replace those that the seeds select; empty: none are replaced
+	Parallel      int     // scenarios that run at once
+	LogDir        string  // for logs; empty: a temporary directory that is removed at the end
 }
 
 // The limits of a run.
@@ -56,11 +56,11 @@
 			return fmt.Errorf("%w %q: must be one of %v", ErrUnknownFault, f, Faults)
 		}
 	}
-	if len(o.Program) == 0 {
+	if len(o.RouterCommand) == 0 {
 		return fmt.Errorf("%w: no program is given", ErrProgram)
 	}
-	if info, err := os.Stat(o.Program[0]); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return fmt.Errorf("%w: %s", ErrProgram, o.Program[0])
+	if info, err := os.Stat(o.RouterCommand[0]); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
+		return fmt.Errorf("%w: %s", ErrProgram, o.RouterCommand[0])
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 	if err := o.Validate(); err != nil {
 		return err
 	}
-	dir := o.Dir
+	dir := o.LogDir
 	if dir == "" {
 		tempDir, err := os.MkdirTemp("", "cherryhub-soak-")
 		if err != nil {
@@ -124,7 +124,7 @@
 	if res.Err = errors.Join(os.RemoveAll(seedDir), os.MkdirAll(seedDir, 0o700)); res.Err != nil {
 		return res
 	}
-	rec, err := RunScenario(ctx, o.Program, seedDir, s)
+	rec, err := RunScenario(ctx, o.RouterCommand, seedDir, s)
 	if res.Err = err; err != nil {
 		return res
 	}
--- a/internal/router/churn_test.go
+++ b/internal/router/churn_test.go
@@ -88,7 +88,7 @@
 			if i == 0 {
 				machine = "read"
 			}
-			line.Engines = append(line.Engines, fleet.Engine{Address: e.Address(), Zone: fmt.Sprint("zone", batch.n%5), Cell: fmt.Sprint("cell", batch.n%20), MachineKind: machine,
+			line.Entries = append(line.Entries, fleet.EngineEntry{Address: e.Address(), Zone: fmt.Sprint("zone", batch.n%5), Cell: fmt.Sprint("cell", batch.n%20), MachineKind: machine,
 				Phase: batch.phase, StartID: batch.started.UnixMilli(), AgeSeconds: &age})
 		}
 	}
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -34,7 +34,7 @@
 // change is a change of an engine's phase.
 type change struct {
 	at      time.Time
-	engine  fleet.Engine
+	entry   fleet.EngineEntry
 	started time.Time // zero: long ago
 	name    string
 }
@@ -98,10 +98,10 @@
 }
 
 func (l *ListService) appendChange(e *Engine, phase string, at time.Time) {
-	c := change{at: at, started: e.startedAt(), name: e.name, engine: fleet.Engine{Address: e.address, Zone: e.settings.GetZone(),
+	c := change{at: at, started: e.startedAt(), name: e.name, entry: fleet.EngineEntry{Address: e.address, Zone: e.settings.GetZone(),
 		Cell: e.cell, MachineKind: e.settings.GetMachine(), Phase: phase}}
 	if !c.started.IsZero() {
-		c.engine.StartID = c.started.UnixMilli()
+		c.entry.StartID = c.started.UnixMilli()
 	}
 	l.changes = append(l.changes, c)
 }
@@ -134,7 +134,7 @@
 		sentSnapshot = true
 		for _, c := range announced { // recorded before they are written: from here on the router may know
 			l.fleet.writeEntry(&pb.Entry{What: &pb.Entry_List{List: &pb.ListEvent{Router: proto.String(peer), Engine: proto.String(c.name),
-				Phase: proto.Int32(map[string]int32{"gone": 0, "ready": 1, "draining": 2}[c.engine.Phase]), StartedS: proto.Float64(ageSeconds(c.started))}}})
+				Phase: proto.Int32(map[string]int32{"gone": 0, "ready": 1, "draining": 2}[c.entry.Phase]), StartedS: proto.Float64(ageSeconds(c.started))}}})
 		}
 		for _, line := range lines {
 			text, err := json.Marshal(line)
@@ -177,8 +177,8 @@
 		return nil, nil, true
 	}
 	version := max(l.visibleVersion(), *sent) // what was sent stays sent, even if the delay has grown since
-	entry := func(c change) fleet.Engine {
-		e := c.engine
+	entry := func(c change) fleet.EngineEntry {
+		e := c.entry
 		if seconds := ageSeconds(c.started); seconds >= 0 {
 			e.AgeSeconds = &seconds
 		}
@@ -192,8 +192,8 @@
 			last[c.name] = i
 		}
 		for i, c := range l.changes[:version] {
-			if last[c.name] == i && c.engine.Phase != "gone" && !l.empty {
-				line.Engines = append(line.Engines, entry(c))
+			if last[c.name] == i && c.entry.Phase != "gone" && !l.empty {
+				line.Entries = append(line.Entries, entry(c))
 			}
 			if last[c.name] == i && !l.empty {
 				announced = append(announced, c)
@@ -202,7 +202,7 @@
 		lines = append(lines, line)
 	case version > *sent:
 		for i := *sent; i < version; i++ {
-			lines = append(lines, fleet.Line{Kind: "delta", Epoch: l.epoch, Version: int64(i + 1), Engines: []fleet.Engine{entry(l.changes[i])}})
+			lines = append(lines, fleet.Line{Kind: "delta", Epoch: l.epoch, Version: int64(i + 1), Entries: []fleet.EngineEntry{entry(l.changes[i])}})
 			announced = append(announced, l.changes[i])
 		}
 	case time.Since(*lastSent) > time.Second:
@@ -212,7 +212,7 @@
 		*lastSent = time.Now()
 	}
 	for _, c := range announced {
-		l.knownStarts[peer+"/"+c.name] = c.engine.StartID
+		l.knownStarts[peer+"/"+c.name] = c.entry.StartID
 	}
 	*sent = version
 	return lines, announced, false
