--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -106,7 +106,7 @@
 	assert.Len(t, *lists, 2)
 }
 
-// TestWatchReconnects: after a broken connection, an error status or an invalid line the service is asked again, and the last valid list
+// TestWatchReconnects: after a broken connection, an error status or an invalid line the service is called again, and the last valid list
 // stays in use.
 func TestWatchReconnects(t *testing.T) {
 	var requests atomic.Int64
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if isTimeout(err) {
-		c.writeError(&errorResponse{408, "the request was not received completely in time", 0, true})
+		c.writeError(&errorResponse{408, "the call did not come whole in time", 0, true})
 		return
 	}
 	c.closeAfter, c.disconnected = true, true // the client disconnected
