--- a/decide/api.go
+++ b/decide/api.go
@@ -117,7 +117,7 @@
 	MaxOutputTokens    float64
 	OutputTimeHint     float64 // expected time of the output in seconds at the inter-token target, 0 for unknown
 	TimeLeft           float64 // seconds until the client timeout
-	Resumed            bool    // the client asks for the rest of a stream that broke
+	Resumed            bool    // the client requests the rest of a stream that broke
 }
 
 // Outcome is how a dispatch or a probe ended.
--- a/internal/platform/faultproxy/faultproxy_test.go
+++ b/internal/platform/faultproxy/faultproxy_test.go
@@ -39,7 +39,7 @@
 	return ln.Addr().String(), lines
 }
 
-// ask writes a line and returns the one that comes back: empty if none does within 100 ms, "reset" after an error.
+// roundTrip writes a line and returns the one received in reply: empty if none does within 100 ms, "reset" after an error.
 func ask(conn net.Conn, line string) string {
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "reset"
