--- a/internal/platform/faultproxy/faultproxy_test.go
+++ b/internal/platform/faultproxy/faultproxy_test.go
@@ -40,7 +40,7 @@
 }
 
 // roundTrip writes a line and returns the one received in reply: empty if none does within 100 ms, "reset" after an error.
-func ask(conn net.Conn, line string) string {
+func roundTrip(conn net.Conn, line string) string {
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "reset"
 	}
@@ -86,9 +86,9 @@
 			for n, want := range [][2]string{{tc.first, tc.second}, {"one", "two"}} {
 				conn, err := net.Dial("tcp", p.Address())
 				require.NoError(t, err, n)
-				require.Equal(t, want[0], ask(conn, "one"), n)
+				require.Equal(t, want[0], roundTrip(conn, "one"), n)
 				time.Sleep(10 * time.Millisecond)
-				require.Equal(t, want[1], ask(conn, "two"), n)
+				require.Equal(t, want[1], roundTrip(conn, "two"), n)
 				conn.Close()
 			}
 		})
@@ -103,33 +103,33 @@
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Equal(t, "one", ask(conn, "one"))
+	require.Equal(t, "one", roundTrip(conn, "one"))
 	<-lines
 	p.Pause(ToEngine)
-	require.Empty(t, ask(conn, "two"))
+	require.Empty(t, roundTrip(conn, "two"))
 	require.Empty(t, lines)
 	p.Resume(ToEngine)
 	require.Equal(t, "two", <-lines)
 	require.Equal(t, "two\nthree", askAfterPending(conn))
 	require.Equal(t, 1, p.SilenceOpen())
-	require.Empty(t, ask(conn, "four"))
+	require.Empty(t, roundTrip(conn, "four"))
 	other, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Equal(t, "five", ask(other, "five"))
+	require.Equal(t, "five", roundTrip(other, "five"))
 	p.SilenceOpenOnSend(len("a long line"))
-	require.Equal(t, "short", ask(other, "short"))
-	require.Empty(t, ask(other, "a long line"))
-	require.Empty(t, ask(other, "short"))
+	require.Equal(t, "short", roundTrip(other, "short"))
+	require.Empty(t, roundTrip(other, "a long line"))
+	require.Empty(t, roundTrip(other, "short"))
 	last, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Equal(t, "another long line", ask(last, "another long line"), "the trigger fires once")
+	require.Equal(t, "another long line", roundTrip(last, "another long line"), "the trigger fires once")
 	p.SilenceConnOnSend(len("a long line"))
 	third, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Empty(t, ask(third, "a long line"))
-	require.Equal(t, "short", ask(last, "short"), "other connections work")
+	require.Empty(t, roundTrip(third, "a long line"))
+	require.Equal(t, "short", roundTrip(last, "short"), "other connections work")
 	p.ResetOpen()
-	require.Equal(t, "reset", ask(last, "six"))
+	require.Equal(t, "reset", roundTrip(last, "six"))
 }
 
 // TestStartDelay checks that a connection passes nothing on during its start delay, and everything afterwards.
@@ -140,7 +140,7 @@
 	defer p.Close()
 	conn, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Empty(t, ask(conn, "one"))
+	require.Empty(t, roundTrip(conn, "one"))
 	require.Empty(t, lines)
 	require.Equal(t, "one", <-lines)
 }
@@ -156,7 +156,7 @@
 	require.NoError(t, err)
 	for _, line := range []string{"one", "two"} {
 		sent := time.Now()
-		require.Equal(t, line, ask(conn, line))
+		require.Equal(t, line, roundTrip(conn, line))
 		require.Equal(t, line, <-lines)
 		require.GreaterOrEqual(t, time.Since(sent), delay)
 	}
@@ -170,19 +170,19 @@
 	defer p.Close()
 	before, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Equal(t, "one", ask(before, "one"))
+	require.Equal(t, "one", roundTrip(before, "one"))
 	<-lines
 	p.Vanish()
-	require.Empty(t, ask(before, "two"))
+	require.Empty(t, roundTrip(before, "two"))
 	meanwhile, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Empty(t, ask(meanwhile, "three"))
+	require.Empty(t, roundTrip(meanwhile, "three"))
 	p.Restore()
-	require.Equal(t, "reset", ask(before, "four"))
-	require.Equal(t, "reset", ask(meanwhile, "five"))
+	require.Equal(t, "reset", roundTrip(before, "four"))
+	require.Equal(t, "reset", roundTrip(meanwhile, "five"))
 	after, err := net.Dial("tcp", p.Address())
 	require.NoError(t, err)
-	require.Equal(t, "six", ask(after, "six"))
+	require.Equal(t, "six", roundTrip(after, "six"))
 	require.Equal(t, "six", <-lines, "no earlier line has arrived")
 }
 
@@ -191,5 +191,5 @@
 	time.Sleep(20 * time.Millisecond)
 	io.WriteString(conn, "three\n") //nolint:errcheck // a failure shows in the answers
 	time.Sleep(50 * time.Millisecond)
-	return ask(conn, "")[:len("two\nthree")]
+	return roundTrip(conn, "")[:len("two\nthree")]
 }
--- a/internal/platform/service/lifecycle_test.go
+++ b/internal/platform/service/lifecycle_test.go
@@ -249,8 +249,8 @@
 			} else {
 				s.discovery.SetFixedAnswer(broken)
 				s.discovery.Update(engineEntry(s.engines["writer-0"], "writes")) // ends the watch
-				asked := s.discovery.RequestCount()
-				require.Eventually(t, func() bool { return s.discovery.RequestCount() > asked+1 }, 4*time.Second, 5*time.Millisecond)
+				requestsBefore := s.discovery.RequestCount()
+				require.Eventually(t, func() bool { return s.discovery.RequestCount() > requestsBefore+1 }, 4*time.Second, 5*time.Millisecond)
 			}
 			status, _, err := s.send(chatRequest("served", promptBody(2000)))
 			require.NoError(t, err)
