--- a/cmd/cherryhub/soak_test.go
+++ b/cmd/cherryhub/soak_test.go
@@ -77,7 +77,7 @@
 
 // runWithoutViolations runs seeds and requires that no rule is violated. It passes each result to check, unless that is nil.
 func runWithoutViolations(t *testing.T, o soak.Options, check func(*soak.Result)) {
-	o.Program, o.Dir = routerProgram(t), t.TempDir()
+	o.RouterCommand, o.LogDir = routerProgram(t), t.TempDir()
 	require.NoError(t, soak.Run(t.Context(), o, func(result *soak.Result) {
 		assert.NoError(t, result.Err)
 		assert.Empty(t, result.Violations, "seed %d, %v:\n%s", result.Scenario.Seed, result.Scenario.Faults, result.Timeline)
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestSoakLogs checks that a router continues to serve and violates no rule while nobody reads its log, and after the
+// TestSoakLogs checks that a router continues to serve and violates no rule while its log is not read, and after the
 // reader of its log has exited.
 func TestSoakLogs(t *testing.T) {
 	for _, fault := range []soak.Fault{soak.LogStalls, soak.LogCut} {
--- a/internal/platform/backend/calls.go
+++ b/internal/platform/backend/calls.go
@@ -54,14 +54,14 @@
 }
 
 // Release frees everything that any engine holds for the completion. Any engine accepts the call. If no answer comes soon, the
-// same engine is asked on a new connection, because all idle ones may have gone silent, and then other engines in parallel
+// same engine is called again on a new connection, because all idle ones may have gone silent, and then other engines in parallel
 // until one of them answers.
 func (c *Client) Release(ctx context.Context, name, id string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	remaining := append([]string{name, name}, c.releaseFallbacks(name)...)
 	results := make(chan error, len(remaining))
-	wait := firstReleaseWait
+	wait := firstReleaseRetryDelay
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var lastErr error
@@ -75,7 +75,7 @@
 			go func(engineName string, newConn bool) { results <- c.releaseAt(ctx, engineName, id, newConn) }(remaining[0], newConn)
 			remaining, pending, newConn = remaining[1:], pending+1, true
 			timer.Reset(wait)
-			wait = nextReleaseWait
+			wait = nextReleaseRetryDelay
 		case err := <-results:
 			pending--
 			if err == nil {
@@ -101,9 +101,9 @@
 
 // Limits of a release, which is sent to one engine after another.
 const (
-	maxReleaseEngines = 6
-	firstReleaseWait  = 60 * time.Millisecond // from the first attempt to the second
-	nextReleaseWait   = 25 * time.Millisecond // between later attempts
+	maxReleaseEngines      = 6
+	firstReleaseRetryDelay = 60 * time.Millisecond // from the first attempt to the second
+	nextReleaseRetryDelay  = 25 * time.Millisecond // between later attempts
 )
 
 // Probe fetches an engine's load report.
--- a/internal/platform/service/clients_test.go
+++ b/internal/platform/service/clients_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestUselessRequestFlood: while hundreds of connections send requests but no accepted completion, a regular client's kept
+// TestUselessRequestFlood: while hundreds of connections send requests but no accepted completion, a regular client's idle
 // connection stays open and a new client is served.
 func TestUselessRequestFlood(t *testing.T) {
 	t.Parallel()
@@ -117,8 +117,8 @@
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
-	kept, keptReader := s.dial("")
-	complete(kept, keptReader, "kept-1")
+	idleConn, idleReader := s.dial("")
+	complete(idleConn, idleReader, "idle-1")
 	flood := func() {
 		for range 200 { // twice the limit, each answered and kept open
 			_, r := s.dial(upRequest)
@@ -129,12 +129,12 @@
 	}
 	flood()
 	start := time.Now()
-	fresh, freshReader := s.dial("")
+	newConn, newReader := s.dial("")
 	flood()
 	if time.Since(start) < 200*time.Millisecond { // otherwise the test itself was too slow
-		complete(fresh, freshReader, "fresh")
+		complete(newConn, newReader, "new")
 	}
-	complete(kept, keptReader, "kept-2")
+	complete(idleConn, idleReader, "idle-2")
 }
 
 func isTimeoutError(err error, to *net.Error) bool {
@@ -143,7 +143,7 @@
 	return ok && e.Timeout()
 }
 
-// TestClientDisconnects: when a client disconnects, its dispatch is canceled, also at the engine, and no state stays held.
+// TestClientDisconnects: when a client disconnects, its dispatch is cancelled, also at the engine, and no state stays held.
 func TestClientDisconnects(t *testing.T) {
 	for _, kind := range []standin.Kind{standin.Read, standin.Write} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -158,7 +158,7 @@
 			conn, _ := s.dial(chatRequest("gone", promptBody(2000)))
 			require.Eventually(t, func() bool { return len(s.fleet.Calls(kind)) == 1 }, 2*time.Second, time.Millisecond)
 			require.NoError(t, conn.Close())
-			s.awaitQuiet()
+			s.awaitIdle()
 			require.Eventually(t, func() bool { return !s.fleet.Calls(kind)[0].Ended.IsZero() }, time.Second, time.Millisecond,
 				"the engine connection stays open")
 			require.Len(t, s.fleet.Calls(kind), 1)
